--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -5,7 +5,7 @@
 //! word decide whether a runner may get work; failures only rank runners, because acting on a
 //! failure as if the runner were gone would empty the fleet during a short cut.
 
-mod beliefs;
+mod estimates;
 mod last_entries;
 
 use last_entries::LastEntries;
