--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -9,8 +9,8 @@
 use crate::verification::{becomes_suspect, doubt, CONNECT_LIMIT};
 use pitchstall_platform_adapter::headers::{self, LeftOut};
 use pitchstall_serving::ids::{RunnerId, TenantName};
-use pitchstall_serving::placement::Choice;
-use pitchstall_serving::request::{AnswerFacts, AttemptOrder, Work};
+use pitchstall_serving::placement::RunnerChoice;
+use pitchstall_serving::request::{AttemptInstructions, ResponseMetadata, Work};
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord};
 use pitchstall_serving::runner_notice::RunnerNotice;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 }
 
 impl Flight {
-    fn new(node: &Rc<Node>, choice: &Choice) -> Self {
+    fn new(node: &Rc<Node>, choice: &RunnerChoice) -> Self {
         node.fleet.borrow_mut().on_sent(&choice.runner, choice.demand);
         Self { node: node.clone(), runner: choice.runner.clone(), demand: choice.demand }
     }
@@ -108,7 +108,7 @@
 }
 
 /// Takes or opens a connection to the chosen runner.
-pub async fn prepare(node: &Rc<Node>, choice: &Choice) -> Result<Prepared, NotPrepared> {
+pub async fn prepare(node: &Rc<Node>, choice: &RunnerChoice) -> Result<Prepared, NotPrepared> {
     let record = usable_record(node, &choice.runner)?;
     if in_flight(node, &choice.runner) >= node.connection_share(&record.service) {
         log::info!(target: "attempt", runner = choice.runner.as_str(); "no connection left");
@@ -236,7 +236,7 @@
     params: &AttemptParams,
 ) -> Vec<u8> {
     let left = params.deadline.saturating_duration_since(Instant::now());
-    let order = AttemptOrder {
+    let order = AttemptInstructions {
         deadline_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1),
         runner: record.id.clone(),
         priority: params.priority,
@@ -262,7 +262,7 @@
     request: &ClientRequest,
     prepared: &Prepared,
     sent_at_us: u64,
-) -> Result<(AnswerHead, AnswerFacts), ReadFailure> {
+) -> Result<(AnswerHead, ResponseMetadata), ReadFailure> {
     for _ in 0..MOST_SURPLUS {
         let head = prepared.connection.read_head().await?;
         let facts = node.on_answer_head(&prepared.record.id, &head);
@@ -288,7 +288,7 @@
     prepared: Prepared,
     params: &AttemptParams,
     head: AnswerHead,
-    facts: &AnswerFacts,
+    facts: &ResponseMetadata,
 ) -> AttemptEnd {
     let runner = prepared.record.id.clone();
     let id = request.facts.id.as_str();
@@ -304,7 +304,7 @@
         return AttemptEnd::Declined;
     }
     let success = (200..300).contains(&status);
-    let only_read = params.work == Work::ReadPrompt && success;
+    let only_read = params.work == Work::Prefill && success;
     // What is not signed by a runner is no runner's answer, whatever its status.
     if !is_own || facts.encoded || !(facts.signed || only_read) {
         log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "no answer");
@@ -342,8 +342,8 @@
 fn log_sent(request: &ClientRequest, prepared: &Prepared, params: &AttemptParams) {
     let work = match params.work {
         Work::Run => "run",
-        Work::ReadPrompt => "read",
-        Work::RunFrom(_) => "run from handle",
+        Work::Prefill => "read",
+        Work::DecodeFrom(_) => "run from handle",
     };
     let id = request.facts.id.as_str();
     let runner = prepared.record.id.as_str();
@@ -361,7 +361,7 @@
     request: &ClientRequest,
     runner: &RunnerId,
     head: &AnswerHead,
-    facts: &AnswerFacts,
+    facts: &ResponseMetadata,
     sent_at: Instant,
 ) {
     let id = request.facts.id.as_str();
--- a/crates/gateway/src/broken_attempt.rs
+++ b/crates/gateway/src/broken_attempt.rs
@@ -31,7 +31,7 @@
 /// answer.
 pub fn on_broken(node: &Rc<Node>, broken: BrokenAttempt<'_>) {
     let now_us = node.now_us();
-    node.fleet.borrow_mut().on_broken_answer(broken.runner, now_us);
+    node.fleet.borrow_mut().on_response_interrupted(broken.runner, now_us);
     look_at_runner(node, broken);
 }
 
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -54,7 +54,7 @@
 pub fn runners_to_list(fleet: &Fleet, shards: &[Shard]) -> Vec<(RunnerId, SocketAddr)> {
     let has = |runner: &&Runner| {
         let is_engine = runner.takes_work() && runner.record.stage.is_some();
-        is_engine && shards.iter().any(|shard| shard.has(runner))
+        is_engine && shards.iter().any(|shard| shard.contains(runner))
     };
     let listed = fleet.iter().filter(has);
     listed.map(|runner| (runner.record.id.clone(), runner.record.address)).collect()
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -25,7 +25,7 @@
 use pitchstall_serving::event_stream::EventSplitter;
 use pitchstall_serving::fleet::{Eligible, Scope, Sender};
 use pitchstall_serving::ids::{RunnerId, ServiceName};
-use pitchstall_serving::placement::Choice;
+use pitchstall_serving::placement::RunnerChoice;
 use pitchstall_serving::prefix::Prompt;
 use pitchstall_serving::request::Work;
 use pitchstall_serving::request_identity::RequestIdentity;
@@ -171,7 +171,7 @@
             Err(reason) => return self.give_up(reason),
         };
         let work = match &plan.prompt {
-            Some(prompt) => Work::RunFrom(prompt.handle.clone()),
+            Some(prompt) => Work::DecodeFrom(prompt.handle.clone()),
             None => Work::Run,
         };
         let params = self.params(work, &plan.choice);
@@ -190,7 +190,7 @@
                 if let Some(prompt) = &plan.prompt {
                     prompt.on_taken();
                 } else {
-                    plan.tell(Progress::Read(elapsed_ms(sent_at)));
+                    plan.tell(Progress::Prefilled(elapsed_ms(sent_at)));
                 }
                 self.deliver(*answering, client).await
             }
@@ -228,7 +228,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    fn params(&self, work: Work, choice: &Choice) -> AttemptParams {
+    fn params(&self, work: Work, choice: &RunnerChoice) -> AttemptParams {
         AttemptParams {
             fetch_from: self.address_of(choice.fetch_from.as_ref()),
             work,
@@ -241,7 +241,7 @@
             after_event: self.resume_point(),
             deadline: self.deadline,
             head_limit: self.attempt_limit(),
-            expected: Duration::from_micros(choice.expected_us),
+            expected: Duration::from_micros(choice.expected_prefill_us),
             doubt_after: Duration::from_millis(self.route.target_ms).mul_f64(DOUBT_SHARE),
             leaves_suspects: self.could_follow(),
         }
@@ -309,7 +309,7 @@
 
     async fn deliver(&mut self, mut answering: Answering, client: &ClientConnection) -> Step {
         answering.flight.on_read();
-        self.node.on_parts_held(&answering.record.id, self.prompt.shared_parts());
+        self.node.on_parts_held(&answering.record.id, self.prompt.shared_prefix());
         let first_byte = self.request.received.elapsed().as_secs_f64();
         self.node.metrics.first_byte.observe(first_byte);
         let success = (200..300).contains(&answering.head.status);
@@ -407,9 +407,9 @@
             service: &self.service,
             excluded: &others,
             zones: self.rules.zones.as_ref(),
-            scope: Scope::Everywhere,
+            scope: Scope::AllRegions,
         };
-        let has_other = self.node.fleet.borrow().has_sound(&eligible, self.node.now_us());
+        let has_other = self.node.fleet.borrow().has_healthy(&eligible, self.node.now_us());
         self.is_prepaid =
             self.is_prepaid || (has_other && self.may_run_again(1) && self.withdraw());
         self.is_prepaid
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -9,10 +9,10 @@
 use pitchstall_serving::configuration::EngineSpec;
 use pitchstall_serving::fleet::{Eligible, Scope, Sender};
 use pitchstall_serving::ids::ZoneId;
-use pitchstall_serving::placement::{choose_worker, Choice, Demand, ReadingPlan};
+use pitchstall_serving::placement::{choose_least_occupied, Demand, PrefillPlan, RunnerChoice};
 use pitchstall_serving::request::Work;
 use pitchstall_serving::retry_budget::{ArrivalCost, SharedRetryBudget};
-use pitchstall_serving::scheduler::choose_any_writer;
+use pitchstall_serving::scheduler::choose_decode_runner_in_any_region;
 use pitchstall_serving::scheduling::Progress;
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
@@ -24,7 +24,7 @@
 
 /// Where and how the request is to run next.
 pub(super) struct Plan {
-    pub(super) choice: Choice,
+    pub(super) choice: RunnerChoice,
     pub(super) prompt: Option<ReadPrompt>,
     /// Tells the scheduler that has placed it; `None`: nobody schedules it.
     follow_up: Option<FollowUp>,
@@ -73,7 +73,7 @@
                 service: &self.service,
                 excluded: &self.excluded,
                 zones: self.rules.zones.as_ref(),
-                scope: Scope::Everywhere,
+                scope: Scope::AllRegions,
             },
             prompt: &self.prompt,
             zone: &self.node.zone,
@@ -92,7 +92,7 @@
             }
             let left = give_up_at.saturating_duration_since(Instant::now());
             // Waiting for a rest that ends too late keeps the caller from trying elsewhere.
-            let opening = self.first_opening();
+            let opening = self.next_availability();
             if let Some(opening) = opening.filter(|opening| opening.opens_in > left) {
                 return Err(opening.give_up());
             }
@@ -106,9 +106,9 @@
     }
 
     /// When the first runner takes requests again that is only withheld; `None`: none is.
-    fn first_opening(&self) -> Option<NextOpening> {
+    fn next_availability(&self) -> Option<NextOpening> {
         let Demand { eligible, now_us, .. } = self.demand();
-        let opening = self.node.fleet.borrow().first_opening(&eligible, now_us)?;
+        let opening = self.node.fleet.borrow().next_availability(&eligible, now_us)?;
         let opens_in = Duration::from_micros(opening.at_us.saturating_sub(now_us));
         Some(NextOpening { opens_in, has_limit: opening.has_limit })
     }
@@ -116,7 +116,7 @@
     async fn plan_now(&mut self) -> Result<Option<Plan>, GiveUp> {
         if self.engine.is_none() {
             self.ensure_paid().await?;
-            let choice = choose_worker(&self.node.fleet.borrow(), &self.demand());
+            let choice = choose_least_occupied(&self.node.fleet.borrow(), &self.demand());
             return Ok(choice.map(|choice| Plan {
                 choice,
                 prompt: None,
@@ -129,11 +129,11 @@
         let Placement { reading, writer, follow_up } = placement;
         match reading {
             None => Ok(None),
-            Some(ReadingPlan::Direct(choice)) => {
+            Some(PrefillPlan::Direct(choice)) => {
                 let follow_up = Some(follow_up);
                 Ok(Some(Plan { choice, prompt: None, follow_up, permit: None }))
             }
-            Some(ReadingPlan::Split(reader)) => {
+            Some(PrefillPlan::Split(reader)) => {
                 self.read_then_write(reader, writer, follow_up).await
             }
         }
@@ -155,8 +155,8 @@
     /// be read apart is read by the decode runner; while it was read, much may have changed.
     async fn read_then_write(
         &mut self,
-        reader: Choice,
-        writer: Option<Choice>,
+        reader: RunnerChoice,
+        writer: Option<RunnerChoice>,
         follow_up: FollowUp,
     ) -> Result<Option<Plan>, GiveUp> {
         let sent_at = Instant::now();
@@ -165,9 +165,10 @@
             return Err(GiveUp::OutOfTime);
         }
         if prompt.is_some() {
-            follow_up.tell(Progress::Read(elapsed_ms(sent_at)));
+            follow_up.tell(Progress::Prefilled(elapsed_ms(sent_at)));
         }
-        let is_usable = |writer: &Choice| prompt.is_some() && self.node.takes_work(&writer.runner);
+        let is_usable =
+            |writer: &RunnerChoice| prompt.is_some() && self.node.takes_work(&writer.runner);
         let writer = writer.filter(is_usable);
         let zone = prompt.as_ref().map(|prompt| prompt.zone.clone());
         let (choice, permit) = self.permitted_writer(writer, zone.as_ref()).await.unzip();
@@ -185,13 +186,19 @@
     /// prompt is not read in vain. Waits a little if all have none left.
     async fn permitted_writer(
         &self,
-        planned: Option<Choice>,
+        planned: Option<RunnerChoice>,
         source: Option<&ZoneId>,
-    ) -> Option<(Choice, SendPermit)> {
+    ) -> Option<(RunnerChoice, SendPermit)> {
         let give_up_at = Instant::now() + self.longest_wait();
         let mut planned = planned;
         loop {
-            let any = || choose_any_writer(&self.node.fleet.borrow(), &self.demand(), source);
+            let any = || {
+                choose_decode_runner_in_any_region(
+                    &self.node.fleet.borrow(),
+                    &self.demand(),
+                    source,
+                )
+            };
             if let Some(writer) = planned.take().or_else(any) {
                 let request = &self.request.facts.id;
                 let permit = runner_limits::permit(self.node, request, &writer.runner).await;
@@ -200,7 +207,7 @@
                     None => continue,
                 }
             }
-            let opens_in = self.first_opening()?.opens_in;
+            let opens_in = self.next_availability()?.opens_in;
             if Instant::now() + opens_in > give_up_at {
                 return None;
             }
@@ -214,7 +221,11 @@
         wait.min(self.time_left())
     }
 
-    async fn read_prompt(&mut self, reader: Choice, follow_up: &FollowUp) -> Option<ReadPrompt> {
+    async fn read_prompt(
+        &mut self,
+        reader: RunnerChoice,
+        follow_up: &FollowUp,
+    ) -> Option<ReadPrompt> {
         let prepared = match attempt::prepare(self.node, &reader).await {
             Ok(prepared) => prepared,
             Err(NotPrepared::Withheld) => return None,
@@ -235,7 +246,7 @@
         if !self.pay(cost) {
             return None;
         }
-        let mut params = self.params(Work::ReadPrompt, &reader);
+        let mut params = self.params(Work::Prefill, &reader);
         params.after_event = None;
         params.head_limit = self.time_left().mul_f64(READING_SHARE);
         params.leaves_suspects = self.budget_allows_one();
@@ -265,7 +276,7 @@
 
     /// Whether the prompt would be read only when the request's time is up: an extra attempt
     /// that cannot be answered in time takes budget and capacity from those that can.
-    pub(super) fn is_too_late(&self, choice: &Choice) -> bool {
-        Duration::from_micros(choice.expected_us) > self.time_left()
+    pub(super) fn is_too_late(&self, choice: &RunnerChoice) -> bool {
+        Duration::from_micros(choice.expected_prefill_us) > self.time_left()
     }
 }
--- a/crates/gateway/src/held_parts.rs
+++ b/crates/gateway/src/held_parts.rs
@@ -9,7 +9,7 @@
 use crate::shard_scheduler::schedulers_of_other_regions;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::prefix::PromptPart;
-use pitchstall_serving::regions::{PartsRead, LEAST_TOLD_TOKENS};
+use pitchstall_serving::regions::{CachedPrefixMessage, MIN_ANNOUNCED_TOKENS};
 use std::cell::RefCell;
 
 /// Readings that one word tells of: some 80 bytes each, well below the largest datagram.
@@ -17,17 +17,17 @@
 
 /// Readings that other regions are still to be told of.
 #[derive(Debug, Default)]
-pub struct UntoldReadings(RefCell<Vec<PartsRead>>);
+pub struct UntoldReadings(RefCell<Vec<CachedPrefixMessage>>);
 
 /// A runner of this node's region has read shared parts of a prompt that it did not hold.
 pub fn on_read(node: &Node, runner: &RunnerId, parts: &[PromptPart]) {
     let tokens: u64 = parts.iter().map(|part| part.tokens).sum();
-    if tokens < LEAST_TOLD_TOKENS || !node.members.borrow().has_other_regions() {
+    if tokens < MIN_ANNOUNCED_TOKENS || !node.members.borrow().has_other_regions() {
         return;
     }
     let mut untold = node.scheduling.untold_readings.0.borrow_mut();
     if untold.len() < MOST_IN_A_WORD {
-        untold.push(PartsRead::new(runner, parts));
+        untold.push(CachedPrefixMessage::new(runner, parts));
     }
 }
 
@@ -42,7 +42,7 @@
 }
 
 /// Takes in another region's readings.
-pub fn on_word(node: &Node, readings: &[PartsRead]) {
+pub fn on_word(node: &Node, readings: &[CachedPrefixMessage]) {
     for reading in readings {
         node.on_parts_held(&reading.runner, &reading.parts());
     }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -11,7 +11,7 @@
 use pitchstall_platform_adapter::headers;
 use pitchstall_serving::configuration::{Configuration, Route};
 use pitchstall_serving::ids::TenantName;
-use pitchstall_serving::request::RequestFacts;
+use pitchstall_serving::request::RequestMetadata;
 use pitchstall_serving::request_identity::{RequestIdentity, RequestParts};
 use pitchstall_serving::retry_budget::SharedRetryBudget;
 use pitchstall_serving::tenancy::{authorize, Access, Tenant};
@@ -34,7 +34,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// What matters of it.
-    pub facts: RequestFacts,
+    pub facts: RequestMetadata,
     /// When its first byte came.
     pub received: Instant,
     identity: OnceCell<RequestIdentity>,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::far_traffic::FarTraffic;
 use crate::quota::figures::QuotaFigures;
-use pitchstall_serving::scheduling::LeavingReason;
+use pitchstall_serving::scheduling::CrossRegionReason;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -235,7 +235,7 @@
     }
 
     /// Counts a request that left its region.
-    pub fn on_left_region(&self, reason: LeavingReason) {
+    pub fn on_left_region(&self, reason: CrossRegionReason) {
         self.left_region.get_or_create(&LeavingLabels { reason: reason.name() }).inc();
     }
 
--- a/crates/gateway/src/node/eras.rs
+++ b/crates/gateway/src/node/eras.rs
@@ -57,7 +57,7 @@
     /// Another store is there, by the settings or by its answers: what is known by revisions orders nothing there.
     pub(super) fn on_other_store(&self) {
         self.store_generation.set(self.store_generation.get() + 1);
-        self.fleet.borrow_mut().on_other_store();
+        self.fleet.borrow_mut().on_store_replaced();
         self.on_later_era();
     }
 
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -288,7 +288,7 @@
         let service = self.fleet.borrow().get(runner).map(|runner| runner.record.service.clone());
         let Some(service) = service else { return };
         let capacity = self.cache_tokens(&service);
-        self.fleet.borrow_mut().on_read(runner, parts, self.now_us(), capacity);
+        self.fleet.borrow_mut().on_prefix_cached(runner, parts, self.now_us(), capacity);
     }
 
     /// Whether this node may plan to send requests to a runner, as far as it knows.
@@ -360,14 +360,14 @@
 
     /// This node has ordered a runner to change its role; the other nodes are to hear of it.
     pub fn on_role_ordered(&self, runner: &RunnerId, stage: Stage, until_us: u64) {
-        self.fleet.borrow_mut().on_changing(runner, stage, until_us);
+        self.fleet.borrow_mut().on_role_change_ordered(runner, stage, until_us);
         self.role_ordered.notify_one();
     }
 
     /// Takes in another node's digest.
     pub fn on_peer_digest(&self, digest: &Digest) {
         let now_us = self.now_us();
-        self.fleet.borrow_mut().on_changing_words(&digest.changing, now_us);
+        self.fleet.borrow_mut().on_role_changes_reported(&digest.changing, now_us);
         digest.limits.iter().for_each(|word| self.on_limit_word(word));
         self.freshness.borrow_mut().on_word(&digest.store, &self.eras.borrow(), now_us);
         self.wall_clock.borrow_mut().on_word(&digest.node, digest.wall_ms, now_us);
@@ -419,7 +419,7 @@
             pace.on_read(sample);
             pace.compare(&sample, hears_of_all)
         });
-        let spent = self.fleet.borrow_mut().on_paced(runner, reading, self.now_us());
+        let spent = self.fleet.borrow_mut().on_prefill_measured(runner, reading, self.now_us());
         if let Some(spent) = spent {
             self.with_pace(service, |pace| pace.on_spent(spent));
         }
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -5,7 +5,7 @@
 use pitchstall_platform_adapter::headers;
 use pitchstall_serving::fleet::FleetChange;
 use pitchstall_serving::ids::{RunnerId, RunnerName};
-use pitchstall_serving::request::AnswerFacts;
+use pitchstall_serving::request::ResponseMetadata;
 use pitchstall_serving::runner::{RunnerRecord, Stage};
 use pitchstall_serving::runner_notice::RunnerNotice;
 use pitchstall_serving::store_revision::StoreRevision;
@@ -49,17 +49,17 @@
             FleetChange::Joined => {
                 log::info!(target: "fleet", runner = runner.as_str(), service, zone, preemptible, stage, revision; "joined");
             }
-            FleetChange::Reborn { ended } => {
+            FleetChange::Restarted { ended } => {
                 log::info!(target: "fleet", runner = runner.as_str(), ended = ended.id.as_str(), revision; "reborn");
                 self.on_runner_left(&ended.id, Some(at), ended.was_leaving);
             }
             FleetChange::Draining => {
                 log::info!(target: "fleet", runner = runner.as_str(), leaves_ms, revision; "draining");
             }
-            FleetChange::Restaged => {
+            FleetChange::StageChanged => {
                 log::info!(target: "fleet", runner = runner.as_str(), revision; "restaged");
             }
-            FleetChange::Left | FleetChange::Lapsed | FleetChange::None => {}
+            FleetChange::Removed | FleetChange::Lapsed | FleetChange::Unchanged => {}
         }
         self.fleet_changed.notify_waiters();
     }
@@ -71,11 +71,11 @@
         revision: StoreRevision,
         lapses_until_us: Option<u64>,
     ) {
-        let Some(id) = self.fleet.borrow().life_of(name).cloned() else { return };
+        let Some(id) = self.fleet.borrow().incarnation_of(name).cloned() else { return };
         let is_planned = self.fleet.borrow().get(&id).is_some_and(|it| it.is_leaving());
         let change = self.fleet.borrow_mut().remove(&id, revision, lapses_until_us);
         match change {
-            FleetChange::Left => self.on_runner_left(&id, Some(revision), is_planned),
+            FleetChange::Removed => self.on_runner_left(&id, Some(revision), is_planned),
             FleetChange::Lapsed => {
                 let revision = revision.to_string();
                 log::info!(target: "fleet", runner = id.as_str(), revision; "lapsed");
@@ -128,10 +128,10 @@
 
     /// Reads the head of a runner's answer, and takes in what the runner says of itself there. Whatever becomes of the
     /// request, the word holds: the store may hear of it many seconds later, or never.
-    pub fn on_answer_head(&self, runner: &RunnerId, head: &AnswerHead) -> AnswerFacts {
+    pub fn on_answer_head(&self, runner: &RunnerId, head: &AnswerHead) -> ResponseMetadata {
         let facts = headers::parse_answer(head.status, head.header_pairs());
-        self.on_unknown_words(runner, &facts.unknown_words);
-        if facts.is_said_by(runner) {
+        self.on_unknown_words(runner, &facts.unknown_headers);
+        if facts.is_about(runner) {
             self.on_notice(runner, facts.notice);
         }
         facts
--- a/crates/gateway/src/peer_words.rs
+++ b/crates/gateway/src/peer_words.rs
@@ -7,11 +7,9 @@
 use pitchstall_serving::quarantine::CrashWord;
 use pitchstall_serving::quota::{QuotaAnswer, QuotaQuestion, QuotaReturn};
 use pitchstall_serving::quota_slots::KeeperId;
-use pitchstall_serving::regions::{PartsRead, RegionLoads};
+use pitchstall_serving::regions::{CachedPrefixMessage, RegionLoads};
 use pitchstall_serving::runner_limit::{LimitAnswer, LimitQuestion, LimitWord};
-use pitchstall_serving::scheduling::{
-    PlacementAnswer, PlacementQuestion, ProgressWord, ShardLoads,
-};
+use pitchstall_serving::scheduling::{PlacementQuery, PlacementReply, ProgressMessage, ShardLoads};
 use pitchstall_serving::usage::{UsageQuestion, UsageWord};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -35,13 +33,13 @@
     Members(Vec<(NodeId, Member)>),
     /// Where is this request to run?
     #[serde(rename = "ask")]
-    Question(PlacementQuestion),
+    Question(PlacementQuery),
     /// There.
     #[serde(rename = "place")]
-    Answer(PlacementAnswer),
+    Answer(PlacementReply),
     /// What became of a request that was placed.
     #[serde(rename = "progress")]
-    Progress(ProgressWord),
+    Progress(ProgressMessage),
     /// The loads of a shard.
     #[serde(rename = "loads")]
     Loads(ShardLoads),
@@ -50,7 +48,7 @@
     RegionLoads(RegionLoads),
     /// Shared parts of prompts that runners of a region have read.
     #[serde(rename = "parts")]
-    PartsRead(Vec<PartsRead>),
+    PartsRead(Vec<CachedPrefixMessage>),
     /// How many requests of each tenant began?
     #[serde(rename = "usage?")]
     UsageQuestion(UsageQuestion),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -216,7 +216,7 @@
             sequence: state.sequence,
             member: self.node.members.borrow().own().clone(),
             store: self.node.freshness.borrow().word(now_us),
-            changing: self.node.fleet.borrow().changing(now_us),
+            changing: self.node.fleet.borrow().role_changes(now_us),
             keeps: self.node.quotas.kept(),
             limits: self.node.runner_limits.words(now_us),
             is_stopping: self.node.is_stopping(),
--- a/crates/gateway/src/quota/asking.rs
+++ b/crates/gateway/src/quota/asking.rs
@@ -10,7 +10,7 @@
 use pitchstall_serving::quota_desk::{DeskStep, QuotaDesk, QuotaRequest};
 use pitchstall_serving::quota_outcome::{QuotaGrant, QuotaOutcome};
 use pitchstall_serving::quota_slots::KeeperId;
-use pitchstall_serving::request::RequestFacts;
+use pitchstall_serving::request::RequestMetadata;
 use pitchstall_serving::scheduling::Ticket;
 use pitchstall_serving::tenancy::Tenant;
 use rand::RngExt;
@@ -43,13 +43,13 @@
     /// What a run costs under a version of the configuration; `None`: nothing.
     pub fn of(
         tenant: Option<&Rc<Tenant>>,
-        facts: &RequestFacts,
+        facts: &RequestMetadata,
         priority: u8,
         version: u64,
     ) -> Option<Self> {
         let tenant = tenant?;
         let limit = tenant.limit?;
-        let cost = limit.cost(facts.prompt.as_ref().filter(|_| facts.tells_tokens));
+        let cost = limit.cost(facts.prompt.as_ref().filter(|_| facts.has_token_counts));
         (cost > 0).then(|| Self { tenant: tenant.clone(), limit, version, cost, priority })
     }
 
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -9,10 +9,10 @@
 use crate::node::Node;
 use pitchstall_platform_adapter::paths;
 use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
-use pitchstall_serving::placement::Choice;
+use pitchstall_serving::placement::RunnerChoice;
 use pitchstall_serving::prefix::Prompt;
 use pitchstall_serving::read_pace::ReadSample;
-use pitchstall_serving::request::PromptHandle;
+use pitchstall_serving::request::KvHandle;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 /// The KV cache of a prompt that was read. Freed when dropped, unless it was taken.
 pub struct ReadPrompt {
     /// The handle.
-    pub handle: PromptHandle,
+    pub handle: KvHandle,
     /// Zone of the runner that keeps it.
     pub zone: ZoneId,
     runner: RunnerId,
@@ -78,7 +78,7 @@
     /// Its prompt.
     pub prompt: &'a Prompt,
     /// Who is to read it.
-    pub choice: &'a Choice,
+    pub choice: &'a RunnerChoice,
 }
 
 /// Sends a request to be read only.
@@ -90,7 +90,7 @@
 ) -> ReadingEnd {
     let begun = Instant::now();
     let runner = prepared.record().id.clone();
-    let tokens = demand.choice.tokens_to_read();
+    let tokens = demand.choice.prefill_tokens();
     let met_no_queue = node.has_nothing_else_to_read(&runner, tokens);
     let answering = match attempt::send(node, demand.request, prepared, params).await {
         AttemptEnd::Answering(answering) => answering,
@@ -113,14 +113,14 @@
     let Some(read) = read else { return ReadingEnd::Failed };
     // The handle holds whichever life has given it; what else is believed of this one is over.
     match runner.may_be(read.born_ms) {
-        true => node.on_parts_held(&runner, demand.prompt.shared_parts()),
+        true => node.on_parts_held(&runner, demand.prompt.shared_prefix()),
         false => node.on_other_life(&runner, read.born_ms),
     }
     let name = read.what;
     let elapsed_ms = begun.elapsed().as_secs_f64() * 1_000.0;
     let sample = ReadSample { tokens, elapsed_ms, met_no_queue };
     node.on_read_in(demand.service, &runner, sample);
-    let handle = PromptHandle { address: answering.record.address, name };
+    let handle = KvHandle { address: answering.record.address, name };
     let zone = answering.record.zone.clone();
     answering.give_back(node);
     ReadingEnd::Read(ReadPrompt { handle, zone, runner, taken: Cell::new(false) })
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -13,7 +13,7 @@
 use pitchstall_serving::limit_keeper::{
     KeeperShare, KeeperTerm, LimitKeeper, GRANT_LIFE_US, MOST_KEEPERS,
 };
-use pitchstall_serving::request::AnswerFacts;
+use pitchstall_serving::request::ResponseMetadata;
 use pitchstall_serving::runner_limit::{
     LimitAnswer, LimitChange, LimitQuestion, LimitVerdict, LimitWord,
 };
@@ -94,7 +94,7 @@
 /// until there may be one.
 pub async fn permit(node: &Rc<Node>, request: &str, runner: &RunnerId) -> Option<SendPermit> {
     let asked_at_us = node.now_us();
-    let word = node.fleet.borrow().limit_word(runner, asked_at_us);
+    let word = node.fleet.borrow().limit_message(runner, asked_at_us);
     let unlimited = SendPermit { usable_until_us: asked_at_us };
     let Some(word) = word else { return Some(unlimited) };
     let verdict = ask(node, word).await;
@@ -115,7 +115,7 @@
         Some(LimitVerdict::Lifted { heard_ago_us }) => {
             let word = LimitWord { runner: runner.clone(), rate: None, heard_ago_us };
             node.on_limit_word(&word);
-            if node.fleet.borrow().limit_word(runner, now_us).is_none() {
+            if node.fleet.borrow().limit_message(runner, now_us).is_none() {
                 return Some(unlimited);
             }
             SHORTEST_WAIT_US
@@ -125,7 +125,7 @@
             NOBODY_PAUSE_US
         }
     };
-    node.fleet.borrow_mut().on_limit_used_up(runner, wait_us, now_us);
+    node.fleet.borrow_mut().on_limit_exhausted(runner, wait_us, now_us);
     let (runner, verdict) = (runner.as_str(), verdict.map_or("no answer", verdict_name));
     log::info!(target: "limit", request, runner, verdict, wait_us; "withheld");
     None
@@ -239,7 +239,7 @@
     let Some(share) = own_share(node, shard) else { return Vec::new() };
     let mut short = node.runner_limits.keeper.borrow().short(share, node.now_us());
     let fleet = node.fleet.borrow();
-    short.retain(|runner| fleet.get(runner).is_some_and(|runner| shard.has(runner)));
+    short.retain(|runner| fleet.get(runner).is_some_and(|runner| shard.contains(runner)));
     short
 }
 
@@ -284,13 +284,13 @@
 
 impl Node {
     /// The head of an answer has come, to a request that was sent at `sent_at_us`: it names a limit, or none.
-    pub fn on_limit_in_head(&self, runner: &RunnerId, facts: &AnswerFacts, sent_at_us: u64) {
-        if !facts.is_said_by(runner) {
+    pub fn on_limit_in_head(&self, runner: &RunnerId, facts: &ResponseMetadata, sent_at_us: u64) {
+        if !facts.is_about(runner) {
             return;
         }
         let now_us = self.now_us();
         let change =
-            self.fleet.borrow_mut().on_limit_in_head(runner, facts.notice, sent_at_us, now_us);
+            self.fleet.borrow_mut().on_limit_in_response(runner, facts.notice, sent_at_us, now_us);
         let Some(change) = change else { return };
         self.log_limit(runner, change, "answer");
         let rate = match change {
@@ -317,7 +317,7 @@
 
     /// Another node has heard what a runner takes.
     pub fn on_limit_word(&self, word: &LimitWord) {
-        let change = self.fleet.borrow_mut().on_limit_word(word, self.now_us());
+        let change = self.fleet.borrow_mut().on_limit_reported(word, self.now_us());
         if let Some(change) = change {
             self.log_limit(&word.runner, change, "node");
         }
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -10,13 +10,15 @@
 use crate::peer_words::{PeerSocket, PeerWord};
 use pitchstall_serving::fleet::{Eligible, Scope};
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName};
-use pitchstall_serving::placement::{reading_home, Choice, Demand, ReadingPlan};
+use pitchstall_serving::placement::{prefill_home, Demand, PrefillPlan, RunnerChoice};
 use pitchstall_serving::regions::{RegionBacklogs, RegionLoads};
 use pitchstall_serving::reservations::Reservations;
-use pitchstall_serving::scheduler::{choose, other_region, Due, PlacedRequest};
+use pitchstall_serving::scheduler::{
+    choose_placement, preferred_remote_region, PlacementDecision, ResponseTarget,
+};
 use pitchstall_serving::scheduling::{
-    told_parts, Elsewhere, PlacementAnswer, PlacementQuestion, Progress, ProgressWord, Shard,
-    Ticket, ToldPlan,
+    wire_parts, PlacementQuery, PlacementReply, Progress, ProgressMessage, RemoteRegion, Shard,
+    Ticket, WirePlan,
 };
 use rand::RngExt;
 use std::cell::{Cell, RefCell};
@@ -55,9 +57,9 @@
 /// Where a request is to run.
 pub struct Placement {
     /// Who reads the prompt; `None`: no runner takes work.
-    pub reading: Option<ReadingPlan>,
+    pub reading: Option<PrefillPlan>,
     /// Who writes, if the scheduler has chosen it.
-    pub writer: Option<Choice>,
+    pub writer: Option<RunnerChoice>,
     /// Tells the scheduler what becomes of the request.
     pub follow_up: FollowUp,
 }
@@ -77,7 +79,7 @@
     /// Tells of progress.
     pub fn tell(&self, progress: Progress) {
         let Some((scheduler, ticket)) = self.placed else { return };
-        let word = PeerWord::Progress(ProgressWord { ticket, progress });
+        let word = PeerWord::Progress(ProgressMessage { ticket, progress });
         self.node.scheduling.socket.send(&word, &[scheduler]);
     }
 }
@@ -94,7 +96,7 @@
     pub socket: PeerSocket,
     incarnation: u64,
     questions: Cell<u64>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<(PlacementAnswer, SocketAddr)>>>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<(PlacementReply, SocketAddr)>>>,
     missed: MissedAnswers,
     /// What this node has set aside at the runners that it schedules.
     pub(crate) reservations: RefCell<Reservations>,
@@ -132,7 +134,7 @@
     /// Where the request is to run.
     Plan(Placement),
     /// The scheduler of another region is to be asked.
-    Elsewhere(Elsewhere),
+    Elsewhere(RemoteRegion),
     /// No answer in time, or no runner.
     Nothing,
     /// This node is the scheduler.
@@ -162,7 +164,7 @@
 async fn place_elsewhere(
     node: &Rc<Node>,
     demand: &PlacementDemand<'_>,
-    elsewhere: &Elsewhere,
+    elsewhere: &RemoteRegion,
 ) -> Placement {
     let (request, reason) = (demand.request, elsewhere.reason.name());
     let (from, to) = (node.region().to_string(), elsewhere.region.as_str());
@@ -181,10 +183,10 @@
     node: &Rc<Node>,
     demand: &PlacementDemand<'_>,
     shard: &Shard,
-    handed_on: bool,
+    is_forwarded: bool,
 ) -> Told {
     let Some((scheduler, address)) = scheduler_of(node, shard) else { return Told::Here };
-    let question = PlacementQuestion { handed_on, ..question(node, demand, shard) };
+    let question = PlacementQuery { is_forwarded, ..question(node, demand, shard) };
     let ticket = question.ticket;
     let asked_at = Instant::now();
     let (sender, receiver) = oneshot::channel();
@@ -232,7 +234,7 @@
     request: &str,
     scheduler: &NodeId,
     shard: &Shard,
-    answer: &PlacementAnswer,
+    answer: &PlacementReply,
     took: Duration,
 ) {
     let took_us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
@@ -242,10 +244,10 @@
 }
 
 /// Who reads and who writes, for the logs.
-pub(crate) fn named(plan: Option<&ToldPlan>) -> (&str, &str) {
+pub(crate) fn named(plan: Option<&WirePlan>) -> (&str, &str) {
     match plan {
-        Some(ToldPlan::Split(reader, writer)) => (reader.runner.as_str(), writer.runner.as_str()),
-        Some(ToldPlan::Direct(choice)) => (choice.runner.as_str(), choice.runner.as_str()),
+        Some(WirePlan::Split(reader, writer)) => (reader.runner.as_str(), writer.runner.as_str()),
+        Some(WirePlan::Direct(choice)) => (choice.runner.as_str(), choice.runner.as_str()),
         None => ("", ""),
     }
 }
@@ -261,23 +263,23 @@
 /// `None` if this node does not know the runners, or knows that they take no work.
 fn told_placement(
     node: &Rc<Node>,
-    answer: PlacementAnswer,
+    answer: PlacementReply,
     follow_up: FollowUp,
 ) -> Option<Placement> {
     let (reading, writer) = match answer.plan? {
-        ToldPlan::Split(reader, writer) => {
-            (ReadingPlan::Split(reader.into()), Some(Choice::from(writer)))
+        WirePlan::Split(reader, writer) => {
+            (PrefillPlan::Split(reader.into()), Some(RunnerChoice::from(writer)))
         }
-        ToldPlan::Direct(choice) => (ReadingPlan::Direct(choice.into()), None),
+        WirePlan::Direct(choice) => (PrefillPlan::Direct(choice.into()), None),
     };
-    let (ReadingPlan::Split(first) | ReadingPlan::Direct(first)) = &reading;
+    let (PrefillPlan::Split(first) | PrefillPlan::Direct(first)) = &reading;
     is_usable(node, first).then_some(())?;
     let writer = writer.filter(|writer| is_usable(node, writer));
     Some(Placement { reading: Some(reading), writer, follow_up })
 }
 
 /// Whether a told choice holds. The scheduler does not know all that runners have said to this node.
-fn is_usable(node: &Node, choice: &Choice) -> bool {
+fn is_usable(node: &Node, choice: &RunnerChoice) -> bool {
     let takes_work = node.takes_work(&choice.runner);
     if !takes_work {
         node.metrics.placements_dropped.inc();
@@ -303,7 +305,7 @@
     let of = Shard::count(node.members.borrow().count_in(region));
     let fleet = node.fleet.borrow();
     let eligible = Eligible { scope: Scope::Region(region), ..demand.demand.eligible };
-    let home = reading_home(&fleet, &Demand { eligible, ..demand.demand });
+    let home = prefill_home(&fleet, &Demand { eligible, ..demand.demand });
     match home.and_then(|home| fleet.get(home)) {
         Some(home) => Shard::of_runner(home, of),
         None => Shard { region: region.clone(), number: rand::rng().random_range(0..of), of },
@@ -319,22 +321,22 @@
     Some((name.clone(), address))
 }
 
-fn question(node: &Node, demand: &PlacementDemand<'_>, shard: &Shard) -> PlacementQuestion {
+fn question(node: &Node, demand: &PlacementDemand<'_>, shard: &Shard) -> PlacementQuery {
     let Demand { eligible, prompt, zone, .. } = demand.demand;
     let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    PlacementQuestion {
+    PlacementQuery {
         ticket: node.scheduling.next_ticket(),
         request: demand.request.to_owned(),
-        answer_to: node.settings().listen.peers,
+        reply_to: node.settings().listen.peers,
         shard: shard.clone(),
-        handed_on: false,
+        is_forwarded: false,
         service: demand.service.clone(),
-        parts: told_parts(prompt),
+        parts: wire_parts(prompt),
         tokens: prompt.tokens,
         max_output_tokens: prompt.max_output_tokens,
         target_ms: demand.target_ms,
         elapsed_ms: millis(demand.elapsed),
-        left_ms: millis(demand.left),
+        remaining_ms: millis(demand.left),
         zone: zone.clone(),
         excluded: not_to_choose(node, &eligible, node.now_us()),
         zones: eligible.zones.map(|zones| zones.iter().cloned().collect()),
@@ -347,27 +349,29 @@
 }
 
 /// What this node has chosen itself: nobody is told of it.
-fn own_placement(node: &Rc<Node>, placed: PlacedRequest) -> Placement {
-    let PlacedRequest { reading, writer } = placed;
-    if let Some(ReadingPlan::Split(choice) | ReadingPlan::Direct(choice)) = &reading {
+fn own_placement(node: &Rc<Node>, placed: PlacementDecision) -> Placement {
+    let PlacementDecision { prefill, decode } = placed;
+    if let Some(PrefillPlan::Split(choice) | PrefillPlan::Direct(choice)) = &prefill {
         let mut fleet = node.fleet.borrow_mut();
-        fleet.on_placed(&choice.runner, choice.tokens_to_read(), node.now_us());
+        fleet.on_placed(&choice.runner, choice.prefill_tokens(), node.now_us());
     }
-    Placement { reading, writer, follow_up: FollowUp::none(node) }
+    Placement { reading: prefill, writer: decode, follow_up: FollowUp::none(node) }
 }
 
 pub(crate) fn choose_here(
     node: &Node,
     demand: &PlacementDemand<'_>,
     shard: Option<&Shard>,
-) -> PlacedRequest {
+) -> PlacementDecision {
     let fleet = node.fleet.borrow();
     let due = due(demand);
-    node.with_pace(demand.service, |pace| choose(&fleet, pace, &demand.demand, shard, due))
+    node.with_pace(demand.service, |pace| {
+        choose_placement(&fleet, pace, &demand.demand, shard, due)
+    })
 }
 
-fn due(demand: &PlacementDemand<'_>) -> Due {
-    Due {
+fn due(demand: &PlacementDemand<'_>) -> ResponseTarget {
+    ResponseTarget {
         target_ms: demand.target_ms as f64,
         elapsed_ms: demand.elapsed.as_secs_f64() * MILLIS_A_SECOND,
     }
@@ -379,30 +383,31 @@
     node: &Node,
     demand: &PlacementDemand<'_>,
     own: &RegionId,
-    placed: &PlacedRequest,
-) -> Option<Elsewhere> {
+    placed: &PlacementDecision,
+) -> Option<RemoteRegion> {
     let fleet = node.fleet.borrow();
     let mut backlogs = node.scheduling.backlogs.borrow_mut();
-    let elsewhere = other_region(&fleet, &backlogs, &demand.demand, own, placed, due(demand))?;
-    let reading_ms = placed.first().map_or(0.0, |choice| choice.reading_ms);
-    backlogs.on_left(&elsewhere.region, demand.service, reading_ms);
+    let elsewhere =
+        preferred_remote_region(&fleet, &backlogs, &demand.demand, own, placed, due(demand))?;
+    let prefill_ms = placed.prefill_choice().map_or(0.0, |choice| choice.prefill_ms);
+    backlogs.on_request_sent(&elsewhere.region, demand.service, prefill_ms);
     Some(elsewhere)
 }
 
 /// Takes in another region's word on its load.
 pub fn on_region_loads(node: &Node, word: RegionLoads) {
-    node.scheduling.backlogs.borrow_mut().on_word(word, node.now_us());
+    node.scheduling.backlogs.borrow_mut().on_loads(word, node.now_us());
 }
 
 /// Takes in a scheduler's answer. One that comes too late is passed over: the request has been
 /// placed, and the scheduler was told that its reservation is over.
-pub fn on_answer(node: &Node, answer: PlacementAnswer, from: SocketAddr) {
+pub fn on_answer(node: &Node, answer: PlacementReply, from: SocketAddr) {
     let waiting = node.scheduling.waiting.borrow_mut().remove(&answer.ticket);
     match waiting {
         // The request may have ended just now; then its reservation lapses.
         Some(sender) => drop(sender.send((answer, from))),
         None => {
-            let word = ProgressWord { ticket: answer.ticket, progress: Progress::Ended };
+            let word = ProgressMessage { ticket: answer.ticket, progress: Progress::Ended };
             node.scheduling.socket.send(&PeerWord::Progress(word), &[from]);
         }
     }
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -17,10 +17,10 @@
 use pitchstall_serving::read_pace::ReadSample;
 use pitchstall_serving::regions::{service_load, RegionLoads, ServiceLoad};
 use pitchstall_serving::reservations::{Reservation, Reserved};
-use pitchstall_serving::scheduler::{reservation, shorter_shard, told_plan, PlacedRequest};
+use pitchstall_serving::scheduler::{less_loaded_shard, reservation, wire_plan, PlacementDecision};
 use pitchstall_serving::scheduling::{
-    Elsewhere, PlacementAnswer, PlacementQuestion, Progress, ProgressWord, Shard, ShardLoads,
-    ToldPlan,
+    PlacementQuery, PlacementReply, Progress, ProgressMessage, RemoteRegion, Shard, ShardLoads,
+    WirePlan,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 const WORDS_A_REGION_WORD: u32 = 4;
 
 /// Answers a question, or hands it on to the scheduler of a shard whose runners wait less.
-pub fn on_question(node: &Node, mut question: PlacementQuestion) {
+pub fn on_question(node: &Node, mut question: PlacementQuery) {
     // The asking node would learn only after a prompt has been read that its writer takes no more.
     question.excluded.extend(runner_limits::short_runners(node, &question.shard));
     let prompt = question.prompt();
@@ -47,7 +47,7 @@
         service: &question.service,
         excluded: &question.excluded,
         zones: zones.as_ref(),
-        scope: Scope::Everywhere,
+        scope: Scope::AllRegions,
     };
     let demand = PlacementDemand {
         request: &question.request,
@@ -62,7 +62,7 @@
         },
         target_ms: question.target_ms,
         elapsed: Duration::from_millis(question.elapsed_ms),
-        left: Duration::from_millis(question.left_ms),
+        left: Duration::from_millis(question.remaining_ms),
     };
     let placed = choose_here(node, &demand, Some(&question.shard));
     if let Some((shard, address)) = better_scheduler(node, &question, &placed) {
@@ -71,18 +71,18 @@
         log::info!(target: "scheduling", request = question.request.as_str(), region, from, to; "handed on");
         node.metrics.placements_handed_on.inc();
         question.shard = shard;
-        question.handed_on = true;
+        question.is_forwarded = true;
         node.scheduling.socket.send(&PeerWord::Question(question), &[address]);
         return;
     }
-    let better = match question.handed_on {
+    let better = match question.is_forwarded {
         true => None,
         false => elsewhere(node, &demand, &question.shard.region, &placed),
     };
     match better {
         Some(better) => answer(node, &question, None, Some(better)),
         None => {
-            let plan = told_plan(placed);
+            let plan = wire_plan(placed);
             if let Some(plan) = &plan {
                 reserve(node, &question, &prompt, plan);
             }
@@ -93,34 +93,34 @@
 
 fn answer(
     node: &Node,
-    question: &PlacementQuestion,
-    plan: Option<ToldPlan>,
-    elsewhere: Option<Elsewhere>,
+    question: &PlacementQuery,
+    plan: Option<WirePlan>,
+    elsewhere: Option<RemoteRegion>,
 ) {
     let (reader, writer) = named(plan.as_ref());
     let (region, shard) = (question.shard.region.as_str(), question.shard.number);
     let other_region = elsewhere.as_ref().map_or("", |elsewhere| elsewhere.region.as_str());
     log::info!(target: "scheduling", request = question.request.as_str(), region, shard, reader, writer, other_region; "placed");
-    let answer = PlacementAnswer { ticket: question.ticket, plan, elsewhere };
-    node.scheduling.socket.send(&PeerWord::Answer(answer), &[question.answer_to]);
+    let answer = PlacementReply { ticket: question.ticket, plan, elsewhere };
+    node.scheduling.socket.send(&PeerWord::Answer(answer), &[question.reply_to]);
 }
 
 /// The scheduler of a shard where the request would wait for much less, if it is another node.
 fn better_scheduler(
     node: &Node,
-    question: &PlacementQuestion,
-    placed: &PlacedRequest,
+    question: &PlacementQuery,
+    placed: &PlacementDecision,
 ) -> Option<(Shard, SocketAddr)> {
     let now_us = node.now_us();
     let fleet = node.fleet.borrow();
     let shard = node.with_pace(&question.service, |pace| {
-        shorter_shard(&fleet, pace, question, placed, now_us)
+        less_loaded_shard(&fleet, pace, question, placed, now_us)
     })?;
     let (_, address) = scheduler_of(node, &shard)?;
     Some((shard, address))
 }
 
-fn reserve(node: &Node, question: &PlacementQuestion, prompt: &Prompt, plan: &ToldPlan) {
+fn reserve(node: &Node, question: &PlacementQuery, prompt: &Prompt, plan: &WirePlan) {
     let mut fleet = node.fleet.borrow_mut();
     let now_us = node.now_us();
     let reservation = reservation(&fleet, question, prompt, plan, now_us);
@@ -131,14 +131,14 @@
 
 /// Takes in what became of a request that this node has placed. What a node could not reach is
 /// looked at by this one: the other may be cut off itself.
-pub fn on_progress(node: &Rc<Node>, word: &ProgressWord) {
+pub fn on_progress(node: &Rc<Node>, word: &ProgressMessage) {
     let now_us = node.now_us();
     let mut reservations = node.scheduling.reservations.borrow_mut();
     if !reservations.is_open(word.ticket) {
         return;
     }
     match &word.progress {
-        Progress::Read(elapsed_ms) => {
+        Progress::Prefilled(elapsed_ms) => {
             let read = reservations.on_read(&mut node.fleet.borrow_mut(), word.ticket);
             drop(reservations);
             if let Some(read) = read {
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -14,9 +14,9 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 /// A word on a change that ends later than the known one by so much is of another order.
-const NEW_ORDER_US: u64 = 1_000_000;
+const NEW_ORDER_MIN_DELAY_US: u64 = 1_000_000;
 /// Time for which a runner that refused a request as full is avoided.
-const FULL_US: u64 = 100_000;
+const FULL_AVOIDANCE_US: u64 = 100_000;
 
 impl Fleet {
     /// An attempt goes to a runner.
@@ -55,9 +55,15 @@
     }
 
     /// A runner holds the shared parts of a prompt, for it has read them or taken them over.
-    pub fn on_read(&mut self, id: &RunnerId, parts: &[PromptPart], now_us: u64, capacity: u64) {
+    pub fn on_prefix_cached(
+        &mut self,
+        id: &RunnerId,
+        parts: &[PromptPart],
+        now_us: u64,
+        capacity: u64,
+    ) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.cache.on_read(parts, now_us, capacity);
+            runner.cache.on_prefix_cached(parts, now_us, capacity);
         }
     }
 
@@ -69,7 +75,7 @@
     }
 
     /// A runner has read a prompt; returns what that took if it can be told.
-    pub fn on_paced(
+    pub fn on_prefill_measured(
         &mut self,
         id: &RunnerId,
         reading: RunnerReading,
@@ -84,7 +90,7 @@
     }
 
     /// The prompt of a request whose needs were set aside has been read.
-    pub fn on_reserved_prompt_read(&mut self, id: &RunnerId, demand: AttemptDemand) {
+    pub fn on_reserved_prefilled(&mut self, id: &RunnerId, demand: AttemptDemand) {
         self.update_reserved(id, |reserved| reserved.on_read(demand));
     }
 
@@ -94,12 +100,12 @@
     }
 
     /// What is set aside there waits for another runner to read the prompt.
-    pub fn on_awaiting_prompt(&mut self, id: &RunnerId) {
+    pub fn on_remote_prefill_pending(&mut self, id: &RunnerId) {
         self.update_reserved(id, |reserved| reserved.unread_requests += 1);
     }
 
     /// That prompt has been read, or is not waited for any more.
-    pub fn on_awaited_prompt(&mut self, id: &RunnerId) {
+    pub fn on_remote_prefill_finished(&mut self, id: &RunnerId) {
         self.update_reserved(id, |reserved| {
             reserved.unread_requests = reserved.unread_requests.saturating_sub(1);
         });
@@ -113,12 +119,12 @@
 
     /// A scheduler told the loads of a shard's runners; those it leaves out have none.
     pub fn on_shard_loads(&mut self, shard: &Shard, loads: &[RunnerLoad], now_us: u64) {
-        for runner in self.runners.values_mut().filter(|runner| shard.has(runner)) {
+        for runner in self.runners.values_mut().filter(|runner| shard.contains(runner)) {
             runner.told = None;
         }
         for load in loads {
             let Some(runner) = self.runners.get_mut(&load.runner) else { continue };
-            let told = Load {
+            let reported = Load {
                 in_flight: load.in_flight,
                 unread_requests: load.unread_requests,
                 unread_tokens: load.unread_tokens,
@@ -126,7 +132,7 @@
                 held_tokens: load.held_tokens,
             };
             let asked_a_second = load.asked_a_second;
-            runner.told = Some(ToldLoad { load: told, asked_a_second, told_at_us: now_us });
+            runner.told = Some(ToldLoad { load: reported, asked_a_second, told_at_us: now_us });
         }
     }
 
@@ -141,7 +147,7 @@
             held_tokens: runner.held_tokens + runner.reserved.held_tokens,
             asked_a_second: runner.asked.a_second(now_us) as u64,
         };
-        let of_shard = self.runners.values().filter(|runner| shard.has(runner));
+        let of_shard = self.runners.values().filter(|runner| shard.contains(runner));
         of_shard.map(load).filter(|load| load.in_flight > 0).collect()
     }
 
@@ -164,16 +170,16 @@
     /// A runner refused a request as full.
     pub fn on_full(&mut self, id: &RunnerId, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.full_until_us = now_us + FULL_US;
+            runner.full_until_us = now_us + FULL_AVOIDANCE_US;
         }
     }
 
     /// A runner was ordered to change its role; the list will tell when it has. What is told
     /// of the same order again, a little late, makes its time no longer.
-    pub fn on_changing(&mut self, id: &RunnerId, stage: Stage, until_us: u64) {
+    pub fn on_role_change_ordered(&mut self, id: &RunnerId, stage: Stage, until_us: u64) {
         let Some(runner) = self.runners.get_mut(id) else { return };
         let is_same_order = |(known, known_until_us): (Stage, u64)| {
-            known == stage && until_us < known_until_us + NEW_ORDER_US
+            known == stage && until_us < known_until_us + NEW_ORDER_MIN_DELAY_US
         };
         if !runner.changing.is_some_and(is_same_order) {
             runner.changing = Some((stage, until_us));
@@ -181,22 +187,22 @@
     }
 
     /// Another node's word on runners that change their roles.
-    pub fn on_changing_words(&mut self, words: &[ChangingRunner], now_us: u64) {
-        for word in words {
-            let until_us = now_us + word.left_ms * MICROS_PER_MILLI;
-            self.on_changing(&word.runner, word.stage, until_us);
+    pub fn on_role_changes_reported(&mut self, changes: &[ChangingRunner], now_us: u64) {
+        for change in changes {
+            let until_us = now_us + change.left_ms * MICROS_PER_MILLI;
+            self.on_role_change_ordered(&change.runner, change.stage, until_us);
         }
     }
 
     /// Runners that are changing their role.
-    pub fn changing(&self, now_us: u64) -> Vec<ChangingRunner> {
+    pub fn role_changes(&self, now_us: u64) -> Vec<ChangingRunner> {
         let changing = self.runners.values().filter(|runner| runner.is_changing(now_us));
-        let word = |runner: &Runner| {
+        let role_change = |runner: &Runner| {
             let (stage, until_us) = runner.changing?;
             let left_ms = until_us.saturating_sub(now_us) / MICROS_PER_MILLI;
             Some(ChangingRunner { runner: runner.record.id.clone(), stage, left_ms })
         };
-        changing.filter_map(word).collect()
+        changing.filter_map(role_change).collect()
     }
 
     /// A runner has said something of itself in an answer to this node. A life whose entry is gone is
@@ -212,7 +218,7 @@
     }
 
     /// The head of an answer of a runner has come, to a request that was sent at `sent_at_us`.
-    pub fn on_limit_in_head(
+    pub fn on_limit_in_response(
         &mut self,
         id: &RunnerId,
         notice: RunnerNotice,
@@ -223,12 +229,12 @@
     }
 
     /// Another node has heard what a runner takes.
-    pub fn on_limit_word(&mut self, word: &LimitWord, now_us: u64) -> Option<LimitChange> {
+    pub fn on_limit_reported(&mut self, word: &LimitWord, now_us: u64) -> Option<LimitChange> {
         self.update_limit(&word.runner, |limit| limit.on_word(word, now_us))
     }
 
     /// The keeper of a runner's limit has none left for a time, microseconds.
-    pub fn on_limit_used_up(&mut self, id: &RunnerId, wait_us: u64, now_us: u64) {
+    pub fn on_limit_exhausted(&mut self, id: &RunnerId, wait_us: u64, now_us: u64) {
         self.update_limit(id, |limit| limit.on_refused(wait_us, now_us));
     }
 
@@ -248,7 +254,7 @@
     }
 
     /// What a runner has said that it takes; `None`: it names no limit.
-    pub fn limit_word(&self, id: &RunnerId, now_us: u64) -> Option<LimitWord> {
+    pub fn limit_message(&self, id: &RunnerId, now_us: u64) -> Option<LimitWord> {
         let runner = self.runners.get(id)?;
         runner.limit().map(|_| runner.availability.limit.word(id, now_us))
     }
@@ -275,7 +281,7 @@
     }
 
     /// A runner broke an answer off, though it can be reached.
-    pub fn on_broken_answer(&mut self, id: &RunnerId, now_us: u64) {
+    pub fn on_response_interrupted(&mut self, id: &RunnerId, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.failures.on_answer(true, now_us);
         }
--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -25,40 +25,40 @@
     /// It is new.
     Joined,
     /// It has started again: another life of it ended before.
-    Reborn {
+    Restarted {
         /// The life that ended.
-        ended: EndedLife,
+        ended: EndedIncarnation,
     },
     /// It began to leave.
     Draining,
     /// Its stage changed.
-    Restaged,
+    StageChanged,
     /// Its entry is gone, which may be only because the store was away.
     Lapsed,
     /// It is gone.
-    Left,
+    Removed,
     /// Nothing that matters.
-    None,
+    Unchanged,
 }
 
 /// A life of a runner that is over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndedLife {
+pub struct EndedIncarnation {
     /// The life.
     pub id: RunnerId,
     /// Whether it had said that it was about to leave.
     pub was_leaving: bool,
 }
 
-fn ended(runner: &Runner) -> EndedLife {
-    EndedLife { id: runner.record.id.clone(), was_leaving: runner.is_leaving() }
+fn ended(runner: &Runner) -> EndedIncarnation {
+    EndedIncarnation { id: runner.record.id.clone(), was_leaving: runner.is_leaving() }
 }
 
 /// The part of the fleet that runners are chosen from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope<'a> {
     /// All of it.
-    Everywhere,
+    AllRegions,
     /// One region.
     Region(&'a RegionId),
     /// One shard of a region.
@@ -67,18 +67,18 @@
 
 impl Scope<'_> {
     /// Whether a runner belongs to it.
-    pub fn has(&self, runner: &Runner) -> bool {
+    pub fn contains(&self, runner: &Runner) -> bool {
         match self {
-            Self::Everywhere => true,
+            Self::AllRegions => true,
             Self::Region(region) => runner.region == **region,
-            Self::Shard(shard) => shard.has(runner),
+            Self::Shard(shard) => shard.contains(runner),
         }
     }
 }
 
 /// A runner takes requests of this node again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opening {
+pub struct NextAvailability {
     /// When, microseconds.
     pub at_us: u64,
     /// Whether it names a limit: then other nodes wait as well, while a rest is this node's alone.
@@ -113,7 +113,7 @@
     /// Every runner of a service, for some node.
     pub fn all_of(service: &'a ServiceName) -> Self {
         let sender = Sender::AnotherNode;
-        Self { sender, service, excluded: &[], zones: None, scope: Scope::Everywhere }
+        Self { sender, service, excluded: &[], zones: None, scope: Scope::AllRegions }
     }
 
     fn admits(&self, runner: &Runner) -> bool {
@@ -122,7 +122,7 @@
         record.service == *self.service
             && zone_is_allowed
             && !self.excluded.contains(&record.id)
-            && self.scope.has(runner)
+            && self.scope.contains(runner)
     }
 
     /// Whether the sender may send to a runner now.
@@ -141,7 +141,7 @@
     distances: Distances,
     runners: BTreeMap<RunnerId, Runner>,
     /// The life that each runner is in.
-    lives: BTreeMap<RunnerName, RunnerId>,
+    incarnations: BTreeMap<RunnerName, RunnerId>,
     /// What lives have said of themselves whose entries are gone: an entry may only have lapsed.
     departed: DepartedAvailability,
     /// The last entries of lives that are over.
@@ -168,8 +168,8 @@
     }
 
     /// A round trip from this node's zone to another took so long.
-    pub fn on_round_trip(&mut self, to: &ZoneId, took_ms: f64, now_us: u64) {
-        self.distances.on_round_trip(to, took_ms, now_us);
+    pub fn on_round_trip(&mut self, to: &ZoneId, rtt_ms: f64, now_us: u64) {
+        self.distances.on_round_trip(to, rtt_ms, now_us);
     }
 
     /// A round trip between two zones, milliseconds.
@@ -179,11 +179,16 @@
 
     /// A round trip from a zone to the nearest runners of a region, milliseconds; `None` if it has
     /// none.
-    pub fn way_ms(&self, from: &ZoneId, region: &RegionId, now_us: u64) -> Option<f64> {
+    pub fn nearest_runner_rtt_ms(
+        &self,
+        from: &ZoneId,
+        region: &RegionId,
+        now_us: u64,
+    ) -> Option<f64> {
         let of_region = self.runners.values().filter(|runner| runner.region == *region);
         let zones: BTreeSet<&ZoneId> = of_region.map(|runner| &runner.record.zone).collect();
-        let ways = zones.into_iter().map(|zone| self.round_trip_ms(from, zone, now_us));
-        ways.min_by(f64::total_cmp)
+        let round_trips = zones.into_iter().map(|zone| self.round_trip_ms(from, zone, now_us));
+        round_trips.min_by(f64::total_cmp)
     }
 
     /// Regions in which a service has runners.
@@ -201,27 +206,27 @@
     /// entry orders lives too, as a machine's clock may have been set back before a runner's start. So are those of
     /// lives that are over, which an older copy of the store brings back.
     pub fn put(&mut self, mut record: RunnerRecord) -> FleetChange {
-        if self.last_entries.has(&record) {
-            return FleetChange::None;
+        if self.last_entries.is_last_entry(&record) {
+            return FleetChange::Unchanged;
         }
-        record.draining |= self.last_entries.left_before(&record);
+        record.draining |= self.last_entries.was_draining(&record);
         let region = self.topology.region_of(&record.zone);
         let name = record.id.name();
-        let Some(life) = self.lives.get(&name).cloned() else {
+        let Some(incarnation) = self.incarnations.get(&name).cloned() else {
             self.insert(record, region);
             return FleetChange::Joined;
         };
-        let Some(known) = self.runners.get_mut(&life) else { return FleetChange::None };
+        let Some(known) = self.runners.get_mut(&incarnation) else { return FleetChange::Unchanged };
         let gone_at = known.lapsed.map_or(StoreRevision::default(), |lapsed| lapsed.revision);
         if record.revision <= known.record.revision.max(gone_at) {
-            return FleetChange::None;
+            return FleetChange::Unchanged;
         }
-        if life != record.id {
+        if incarnation != record.id {
             // Nothing that is believed of the life that ended passes to the new one.
             let ended = ended(known);
-            self.forget(&life);
+            self.forget(&incarnation);
             self.insert(record, region);
-            return FleetChange::Reborn { ended };
+            return FleetChange::Restarted { ended };
         }
         if record.revision.era() > known.record.revision.era() {
             // The entry may be older than what is known; a life that leaves goes on leaving.
@@ -231,9 +236,9 @@
         let change = if record.draining && !known.record.draining {
             FleetChange::Draining
         } else if record.stage != known.record.stage {
-            FleetChange::Restaged
+            FleetChange::StageChanged
         } else {
-            FleetChange::None
+            FleetChange::Unchanged
         };
         known.record = record;
         known.region = region;
@@ -243,10 +248,10 @@
     }
 
     fn insert(&mut self, record: RunnerRecord, region: RegionId) {
-        let life = record.id.clone();
-        let availability = self.departed.take(&life);
-        self.lives.insert(life.name(), life.clone());
-        self.runners.insert(life, Runner::new(record, region, availability));
+        let incarnation = record.id.clone();
+        let availability = self.departed.take(&incarnation);
+        self.incarnations.insert(incarnation.name(), incarnation.clone());
+        self.runners.insert(incarnation, Runner::new(record, region, availability));
     }
 
     /// An entry has gone from the list at the given revision. One that may only have lapsed while the
@@ -264,14 +269,14 @@
                     return FleetChange::Lapsed;
                 }
                 self.forget(id);
-                FleetChange::Left
+                FleetChange::Removed
             }
-            _ => FleetChange::None,
+            _ => FleetChange::Unchanged,
         }
     }
 
     /// Entries come from another store from now on, which counts its revisions in another way: whatever it has is later.
-    pub fn on_other_store(&mut self) {
+    pub fn on_store_replaced(&mut self) {
         for runner in self.runners.values_mut() {
             runner.record.revision = StoreRevision::default();
             if let Some(lapsed) = &mut runner.lapsed {
@@ -282,8 +287,8 @@
     }
 
     /// The life that a runner is in, as far as its entries tell.
-    pub fn life_of(&self, name: &RunnerName) -> Option<&RunnerId> {
-        self.lives.get(name)
+    pub fn incarnation_of(&self, name: &RunnerName) -> Option<&RunnerId> {
+        self.incarnations.get(name)
     }
 
     fn forget(&mut self, id: &RunnerId) {
@@ -291,7 +296,7 @@
             self.departed.remember(id, runner.availability);
             self.last_entries.remember(runner.record);
         }
-        self.lives.remove(&id.name());
+        self.incarnations.remove(&id.name());
     }
 
     /// Removes runners whose entries lapsed and have not come back in time; returns them.
@@ -310,19 +315,19 @@
         records: Vec<RunnerRecord>,
         revision: StoreRevision,
         lapses_until_us: Option<u64>,
-    ) -> Vec<EndedLife> {
+    ) -> Vec<EndedIncarnation> {
         let listed: BTreeSet<RunnerName> = records.iter().map(|record| record.id.name()).collect();
         let is_gone = |runner: &&Runner| {
             runner.record.revision <= revision && !listed.contains(&runner.record.id.name())
         };
         let gone = self.runners.values().filter(is_gone);
-        let gone: Vec<EndedLife> = gone.map(ended).collect();
-        let has_left = |life: &EndedLife| {
-            self.remove(&life.id, revision.next(), lapses_until_us) == FleetChange::Left
+        let gone: Vec<EndedIncarnation> = gone.map(ended).collect();
+        let is_removed = |incarnation: &EndedIncarnation| {
+            self.remove(&incarnation.id, revision.next(), lapses_until_us) == FleetChange::Removed
         };
-        let mut over: Vec<EndedLife> = gone.into_iter().filter(has_left).collect();
+        let mut over: Vec<EndedIncarnation> = gone.into_iter().filter(is_removed).collect();
         for record in records {
-            if let FleetChange::Reborn { ended } = self.put(record) {
+            if let FleetChange::Restarted { ended } = self.put(record) {
                 over.push(ended);
             }
         }
@@ -352,34 +357,38 @@
             eligible.admits(runner) && may_be_sent_to && !runner.is_changing(now_us)
         };
         let all: Vec<&Runner> = self.runners.values().filter(is_eligible).collect();
-        let sound: Vec<&Runner> =
+        let healthy: Vec<&Runner> =
             all.iter().copied().filter(|runner| !runner.is_avoided(now_us)).collect();
-        if sound.is_empty() {
+        if healthy.is_empty() {
             all
         } else {
-            sound
+            healthy
         }
     }
 
     /// The first runner that takes requests of this node again, of those that get none because of a rest or a limit alone.
-    pub fn first_opening(&self, eligible: &Eligible<'_>, now_us: u64) -> Option<Opening> {
+    pub fn next_availability(
+        &self,
+        eligible: &Eligible<'_>,
+        now_us: u64,
+    ) -> Option<NextAvailability> {
         let is_only_withheld = |runner: &&Runner| {
             eligible.admits(runner) && runner.takes_work() && !runner.is_changing(now_us)
         };
         let withheld = self.runners.values().filter(is_only_withheld);
-        let opening = |runner: &Runner| {
+        let availability = |runner: &Runner| {
             let at_us = runner.withheld_until_us(now_us)?;
-            Some(Opening { at_us, has_limit: runner.limit().is_some() })
+            Some(NextAvailability { at_us, has_limit: runner.limit().is_some() })
         };
-        withheld.filter_map(opening).min_by_key(|opening| opening.at_us)
+        withheld.filter_map(availability).min_by_key(|availability| availability.at_us)
     }
 
     /// Runners of a service that get nothing from this node by their own word, leaving ones first.
     pub fn withheld(&self, service: &ServiceName, now_us: u64) -> Vec<RunnerId> {
         let is_withheld = |runner: &&Runner| {
-            let own_word =
+            let is_refusing =
                 runner.availability.is_leaving() || runner.withheld_until_us(now_us).is_some();
-            runner.record.service == *service && own_word
+            runner.record.service == *service && is_refusing
         };
         let mut withheld: Vec<&Runner> = self.runners.values().filter(is_withheld).collect();
         withheld.sort_by_key(|runner| !runner.is_leaving());
@@ -387,9 +396,9 @@
     }
 
     /// Whether there is a runner for new requests that is not avoided and writes answers.
-    pub fn has_sound(&self, eligible: &Eligible<'_>, now_us: u64) -> bool {
+    pub fn has_healthy(&self, eligible: &Eligible<'_>, now_us: u64) -> bool {
         let candidates = self.candidates(eligible, now_us);
-        let writes = |runner: &&Runner| runner.record.stage != Some(Stage::Prefill);
-        candidates.into_iter().filter(writes).any(|runner| !runner.is_avoided(now_us))
+        let is_decode_capable = |runner: &&Runner| runner.record.stage != Some(Stage::Prefill);
+        candidates.into_iter().filter(is_decode_capable).any(|runner| !runner.is_avoided(now_us))
     }
 }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -30,15 +30,15 @@
 
 /// The runner at which requests with a prompt's shared parts gather to be read; without shared
 /// parts, or without prefill runners, `None`.
-pub fn reading_home<'a>(fleet: &'a Fleet, demand: &Demand<'_>) -> Option<&'a RunnerId> {
+pub fn prefill_home<'a>(fleet: &'a Fleet, demand: &Demand<'_>) -> Option<&'a RunnerId> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
-    let (readers, _) = by_stage(&candidates);
-    home_of(&readers, demand.prompt)
+    let (prefill_runners, _) = partition_by_stage(&candidates);
+    rendezvous_home(&prefill_runners, demand.prompt)
 }
 
 /// A runner for an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Choice {
+pub struct RunnerChoice {
     /// The runner.
     pub runner: RunnerId,
     /// What the attempt asks of it.
@@ -46,135 +46,137 @@
     /// The runner from which it takes over shared parts that it does not hold.
     pub fetch_from: Option<RunnerId>,
     /// Time until the prompt should have been read, microseconds.
-    pub expected_us: u64,
+    pub expected_prefill_us: u64,
     /// Time that reading takes without any wait, milliseconds.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
 }
 
-impl Choice {
+impl RunnerChoice {
     /// The same, but its prompt is read after all that can still be in time.
-    pub fn put_behind(mut self) -> Self {
+    pub fn defer(mut self) -> Self {
         self.demand.late_tokens += std::mem::take(&mut self.demand.unread_tokens);
         self
     }
 
     /// Prompt tokens that the runner does not hold.
-    pub fn tokens_to_read(&self) -> u64 {
+    pub fn prefill_tokens(&self) -> u64 {
         self.demand.unread_tokens + self.demand.late_tokens
     }
 }
 
 /// How a prompt is read.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ReadingPlan {
+pub enum PrefillPlan {
     /// A prefill runner reads it; a decode runner then takes over its KV cache.
-    Split(Choice),
+    Split(RunnerChoice),
     /// The decode runner reads it itself.
-    Direct(Choice),
+    Direct(RunnerChoice),
 }
 
 /// Occupancy, as a share of the slots, that has to be saved for each millisecond that the distance
 /// counts as: another zone, 8 ms, has to save 0.3.
-const OCCUPANCY_A_MS: f64 = 0.0375;
+const OCCUPANCY_PER_MS: f64 = 0.0375;
 /// Occupancy that a failure rate above the best runner's counts as.
-const FAILURE_OCCUPANCY: f64 = 4.0;
+const FAILURE_COST_OCCUPANCY: f64 = 4.0;
 /// Milliseconds that a runner that answers with nothing but failures counts as.
-const FAILURE_MS: f64 = 400.0;
+const FAILURE_COST_MS: f64 = 400.0;
 /// Milliseconds of waiting that the dearer bytes of a request count as, beside the way itself, to
 /// another zone of the region and to another region.
-const ZONE_BYTES_MS: f64 = 6.5;
-const REGION_BYTES_MS: f64 = 40.0;
+const CROSS_ZONE_TRAFFIC_COST_MS: f64 = 6.5;
+const CROSS_REGION_TRAFFIC_COST_MS: f64 = 40.0;
 /// Milliseconds that leaving the home of a prompt's shared parts counts as: a second runner
 /// that holds them leaves less room for others.
-const AWAY_MS: f64 = 40.0;
+const OFF_HOME_COST_MS: f64 = 40.0;
 /// Milliseconds that handing a prompt over from prefill to decode takes.
 const HANDOVER_MS: f64 = 15.0;
 /// What work that waits for all other counts as, against work that goes ahead: it keeps such
 /// work from gathering at one runner.
-const LATE_WORK: f64 = 0.2;
+const DEFERRED_WORK_WEIGHT: f64 = 0.2;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 /// A decode runner reads at this share of a prefill runner's pace.
-const DECODE_READ_PACE: f64 = 0.5;
+const DECODE_PREFILL_SPEED: f64 = 0.5;
 /// Share by which each of its streams slows a decode runner's reading.
-const STREAM_SLOWDOWN: f64 = 0.03;
+const SLOWDOWN_PER_STREAM: f64 = 0.03;
 /// Fewest tokens that are worth taking over from another runner.
-const LEAST_FETCH_TOKENS: u64 = 512;
+const MIN_FETCH_TOKENS: u64 = 512;
 /// Milliseconds that taking over counts as, and each token of it: the move itself takes less,
 /// but it is paid for.
-const FETCH_MS: f64 = 10.0;
-const FETCH_TOKEN_MS: f64 = 0.004;
+const FETCH_COST_MS: f64 = 10.0;
+const FETCH_COST_MS_PER_TOKEN: f64 = 0.004;
 /// A move between zones counts as so many moves inside one.
-const FAR_MOVE: f64 = 3.0;
+const CROSS_ZONE_FETCH_FACTOR: f64 = 3.0;
 /// Shared parts are taken over from another region if that takes no longer than so many times what
 /// reading them again does: a reading keeps the runner from others and is paid for by the token, a
 /// move takes its link alone.
-const READ_AGAIN_COST: f64 = 1.5;
+const PREFILL_COST_FACTOR: f64 = 1.5;
 /// Milliseconds that each running request counts as when a decode runner is chosen.
-const DECODE_BUSY_MS: f64 = 4.0;
+const DECODE_COST_MS_PER_REQUEST: f64 = 4.0;
 /// Share of a decode runner's memory above which it counts as short of it.
-const MEMORY_SHARE: f64 = 0.75;
+const MEMORY_PRESSURE_SHARE: f64 = 0.75;
 /// Milliseconds that a whole memory too much counts as.
-const MEMORY_FULL_MS: f64 = 4_000.0;
+const MEMORY_PRESSURE_COST_MS: f64 = 4_000.0;
 /// Occupancy of a decode runner's slots above which it counts as full.
-const DECODE_FULL: f64 = 0.8;
+const DECODE_FULL_SHARE: f64 = 0.8;
 /// Milliseconds that a full decode runner counts as.
-const DECODE_FULL_MS: f64 = 2_000.0;
+const DECODE_FULL_COST_MS: f64 = 2_000.0;
 
 /// Chooses a runner of a service without language models: the least occupied.
-pub fn choose_worker(fleet: &Fleet, demand: &Demand<'_>) -> Option<Choice> {
+pub fn choose_least_occupied(fleet: &Fleet, demand: &Demand<'_>) -> Option<RunnerChoice> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let rates = candidates.iter().map(|runner| runner.failure_rate(demand.now_us));
     let best_rate = rates.fold(f64::INFINITY, f64::min);
     let cost = |runner: &Runner| {
         let slots = f64::from(runner.record.slots.max(1));
         let occupancy = (runner.occupancy(demand.now_us) + 1.0) / slots;
-        let distance = distance_ms(fleet, runner, demand.zone, demand.now_us) * OCCUPANCY_A_MS;
-        let failures = (runner.failure_rate(demand.now_us) - best_rate) * FAILURE_OCCUPANCY;
+        let distance =
+            distance_cost_ms(fleet, runner, demand.zone, demand.now_us) * OCCUPANCY_PER_MS;
+        let failures = (runner.failure_rate(demand.now_us) - best_rate) * FAILURE_COST_OCCUPANCY;
         occupancy + distance + failures
     };
-    let best = least(&candidates, cost)?;
-    Some(Choice {
+    let best = min_by_cost(&candidates, cost)?;
+    Some(RunnerChoice {
         runner: best.record.id.clone(),
         demand: AttemptDemand::default(),
         fetch_from: None,
-        expected_us: 0,
-        reading_ms: 0.0,
+        expected_prefill_us: 0,
+        prefill_ms: 0.0,
     })
 }
 
 /// Chooses how the prompt is read. `None` if no runner takes work.
-pub fn plan_reading(fleet: &Fleet, pace: &ReadPace, demand: &Demand<'_>) -> Option<ReadingPlan> {
+pub fn plan_prefill(fleet: &Fleet, pace: &ReadPace, demand: &Demand<'_>) -> Option<PrefillPlan> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
-    let (readers, writers) = by_stage(&candidates);
+    let (prefill_runners, decode_runners) = partition_by_stage(&candidates);
     let view = PromptView::new(fleet, &candidates, pace, demand);
-    let split = cheapest(&readers, &view, |runner| view.prefill_ms(runner) + HANDOVER_MS);
-    let direct = cheapest(&writers, &view, |runner| view.direct_ms(runner));
+    let split =
+        cheapest(&prefill_runners, &view, |runner| view.prefill_cost_ms(runner) + HANDOVER_MS);
+    let direct = cheapest(&decode_runners, &view, |runner| view.direct_cost_ms(runner));
     match (split, direct) {
         (Some((split, split_ms)), Some((_, direct_ms))) if split_ms <= direct_ms => {
-            Some(ReadingPlan::Split(split))
+            Some(PrefillPlan::Split(split))
         }
         // Without a decode runner nobody can take the prompt over.
         (_, None) => None,
-        (_, Some((direct, _))) => Some(ReadingPlan::Direct(direct)),
+        (_, Some((direct, _))) => Some(PrefillPlan::Direct(direct)),
     }
 }
 
 /// Chooses the decode runner that takes over a prompt that was read in the given zone.
-pub fn choose_writer(
+pub fn choose_decode_runner(
     fleet: &Fleet,
     demand: &Demand<'_>,
     source: Option<&ZoneId>,
-) -> Option<Choice> {
+) -> Option<RunnerChoice> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
-    let (_, writers) = by_stage(&candidates);
+    let (_, decode_runners) = partition_by_stage(&candidates);
     let pace = ReadPace::default();
     let view = PromptView::new(fleet, &candidates, &pace, demand);
     let near = source.unwrap_or(demand.zone);
-    cheapest(&writers, &view, |runner| view.writing_ms(runner, near))
-        .map(|(choice, _)| Choice { fetch_from: None, ..choice })
+    cheapest(&decode_runners, &view, |runner| view.decode_cost_ms(runner, near))
+        .map(|(choice, _)| RunnerChoice { fetch_from: None, ..choice })
 }
 
-fn by_stage<'a>(candidates: &[&'a Runner]) -> (Vec<&'a Runner>, Vec<&'a Runner>) {
+fn partition_by_stage<'a>(candidates: &[&'a Runner]) -> (Vec<&'a Runner>, Vec<&'a Runner>) {
     candidates.iter().partition(|runner| runner.record.stage == Some(Stage::Prefill))
 }
 
@@ -182,10 +184,10 @@
     runners: &[&Runner],
     view: &PromptView<'_>,
     cost_ms: impl Fn(&Runner) -> f64,
-) -> Option<(Choice, f64)> {
-    let best = least(runners, &cost_ms)?;
+) -> Option<(RunnerChoice, f64)> {
+    let best = min_by_cost(runners, &cost_ms)?;
     let source = view.source_for(best);
-    let choice = Choice {
+    let choice = RunnerChoice {
         runner: best.record.id.clone(),
         demand: AttemptDemand {
             unread_tokens: view.unread_tokens(best),
@@ -193,8 +195,8 @@
             held_tokens: view.held_tokens(),
         },
         fetch_from: source.map(|source| source.record.id.clone()),
-        expected_us: (view.time_ms(best) * MICROS_PER_MILLI) as u64,
-        reading_ms: view.read_ms(best, view.unread_tokens(best)),
+        expected_prefill_us: (view.expected_prefill_ms(best) * MICROS_PER_MILLI) as u64,
+        prefill_ms: view.prefill_duration_ms(best, view.unread_tokens(best)),
     };
     Some((choice, cost_ms(best)))
 }
@@ -205,12 +207,12 @@
     pace: &'a ReadPace,
     demand: &'a Demand<'a>,
     /// Where the shared parts gather, by stage.
-    reading_home: Option<&'a RunnerId>,
-    writing_home: Option<&'a RunnerId>,
+    prefill_home: Option<&'a RunnerId>,
+    decode_home: Option<&'a RunnerId>,
     /// The runner that holds most of the shared parts.
     source: Option<&'a Runner>,
     /// The runner of another region that holds more of them than that.
-    far_source: Option<&'a Runner>,
+    remote_source: Option<&'a Runner>,
 }
 
 impl<'a> PromptView<'a> {
@@ -220,7 +222,7 @@
         pace: &'a ReadPace,
         demand: &'a Demand<'a>,
     ) -> Self {
-        let (readers, writers) = by_stage(candidates);
+        let (prefill_runners, decode_runners) = partition_by_stage(candidates);
         let holders = candidates.iter().copied();
         let source = holders.max_by_key(|runner| runner.cached_tokens(demand.prompt));
         let source = source.filter(|runner| runner.cached_tokens(demand.prompt) > 0);
@@ -228,10 +230,10 @@
             fleet,
             pace,
             demand,
-            reading_home: home_of(&readers, demand.prompt),
-            writing_home: home_of(&writers, demand.prompt),
+            prefill_home: rendezvous_home(&prefill_runners, demand.prompt),
+            decode_home: rendezvous_home(&decode_runners, demand.prompt),
             source,
-            far_source: far_source(fleet, demand, source),
+            remote_source: remote_source(fleet, demand, source),
         }
     }
 
@@ -241,28 +243,29 @@
         let held = runner.cached_tokens(self.demand.prompt);
         let gains = |source: &&Runner, held: u64| {
             let gained = source.cached_tokens(self.demand.prompt).saturating_sub(held);
-            gained >= LEAST_FETCH_TOKENS
+            gained >= MIN_FETCH_TOKENS
         };
         let near = self.source.filter(|source| gains(source, held));
         let held_near = near.map_or(held, |source| source.cached_tokens(self.demand.prompt));
-        let far = self.far_source.filter(|source| gains(source, held_near));
-        far.filter(|source| self.is_worth_the_way(source, runner)).or(near)
+        let remote = self.remote_source.filter(|source| gains(source, held_near));
+        remote.filter(|source| self.is_remote_fetch_worthwhile(source, runner)).or(near)
     }
 
     /// Whether parts are better taken over from another region than read again.
-    fn is_worth_the_way(&self, source: &Runner, runner: &Runner) -> bool {
+    fn is_remote_fetch_worthwhile(&self, source: &Runner, runner: &Runner) -> bool {
         let held = runner.cached_tokens(self.demand.prompt);
-        let moved = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
-        self.region_fetch_ms(source, runner) <= self.pace.read_ms(moved) * READ_AGAIN_COST
+        let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
+        self.cross_region_fetch_ms(source, runner)
+            <= self.pace.read_ms(moved_tokens) * PREFILL_COST_FACTOR
     }
 
     /// Time in which parts are taken over from a runner of another region.
-    fn region_fetch_ms(&self, source: &Runner, runner: &Runner) -> f64 {
+    fn cross_region_fetch_ms(&self, source: &Runner, runner: &Runner) -> f64 {
         let held = runner.cached_tokens(self.demand.prompt);
-        let moved = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
+        let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
         let (from, to) = (&source.record.zone, &runner.record.zone);
-        let way_ms = self.fleet.round_trip_ms(from, to, self.demand.now_us);
-        way_ms + moved * self.demand.region_move_ms.unwrap_or(f64::INFINITY)
+        let rtt_ms = self.fleet.round_trip_ms(from, to, self.demand.now_us);
+        rtt_ms + moved_tokens * self.demand.region_move_ms.unwrap_or(f64::INFINITY)
     }
 
     /// Tokens that a runner has to read, once it has taken over what another holds.
@@ -279,123 +282,138 @@
 
     /// What running with too little memory counts as: then requests wait, or are put back and
     /// read anew.
-    fn memory_ms(&self, runner: &Runner) -> f64 {
+    fn memory_cost_ms(&self, runner: &Runner) -> f64 {
         let held = runner.held_by_all(self.demand.now_us) + self.held_tokens();
         let share = held as f64 / self.demand.cache_tokens.max(1) as f64;
-        (share - MEMORY_SHARE).max(0.0) * MEMORY_FULL_MS
+        (share - MEMORY_PRESSURE_SHARE).max(0.0) * MEMORY_PRESSURE_COST_MS
     }
 
     /// What taking over shared parts counts as.
-    fn fetch_ms(&self, runner: &Runner) -> f64 {
+    fn fetch_cost_ms(&self, runner: &Runner) -> f64 {
         let Some(source) = self.source_for(runner) else { return 0.0 };
         if source.region != runner.region {
-            return self.region_fetch_ms(source, runner);
+            return self.cross_region_fetch_ms(source, runner);
         }
         let held = runner.cached_tokens(self.demand.prompt);
-        let moved = source.cached_tokens(self.demand.prompt).saturating_sub(held);
-        let far = if source.record.zone == runner.record.zone { 1.0 } else { FAR_MOVE };
-        FETCH_MS + moved as f64 * FETCH_TOKEN_MS * far
+        let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(held);
+        let zone_factor =
+            if source.record.zone == runner.record.zone { 1.0 } else { CROSS_ZONE_FETCH_FACTOR };
+        FETCH_COST_MS + moved_tokens as f64 * FETCH_COST_MS_PER_TOKEN * zone_factor
     }
 
     /// Time that a runner spends on so many tokens.
-    fn read_ms(&self, runner: &Runner, tokens: u64) -> f64 {
+    fn prefill_duration_ms(&self, runner: &Runner, tokens: u64) -> f64 {
         self.pace.read_ms_at(runner, tokens as f64, self.demand.now_us)
     }
 
     /// Time in which a prefill runner has read the prompt.
-    fn prefill_time_ms(&self, runner: &Runner) -> f64 {
+    fn dedicated_prefill_ms(&self, runner: &Runner) -> f64 {
         let wait = self.pace.backlog_ms(runner, self.demand.now_us);
-        wait + self.pace.fixed_ms() + self.read_ms(runner, self.unread_tokens(runner))
+        wait + self.pace.fixed_ms() + self.prefill_duration_ms(runner, self.unread_tokens(runner))
     }
 
     /// Time in which a runner has read the prompt, by its role.
-    fn time_ms(&self, runner: &Runner) -> f64 {
+    fn expected_prefill_ms(&self, runner: &Runner) -> f64 {
         if runner.record.stage == Some(Stage::Prefill) {
-            self.prefill_time_ms(runner)
+            self.dedicated_prefill_ms(runner)
         } else {
-            self.direct_time_ms(runner)
+            self.direct_prefill_ms(runner)
         }
     }
 
-    fn prefill_ms(&self, runner: &Runner) -> f64 {
-        let way = self.distance_ms(runner, self.demand.zone) + away_ms(runner, self.reading_home);
-        let late = self.read_ms(runner, runner.late_tokens_of_all()) * LATE_WORK;
-        self.prefill_time_ms(runner) + late + self.fetch_ms(runner) + way + self.failures_ms(runner)
+    fn prefill_cost_ms(&self, runner: &Runner) -> f64 {
+        let distance = self.distance_cost_ms(runner, self.demand.zone)
+            + off_home_cost_ms(runner, self.prefill_home);
+        let deferred =
+            self.prefill_duration_ms(runner, runner.late_tokens_of_all()) * DEFERRED_WORK_WEIGHT;
+        self.dedicated_prefill_ms(runner)
+            + deferred
+            + self.fetch_cost_ms(runner)
+            + distance
+            + self.failure_cost_ms(runner)
     }
 
-    fn distance_ms(&self, runner: &Runner, zone: &ZoneId) -> f64 {
-        distance_ms(self.fleet, runner, zone, self.demand.now_us)
+    fn distance_cost_ms(&self, runner: &Runner, zone: &ZoneId) -> f64 {
+        distance_cost_ms(self.fleet, runner, zone, self.demand.now_us)
     }
 
     /// What the failures that a runner has lately answered with count as.
-    fn failures_ms(&self, runner: &Runner) -> f64 {
-        runner.failure_rate(self.demand.now_us) * FAILURE_MS
+    fn failure_cost_ms(&self, runner: &Runner) -> f64 {
+        runner.failure_rate(self.demand.now_us) * FAILURE_COST_MS
     }
 
     /// Time in which a decode runner has read the prompt itself, between the tokens of its
     /// streams.
-    fn direct_time_ms(&self, runner: &Runner) -> f64 {
-        let slowed = self.prefill_time_ms(runner) / DECODE_READ_PACE;
-        slowed * (1.0 + runner.occupancy(self.demand.now_us) * STREAM_SLOWDOWN)
+    fn direct_prefill_ms(&self, runner: &Runner) -> f64 {
+        let undisturbed_ms = self.dedicated_prefill_ms(runner) / DECODE_PREFILL_SPEED;
+        undisturbed_ms * (1.0 + runner.occupancy(self.demand.now_us) * SLOWDOWN_PER_STREAM)
     }
 
-    fn direct_ms(&self, runner: &Runner) -> f64 {
-        let place = self.place_ms(runner, self.demand.zone);
-        self.direct_time_ms(runner) + self.fetch_ms(runner) + place
+    fn direct_cost_ms(&self, runner: &Runner) -> f64 {
+        let load = self.decode_load_cost_ms(runner, self.demand.zone);
+        self.direct_prefill_ms(runner) + self.fetch_cost_ms(runner) + load
     }
 
     /// A decode runner that takes over a prompt read in the zone `near`.
-    fn writing_ms(&self, runner: &Runner, near: &ZoneId) -> f64 {
+    fn decode_cost_ms(&self, runner: &Runner, near: &ZoneId) -> f64 {
         let cached = runner.cached_tokens(self.demand.prompt);
-        let moved = self.demand.prompt.tokens.saturating_sub(cached) as f64;
-        let far = if runner.record.zone == *near { 1.0 } else { FAR_MOVE };
-        let wait = self.pace.backlog_ms(runner, self.demand.now_us) / DECODE_READ_PACE;
-        wait + moved * FETCH_TOKEN_MS * far + self.place_ms(runner, near)
+        let moved_tokens = self.demand.prompt.tokens.saturating_sub(cached) as f64;
+        let zone_factor = if runner.record.zone == *near { 1.0 } else { CROSS_ZONE_FETCH_FACTOR };
+        let wait = self.pace.backlog_ms(runner, self.demand.now_us) / DECODE_PREFILL_SPEED;
+        wait + moved_tokens * FETCH_COST_MS_PER_TOKEN * zone_factor
+            + self.decode_load_cost_ms(runner, near)
     }
 
-    fn place_ms(&self, runner: &Runner, near: &ZoneId) -> f64 {
+    fn decode_load_cost_ms(&self, runner: &Runner, near: &ZoneId) -> f64 {
         let occupancy = runner.occupancy(self.demand.now_us);
         let slots = f64::from(runner.record.slots.max(1));
-        let full = if occupancy >= slots * DECODE_FULL { DECODE_FULL_MS } else { 0.0 };
-        let way = self.distance_ms(runner, near) + away_ms(runner, self.writing_home);
-        occupancy * DECODE_BUSY_MS + full + self.memory_ms(runner) + way + self.failures_ms(runner)
+        let full_cost_ms =
+            if occupancy >= slots * DECODE_FULL_SHARE { DECODE_FULL_COST_MS } else { 0.0 };
+        let distance =
+            self.distance_cost_ms(runner, near) + off_home_cost_ms(runner, self.decode_home);
+        occupancy * DECODE_COST_MS_PER_REQUEST
+            + full_cost_ms
+            + self.memory_cost_ms(runner)
+            + distance
+            + self.failure_cost_ms(runner)
     }
 }
 
 /// The runner of another region than the asking node's that holds most of a prompt's shared parts,
 /// if it holds more than `near`. Policies on zones bind it as they bind who reads.
-fn far_source<'a>(
+fn remote_source<'a>(
     fleet: &'a Fleet,
     demand: &Demand<'_>,
     near: Option<&Runner>,
 ) -> Option<&'a Runner> {
     demand.region_move_ms?;
     let held_near = near.map_or(0, |runner| runner.cached_tokens(demand.prompt));
-    if held_near >= demand.prompt.shared_tokens() {
+    if held_near >= demand.prompt.shared_prefix_tokens() {
         return None;
     }
-    let eligible = Eligible { scope: Scope::Everywhere, excluded: &[], ..demand.eligible };
+    let eligible = Eligible { scope: Scope::AllRegions, excluded: &[], ..demand.eligible };
     let holders = fleet.candidates(&eligible, demand.now_us).into_iter();
-    let far = holders.filter(|runner| !fleet.topology().is_in(demand.zone, &runner.region));
-    let most = far.max_by_key(|runner| runner.cached_tokens(demand.prompt))?;
-    (most.cached_tokens(demand.prompt) > held_near).then_some(most)
+    let remote = holders.filter(|runner| !fleet.topology().is_in(demand.zone, &runner.region));
+    let best = remote.max_by_key(|runner| runner.cached_tokens(demand.prompt))?;
+    (best.cached_tokens(demand.prompt) > held_near).then_some(best)
 }
 
 /// What a runner's distance from a zone counts as: the way there and back, as far as it is longer
 /// than inside the zone, and dearer bytes.
-fn distance_ms(fleet: &Fleet, runner: &Runner, zone: &ZoneId, now_us: u64) -> f64 {
+fn distance_cost_ms(fleet: &Fleet, runner: &Runner, zone: &ZoneId, now_us: u64) -> f64 {
     if runner.record.zone == *zone {
         return 0.0;
     }
     let is_near = fleet.topology().is_in(zone, &runner.region);
-    let bytes_ms = if is_near { ZONE_BYTES_MS } else { REGION_BYTES_MS };
-    let way_ms = fleet.round_trip_ms(zone, &runner.record.zone, now_us);
-    let inside_ms = fleet.round_trip_ms(zone, zone, now_us);
-    (way_ms - inside_ms).max(0.0) + bytes_ms
+    let traffic_cost_ms =
+        if is_near { CROSS_ZONE_TRAFFIC_COST_MS } else { CROSS_REGION_TRAFFIC_COST_MS };
+    let rtt_ms = fleet.round_trip_ms(zone, &runner.record.zone, now_us);
+    let same_zone_rtt_ms = fleet.round_trip_ms(zone, zone, now_us);
+    (rtt_ms - same_zone_rtt_ms).max(0.0) + traffic_cost_ms
 }
 
 /// The runner at which all nodes gather requests with the prompt's shared parts.
-fn home_of<'a>(runners: &[&'a Runner], prompt: &Prompt) -> Option<&'a RunnerId> {
+fn rendezvous_home<'a>(runners: &[&'a Runner], prompt: &Prompt) -> Option<&'a RunnerId> {
     let key = prompt.affinity_key()?;
     // By name: prompts go on being gathered at a runner that starts again.
     let weight = |runner: &&&Runner| rendezvous_weight(&key, runner.record.id.name().as_str());
@@ -403,15 +421,15 @@
 }
 
 /// What a runner that is not the home of a prompt's shared parts costs besides.
-fn away_ms(runner: &Runner, home: Option<&RunnerId>) -> f64 {
+fn off_home_cost_ms(runner: &Runner, home: Option<&RunnerId>) -> f64 {
     if home.is_some_and(|home| *home != runner.record.id) {
-        AWAY_MS
+        OFF_HOME_COST_MS
     } else {
         0.0
     }
 }
 
-fn least<'a>(runners: &[&'a Runner], cost: impl Fn(&Runner) -> f64) -> Option<&'a Runner> {
+fn min_by_cost<'a>(runners: &[&'a Runner], cost: impl Fn(&Runner) -> f64) -> Option<&'a Runner> {
     let costs = runners.iter().map(|runner| (cost(runner), *runner));
     costs.min_by(|(left, _), (right, _)| left.total_cmp(right)).map(|(_, runner)| runner)
 }
--- a/crates/serving/src/prefix.rs
+++ b/crates/serving/src/prefix.rs
@@ -25,18 +25,18 @@
 
 impl Prompt {
     /// The parts that other requests may have too.
-    pub fn shared_parts(&self) -> &[PromptPart] {
+    pub fn shared_prefix(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
     /// Tokens of the shared parts.
-    pub fn shared_tokens(&self) -> u64 {
-        self.shared_parts().iter().map(|part| part.tokens).sum()
+    pub fn shared_prefix_tokens(&self) -> u64 {
+        self.shared_prefix().iter().map(|part| part.tokens).sum()
     }
 
     /// What requests with the same shared parts have in common; `None` without shared parts.
     pub fn affinity_key(&self) -> Option<String> {
-        let last = self.shared_parts().last()?;
+        let last = self.shared_prefix().last()?;
         let mut key = String::with_capacity(16);
         // Writing to a string cannot fail.
         let _ = write!(key, "{:x}", last.id);
@@ -46,16 +46,16 @@
 
 /// Rendezvous weight of a key at a place: the place with the highest weight is its home, and
 /// all nodes find the same one without talking to each other.
-pub fn rendezvous_weight(key: &str, place: &str) -> u64 {
+pub fn rendezvous_weight(key: &str, candidate: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
-    let bytes = key.bytes().chain([0]).chain(place.bytes());
+    let bytes = key.bytes().chain([0]).chain(candidate.bytes());
     let hash = bytes.fold(OFFSET, |state, byte| (state ^ u64::from(byte)).wrapping_mul(PRIME));
-    finish(hash)
+    mix_bits(hash)
 }
 
 /// The finishing step of SplitMix64: spreads the few differing bits of similar inputs.
-fn finish(hash: u64) -> u64 {
+fn mix_bits(hash: u64) -> u64 {
     let mut mixed = hash;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/serving/src/prefix_cache.rs
+++ b/crates/serving/src/prefix_cache.rs
@@ -20,7 +20,7 @@
 }
 
 /// Share of a runner's cache that is counted on; running requests need the rest.
-const COUNTED_CACHE_PERCENT: u64 = 70;
+const MAX_CACHED_PERCENT: u64 = 70;
 
 impl PrefixCacheModel {
     /// Tokens of the first of these parts that are held without a gap.
@@ -30,21 +30,21 @@
     }
 
     /// The runner has read these parts, or taken them over. `capacity` is in tokens.
-    pub fn on_read(&mut self, parts: &[PromptPart], now_us: u64, capacity: u64) {
+    pub fn on_prefix_cached(&mut self, parts: &[PromptPart], now_us: u64, capacity: u64) {
         for part in parts {
             let entry = CachedPart { tokens: part.tokens, used_at_us: now_us };
             if self.parts.insert(part.id, entry).is_none() {
                 self.tokens += part.tokens;
             }
         }
-        while self.tokens > capacity * COUNTED_CACHE_PERCENT / 100 {
-            if !self.drop_oldest() {
+        while self.tokens > capacity * MAX_CACHED_PERCENT / 100 {
+            if !self.evict_least_recently_used() {
                 break;
             }
         }
     }
 
-    fn drop_oldest(&mut self) -> bool {
+    fn evict_least_recently_used(&mut self) -> bool {
         let oldest = self.parts.iter().min_by_key(|(_, part)| part.used_at_us);
         let Some((id, tokens)) = oldest.map(|(id, part)| (*id, part.tokens)) else {
             return false;
--- a/crates/serving/src/request.rs
+++ b/crates/serving/src/request.rs
@@ -8,7 +8,7 @@
 
 /// A request's own words on itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// The client's id for this try; every attempt carries it unchanged.
     pub id: String,
     /// Milliseconds for which the client waits.
@@ -16,7 +16,7 @@
     /// The prompt, if the request is for a language model.
     pub prompt: Option<Prompt>,
     /// Whether it tells how many tokens its prompt has and how many it may write.
-    pub tells_tokens: bool,
+    pub has_token_counts: bool,
     /// Id of the last event that the client has of a stream.
     pub last_event_id: Option<u64>,
     /// What it shows of who sent it.
@@ -29,15 +29,15 @@
     /// Run it, reading the prompt if there is one.
     Run,
     /// Only read its prompt and keep the KV cache under a handle.
-    ReadPrompt,
+    Prefill,
     /// Run it with the KV cache that another runner has read.
-    RunFrom(PromptHandle),
+    DecodeFrom(KvHandle),
 }
 
 /// KV cache of one request's prompt, kept by the runner that read it. It may be taken once,
 /// and only for that request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PromptHandle {
+pub struct KvHandle {
     /// The runner's address.
     pub address: SocketAddr,
     /// The runner's name for it.
@@ -46,7 +46,7 @@
 
 /// Instructions that go with one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AttemptOrder {
+pub struct AttemptInstructions {
     /// Milliseconds that are left.
     pub deadline_ms: u64,
     /// Only this runner may run it.
@@ -65,7 +65,7 @@
 
 /// What the head of a runner's answer says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// Id of the request that it answers.
     pub request_id: Option<String>,
     /// Whether it carries a runner's signature.
@@ -83,13 +83,13 @@
     /// What else the runner says of itself.
     pub notice: RunnerNotice,
     /// Names of headers in which it says something of itself that is not known here.
-    pub unknown_words: Vec<String>,
+    pub unknown_headers: Vec<String>,
 }
 
-impl AnswerFacts {
+impl ResponseMetadata {
     /// Whether what it says of its runner is said by this one. An address may have been given to another runner,
     /// which says then that it was not meant.
-    pub fn is_said_by(&self, runner: &RunnerId) -> bool {
+    pub fn is_about(&self, runner: &RunnerId) -> bool {
         match &self.instance {
             Some(name) => *name == runner.name(),
             None => !self.misdirected,
--- a/crates/serving/src/reservations.rs
+++ b/crates/serving/src/reservations.rs
@@ -75,7 +75,7 @@
             fleet.on_reserved(&reserved.runner, reserved.demand);
         }
         if let Some(writer) = &reservation.writer {
-            fleet.on_awaiting_prompt(&writer.runner);
+            fleet.on_remote_prefill_pending(&writer.runner);
         }
         self.open.insert(ticket, reservation);
     }
@@ -90,12 +90,12 @@
         match reservation.writer.take() {
             // Only the writer is left.
             Some(writer) => {
-                fleet.on_awaited_prompt(&writer.runner);
+                fleet.on_remote_prefill_finished(&writer.runner);
                 fleet.on_reservation_ended(&reader.runner, reader.demand);
                 *reader = writer;
             }
             None => {
-                fleet.on_reserved_prompt_read(&reader.runner, reader.demand);
+                fleet.on_reserved_prefilled(&reader.runner, reader.demand);
                 reader.demand.unread_tokens = 0;
                 reader.demand.late_tokens = 0;
             }
@@ -107,7 +107,7 @@
     pub fn end(&mut self, fleet: &mut Fleet, ticket: Ticket) {
         let Some(reservation) = self.open.remove(&ticket) else { return };
         if let Some(writer) = &reservation.writer {
-            fleet.on_awaited_prompt(&writer.runner);
+            fleet.on_remote_prefill_finished(&writer.runner);
         }
         for reserved in [Some(reservation.reader), reservation.writer].into_iter().flatten() {
             fleet.on_reservation_ended(&reserved.runner, reserved.demand);
--- a/crates/serving/src/role_view.rs
+++ b/crates/serving/src/role_view.rs
@@ -22,11 +22,11 @@
 
 impl RoleDemand<'_> {
     fn scope(&self) -> Scope<'_> {
-        self.region.map_or(Scope::Everywhere, Scope::Region)
+        self.region.map_or(Scope::AllRegions, Scope::Region)
     }
 
     fn has(&self, runner: &Runner) -> bool {
-        runner.record.service == *self.service && self.scope().has(runner)
+        runner.record.service == *self.service && self.scope().contains(runner)
     }
 }
 
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -312,7 +312,7 @@
 
     /// Shared tokens of a prompt that this node believes to be in its KV cache.
     pub fn cached_tokens(&self, prompt: &Prompt) -> u64 {
-        self.cache.cached_tokens(prompt.shared_parts())
+        self.cache.cached_tokens(prompt.shared_prefix())
     }
 }
 
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -10,14 +10,14 @@
 //! that gets no answer soon chooses by what it knows itself.
 
 use crate::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
-use crate::placement::Choice;
+use crate::placement::RunnerChoice;
 use crate::prefix::{rendezvous_weight, Prompt, PromptPart};
 use crate::runner::{AttemptDemand, Runner};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// Nodes for which there is one shard, so that placing for them takes a scheduler about 1 % of a core.
-const NODES_A_SHARD: usize = 40;
+const NODES_PER_SHARD: usize = 40;
 
 /// One of the shards of a region's runners.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 impl Shard {
     /// How many shards a region of so many nodes has.
     pub fn count(nodes: usize) -> usize {
-        nodes.div_ceil(NODES_A_SHARD).max(1)
+        nodes.div_ceil(NODES_PER_SHARD).max(1)
     }
 
     /// All shards of a region.
@@ -57,7 +57,7 @@
     }
 
     /// Whether a runner belongs to it.
-    pub fn has(&self, runner: &Runner) -> bool {
+    pub fn contains(&self, runner: &Runner) -> bool {
         runner.region == self.region && Self::number_of(&runner.record.id, self.of) == self.number
     }
 
@@ -68,11 +68,11 @@
 }
 
 /// A part of a prompt as it is told: its identity and its tokens.
-type ToldPart = (u64, u64);
+type WirePart = (u64, u64);
 
 /// A node asks where a request is to be read and written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacementQuestion {
+pub struct PlacementQuery {
     /// Identifies the request at the asking node.
     #[serde(rename = "i")]
     pub ticket: Ticket,
@@ -81,20 +81,20 @@
     pub request: String,
     /// Where the answer goes: the question may have been handed on.
     #[serde(rename = "a")]
-    pub answer_to: SocketAddr,
+    pub reply_to: SocketAddr,
     /// The shard whose runners are asked for.
     #[serde(rename = "h")]
     pub shard: Shard,
     /// Whether another scheduler has handed it on, or has named this one's region: it is not handed
     /// on again.
     #[serde(rename = "w")]
-    pub handed_on: bool,
+    pub is_forwarded: bool,
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceName,
     /// The prompt's parts.
     #[serde(rename = "p")]
-    pub parts: Vec<ToldPart>,
+    pub parts: Vec<WirePart>,
     /// Tokens in.
     #[serde(rename = "t")]
     pub tokens: u64,
@@ -109,7 +109,7 @@
     pub elapsed_ms: u64,
     /// Time until the request's deadline, milliseconds.
     #[serde(rename = "l")]
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// Zone of the asking node.
     #[serde(rename = "z")]
     pub zone: ZoneId,
@@ -121,10 +121,10 @@
     pub zones: Option<Vec<ZoneId>>,
 }
 
-impl PlacementQuestion {
+impl PlacementQuery {
     /// The prompt.
     pub fn prompt(&self) -> Prompt {
-        let part = |(id, tokens): &ToldPart| PromptPart { id: *id, tokens: *tokens };
+        let part = |(id, tokens): &WirePart| PromptPart { id: *id, tokens: *tokens };
         Prompt {
             parts: self.parts.iter().map(part).collect(),
             tokens: self.tokens,
@@ -134,7 +134,7 @@
 }
 
 /// The parts of a prompt as they are told.
-pub fn told_parts(prompt: &Prompt) -> Vec<ToldPart> {
+pub fn wire_parts(prompt: &Prompt) -> Vec<WirePart> {
     prompt.parts.iter().map(|part| (part.id, part.tokens)).collect()
 }
 
@@ -151,7 +151,7 @@
 
 /// A runner that a scheduler has chosen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldChoice {
+pub struct WireChoice {
     /// The runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
@@ -169,58 +169,58 @@
     pub fetch_from: Option<RunnerId>,
     /// Time until the prompt should have been read, microseconds.
     #[serde(rename = "e")]
-    pub expected_us: u64,
+    pub expected_prefill_us: u64,
     /// Time that reading takes without any wait, microseconds.
     #[serde(rename = "m")]
-    pub reading_us: u64,
+    pub prefill_us: u64,
 }
 
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-impl From<&Choice> for ToldChoice {
-    fn from(choice: &Choice) -> Self {
+impl From<&RunnerChoice> for WireChoice {
+    fn from(choice: &RunnerChoice) -> Self {
         Self {
             runner: choice.runner.clone(),
             unread_tokens: choice.demand.unread_tokens,
             late_tokens: choice.demand.late_tokens,
             held_tokens: choice.demand.held_tokens,
             fetch_from: choice.fetch_from.clone(),
-            expected_us: choice.expected_us,
-            reading_us: (choice.reading_ms * MICROS_PER_MILLI) as u64,
+            expected_prefill_us: choice.expected_prefill_us,
+            prefill_us: (choice.prefill_ms * MICROS_PER_MILLI) as u64,
         }
     }
 }
 
-impl From<ToldChoice> for Choice {
-    fn from(told: ToldChoice) -> Self {
+impl From<WireChoice> for RunnerChoice {
+    fn from(wire: WireChoice) -> Self {
         Self {
-            runner: told.runner,
+            runner: wire.runner,
             demand: AttemptDemand {
-                unread_tokens: told.unread_tokens,
-                late_tokens: told.late_tokens,
-                held_tokens: told.held_tokens,
+                unread_tokens: wire.unread_tokens,
+                late_tokens: wire.late_tokens,
+                held_tokens: wire.held_tokens,
             },
-            fetch_from: told.fetch_from,
-            expected_us: told.expected_us,
-            reading_ms: told.reading_us as f64 / MICROS_PER_MILLI,
+            fetch_from: wire.fetch_from,
+            expected_prefill_us: wire.expected_prefill_us,
+            prefill_ms: wire.prefill_us as f64 / MICROS_PER_MILLI,
         }
     }
 }
 
 /// Where a request is to be read and written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToldPlan {
+pub enum WirePlan {
     /// The first reads, the second writes.
     #[serde(rename = "s")]
-    Split(ToldChoice, ToldChoice),
+    Split(WireChoice, WireChoice),
     /// One does both.
     #[serde(rename = "d")]
-    Direct(ToldChoice),
+    Direct(WireChoice),
 }
 
 /// Why a request is not placed in its own region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum LeavingReason {
+pub enum CrossRegionReason {
     /// No runner there takes work.
     #[serde(rename = "n")]
     NoRunner,
@@ -229,7 +229,7 @@
     LongWait,
 }
 
-impl LeavingReason {
+impl CrossRegionReason {
     /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -241,27 +241,27 @@
 
 /// Another region's scheduler is to be asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct RemoteRegion {
     /// The region.
     #[serde(rename = "r")]
     pub region: RegionId,
     /// Why.
     #[serde(rename = "w")]
-    pub reason: LeavingReason,
+    pub reason: CrossRegionReason,
 }
 
 /// A scheduler's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PlacementAnswer {
+pub struct PlacementReply {
     /// The request.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// Where it is to run; `None`: no runner takes work.
     #[serde(rename = "p")]
-    pub plan: Option<ToldPlan>,
+    pub plan: Option<WirePlan>,
     /// Who is to be asked instead; then nothing has been set aside here.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
-    pub elsewhere: Option<Elsewhere>,
+    pub elsewhere: Option<RemoteRegion>,
 }
 
 /// What became of a request that was placed.
@@ -269,7 +269,7 @@
 pub enum Progress {
     /// Its prompt has been read, so many milliseconds after it was sent.
     #[serde(rename = "r")]
-    Read(u64),
+    Prefilled(u64),
     /// A runner declined it as full.
     #[serde(rename = "d")]
     Declined(RunnerId),
@@ -283,7 +283,7 @@
 
 /// A node tells a scheduler what became of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProgressWord {
+pub struct ProgressMessage {
     /// The request.
     #[serde(rename = "i")]
     pub ticket: Ticket,
--- a/crates/serving/tests/distance.rs
+++ b/crates/serving/tests/distance.rs
@@ -14,34 +14,34 @@
 }
 
 #[test]
-fn distances_are_assumed_by_region_until_they_are_measured() {
+fn unmeasured_distances_default_by_region() {
     let topology = two_regions();
     let (here, near, far) = (ZoneId::new("w-1"), ZoneId::new("w-2"), ZoneId::new("e-1"));
     let distances = Distances::new(here.clone());
-    let way_ms = |other: &ZoneId| distances.round_trip_ms(&topology, &here, other, 0);
-    assert!(way_ms(&here) < way_ms(&near) && way_ms(&near) * 10.0 < way_ms(&far));
-    assert!((way_ms(&far) - distances.round_trip_ms(&topology, &far, &here, 0)).abs() < 0.01);
+    let rtt_ms = |other: &ZoneId| distances.round_trip_ms(&topology, &here, other, 0);
+    assert!(rtt_ms(&here) < rtt_ms(&near) && rtt_ms(&near) * 10.0 < rtt_ms(&far));
+    assert!((rtt_ms(&far) - distances.round_trip_ms(&topology, &far, &here, 0)).abs() < 0.01);
 }
 
 #[test]
-fn a_distance_that_grows_tenfold_for_twenty_seconds_is_seen_and_so_is_its_end() {
+fn a_tenfold_distance_for_twenty_seconds_is_detected_and_so_is_its_end() {
     let topology = two_regions();
     let (here, far) = (ZoneId::new("w-1"), ZoneId::new("e-1"));
     let mut distances = Distances::new(here.clone());
-    const BETWEEN_US: u64 = 200_000;
+    const MEASUREMENT_INTERVAL_US: u64 = 200_000;
     let mut now_us = 0;
-    let mut pass = |distances: &mut Distances, took_ms: f64, seconds: u64| {
-        for _ in 0..seconds * SECOND / BETWEEN_US {
-            now_us += BETWEEN_US;
-            distances.on_round_trip(&far, took_ms, now_us);
+    let mut measure_for = |distances: &mut Distances, rtt_ms: f64, seconds: u64| {
+        for _ in 0..seconds * SECOND / MEASUREMENT_INTERVAL_US {
+            now_us += MEASUREMENT_INTERVAL_US;
+            distances.on_round_trip(&far, rtt_ms, now_us);
         }
         distances.round_trip_ms(&topology, &here, &far, now_us)
     };
-    assert!((pass(&mut distances, 60.0, 10) - 60.0).abs() < 1.0);
-    assert!(pass(&mut distances, 600.0, 5) > 500.0);
-    assert!(pass(&mut distances, 600.0, 15) > 590.0);
-    assert!(pass(&mut distances, 60.0, 2) < 70.0);
-    let single = pass(&mut distances, 60.0, 10);
+    assert!((measure_for(&mut distances, 60.0, 10) - 60.0).abs() < 1.0);
+    assert!(measure_for(&mut distances, 600.0, 5) > 500.0);
+    assert!(measure_for(&mut distances, 600.0, 15) > 590.0);
+    assert!(measure_for(&mut distances, 60.0, 2) < 70.0);
+    let single = measure_for(&mut distances, 60.0, 10);
     distances.on_round_trip(&far, 300.0, now_us);
     let after_one_slow = distances.round_trip_ms(&topology, &here, &far, now_us);
     assert!(after_one_slow < single + 35.0, "one slow answer says little: {after_one_slow}");
@@ -49,13 +49,13 @@
 
 /// Otherwise a way that became slow once would never be tried again.
 #[test]
-fn a_distance_that_nobody_measures_any_more_is_forgotten() {
+fn an_unmeasured_distance_decays_to_the_default() {
     let topology = two_regions();
     let (here, far) = (ZoneId::new("w-1"), ZoneId::new("e-1"));
     let mut distances = Distances::new(here.clone());
     distances.on_round_trip(&far, 900.0, 0);
-    let way_ms = |now_us| distances.round_trip_ms(&topology, &here, &far, now_us);
-    assert!((way_ms(9 * SECOND) - 900.0).abs() < 0.01);
-    assert!(way_ms(20 * SECOND) < 600.0);
-    assert!((way_ms(40 * SECOND) - 60.0).abs() < 0.01);
+    let rtt_ms = |now_us| distances.round_trip_ms(&topology, &here, &far, now_us);
+    assert!((rtt_ms(9 * SECOND) - 900.0).abs() < 0.01);
+    assert!(rtt_ms(20 * SECOND) < 600.0);
+    assert!((rtt_ms(40 * SECOND) - 60.0).abs() < 0.01);
 }
--- a/crates/serving/tests/lapsed_entries.rs
+++ b/crates/serving/tests/lapsed_entries.rs
@@ -29,7 +29,7 @@
     fleet.put(record("a", false, 1));
     assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(UNTIL_US)), FleetChange::Lapsed);
     assert!(takes_work(&fleet, "a"));
-    assert_eq!(fleet.put(record("a", false, 4)), FleetChange::None, "older than its lapse");
+    assert_eq!(fleet.put(record("a", false, 4)), FleetChange::Unchanged, "older than its lapse");
     fleet.put(record("a", false, 6));
     assert!(fleet.remove_lapsed(UNTIL_US).is_empty());
     assert!(takes_work(&fleet, "a"));
@@ -51,7 +51,7 @@
 fn one_that_was_about_to_leave_is_gone_at_once() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", true, 1));
-    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(UNTIL_US)), FleetChange::Left);
+    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(UNTIL_US)), FleetChange::Removed);
 }
 
 #[test]
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -6,12 +6,12 @@
 use pitchstall_serving::attempt::{final_answer, Execution, FinalAnswer, GiveUp};
 use pitchstall_serving::configuration::{Configuration, RequestKind, Route, Share};
 use pitchstall_serving::digest::{Digest, DigestOrder, Freshness};
-use pitchstall_serving::fleet::{Eligible, EndedLife, Fleet, FleetChange, Scope, Sender};
+use pitchstall_serving::fleet::{Eligible, EndedIncarnation, Fleet, FleetChange, Scope, Sender};
 use pitchstall_serving::freshness::StoreWord;
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::Member;
 use pitchstall_serving::placement::{
-    choose_worker, choose_writer, plan_reading, Demand, ReadingPlan,
+    choose_decode_runner, choose_least_occupied, plan_prefill, Demand, PrefillPlan,
 };
 use pitchstall_serving::prefix::{Prompt, PromptPart};
 use pitchstall_serving::read_pace::ReadPace;
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn each_share_gets_its_weight_in_short_runs_too() {
+fn each_share_gets_its_weight_in_short_sequences() {
     let route = route("split", "/a/", &[("big", 90), ("small", 10), ("none", 0)]);
     let mut splitter = TrafficSplitter::default();
     for _ in 0..5 {
@@ -112,24 +112,28 @@
 }
 
 #[test]
-fn an_older_entry_never_wins() {
+fn an_older_entry_is_ignored() {
     let mut fleet = one_region();
     let draining = RunnerRecord { draining: true, ..record("a", "north", None, 7) };
     assert_eq!(fleet.put(record("a", "north", None, 5)), FleetChange::Joined);
     assert_eq!(fleet.put(draining), FleetChange::Draining);
-    assert_eq!(fleet.put(record("a", "north", None, 6)), FleetChange::None);
+    assert_eq!(fleet.put(record("a", "north", None, 6)), FleetChange::Unchanged);
     assert!(!fleet.get(&RunnerId::new("a")).unwrap().takes_work());
-    assert_eq!(fleet.remove(&RunnerId::new("a"), at(6), None), FleetChange::None, "a late removal");
-    assert_eq!(fleet.remove(&RunnerId::new("a"), at(8), None), FleetChange::Left);
+    assert_eq!(
+        fleet.remove(&RunnerId::new("a"), at(6), None),
+        FleetChange::Unchanged,
+        "a late removal"
+    );
+    assert_eq!(fleet.remove(&RunnerId::new("a"), at(8), None), FleetChange::Removed);
 }
 
 #[test]
-fn a_list_removes_whom_it_leaves_out_unless_they_came_later() {
+fn a_list_removes_missing_runners_unless_their_entries_are_newer() {
     let mut fleet = one_region();
     fleet.put(record("old", "north", None, 3));
     fleet.put(record("new", "north", None, 9));
     let gone = fleet.replace_all(vec![record("listed", "north", None, 4)], at(6), None);
-    assert_eq!(gone, [EndedLife { id: RunnerId::new("old"), was_leaving: false }]);
+    assert_eq!(gone, [EndedIncarnation { id: RunnerId::new("old"), was_leaving: false }]);
     assert!(fleet.get(&RunnerId::new("new")).is_some());
     assert!(fleet.get(&RunnerId::new("listed")).is_some());
 }
@@ -161,7 +165,7 @@
                 service: &self.service,
                 excluded: &self.excluded,
                 zones: self.zones.as_ref(),
-                scope: Scope::Everywhere,
+                scope: Scope::AllRegions,
             },
             prompt: &self.prompt,
             zone: &self.zone,
@@ -183,20 +187,20 @@
     fleet
 }
 
-fn reader(plan: Option<ReadingPlan>) -> String {
+fn planned_runner(plan: Option<PrefillPlan>) -> String {
     match plan.unwrap() {
-        ReadingPlan::Split(choice) => choice.runner.to_string(),
-        ReadingPlan::Direct(choice) => format!("direct {}", choice.runner),
+        PrefillPlan::Split(choice) => choice.runner.to_string(),
+        PrefillPlan::Direct(choice) => format!("direct {}", choice.runner),
     }
 }
 
 #[test]
-fn all_nodes_find_the_same_home_and_leave_it_when_it_is_busy() {
+fn all_nodes_choose_the_same_home_and_avoid_it_when_it_is_busy() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
     let pace = ReadPace::default();
-    let home = reader(plan_reading(&fleet, &pace, &case.demand()));
-    assert_eq!(reader(plan_reading(&engines(), &pace, &case.demand())), home);
+    let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
+    assert_eq!(planned_runner(plan_prefill(&engines(), &pace, &case.demand())), home);
     // Its scheduler has told that it has much to read.
     let load = RunnerLoad {
         runner: RunnerId::new(&home),
@@ -208,22 +212,22 @@
         asked_a_second: 0,
     };
     fleet.on_shard_loads(&only_shard(), &[load], 1_000);
-    assert_ne!(reader(plan_reading(&fleet, &pace, &case.demand())), home);
+    assert_ne!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
     // Its next word takes that back.
     fleet.on_shard_loads(&only_shard(), &[], 1_000);
-    assert_eq!(reader(plan_reading(&fleet, &pace, &case.demand())), home);
+    assert_eq!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
 }
 
 #[test]
-fn shared_parts_are_taken_over_from_the_runner_that_holds_them() {
+fn a_shared_prefix_is_fetched_from_the_runner_that_holds_it() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
     let pace = ReadPace::default();
-    let home = reader(plan_reading(&fleet, &pace, &case.demand()));
+    let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
     let other = ["p1", "p2", "p3"].into_iter().find(|id| *id != home).unwrap();
-    let held = case.prompt.shared_parts();
-    fleet.on_read(&RunnerId::new(other), held, 1_000, CACHE_TOKENS);
-    let Some(ReadingPlan::Split(choice)) = plan_reading(&fleet, &pace, &case.demand()) else {
+    let held = case.prompt.shared_prefix();
+    fleet.on_prefix_cached(&RunnerId::new(other), held, 1_000, CACHE_TOKENS);
+    let Some(PrefillPlan::Split(choice)) = plan_prefill(&fleet, &pace, &case.demand()) else {
         unreachable!("prefill runners are free")
     };
     assert_eq!(choice.demand.unread_tokens, 3_000);
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn a_decode_runner_reads_itself_when_prefill_runners_are_busy() {
+fn a_decode_runner_prefills_when_prefill_runners_are_busy() {
     let mut fleet = engines();
     let case = Case::new(0, 1_000);
     for id in ["p1", "p2", "p3"] {
@@ -242,38 +246,40 @@
             AttemptDemand { unread_tokens: 200_000, late_tokens: 0, held_tokens: 200_000 },
         );
     }
-    let plan = reader(plan_reading(&fleet, &ReadPace::default(), &case.demand()));
+    let plan = planned_runner(plan_prefill(&fleet, &ReadPace::default(), &case.demand()));
     assert!(plan.starts_with("direct d"), "{plan}");
 }
 
 #[test]
-fn without_decode_runners_nothing_is_read() {
+fn without_decode_runners_there_is_no_prefill_plan() {
     let mut fleet = one_region();
     fleet.put(record("p1", "north", Some(Stage::Prefill), 1));
     let case = Case::new(0, 1_000);
-    assert_eq!(plan_reading(&fleet, &ReadPace::default(), &case.demand()), None);
+    assert_eq!(plan_prefill(&fleet, &ReadPace::default(), &case.demand()), None);
 }
 
 #[test]
-fn the_writer_is_near_the_reader() {
+fn the_decode_runner_is_in_the_zone_of_the_prefill_runner() {
     let mut fleet = one_region();
     for (id, zone) in [("d1", "north"), ("d2", "south"), ("d3", "east")] {
         fleet.put(record(id, zone, Some(Stage::Decode), 1));
     }
     let case = Case::new(0, 10_000);
     for (zone, expected) in [("north", "d1"), ("south", "d2"), ("east", "d3")] {
-        let choice = choose_writer(&fleet, &case.demand(), Some(&ZoneId::new(zone))).unwrap();
+        let choice =
+            choose_decode_runner(&fleet, &case.demand(), Some(&ZoneId::new(zone))).unwrap();
         assert_eq!(choice.runner.as_str(), expected);
     }
 }
 
 #[test]
-fn the_least_occupied_worker_of_the_zone_is_chosen() {
+fn the_least_occupied_runner_of_the_zone_is_chosen() {
     let mut fleet = one_region();
     fleet.put(record("near", "north", None, 1));
     fleet.put(record("far", "south", None, 1));
     let case = Case::new(0, 0);
-    let chosen = |fleet: &Fleet| choose_worker(fleet, &case.demand()).unwrap().runner.to_string();
+    let chosen =
+        |fleet: &Fleet| choose_least_occupied(fleet, &case.demand()).unwrap().runner.to_string();
     assert_eq!(chosen(&fleet), "near");
     fleet.on_load(&RunnerId::new("near"), LoadReport { running: 8, waiting: 4 }, 1_000);
     assert_eq!(chosen(&fleet), "far");
@@ -282,13 +288,16 @@
 }
 
 #[test]
-fn a_runner_that_is_not_sound_is_used_if_there_is_no_other() {
+fn an_unhealthy_runner_is_used_if_there_is_no_other() {
     let mut fleet = one_region();
     fleet.put(record("only", "north", None, 1));
     fleet.on_unreachable(&RunnerId::new("only"), 1_000);
-    assert!(choose_worker(&fleet, &Case::new(0, 0).demand()).is_some());
+    assert!(choose_least_occupied(&fleet, &Case::new(0, 0).demand()).is_some());
     fleet.on_misdirected(&RunnerId::new("only"));
-    assert!(choose_worker(&fleet, &Case::new(0, 0).demand()).is_none(), "another has its address");
+    assert!(
+        choose_least_occupied(&fleet, &Case::new(0, 0).demand()).is_none(),
+        "another has its address"
+    );
 }
 
 fn digest(incarnation: u64, sequence: u64) -> Digest {
@@ -312,7 +321,7 @@
 }
 
 #[test]
-fn a_digest_that_was_overtaken_is_stale() {
+fn a_digest_that_arrives_out_of_order_is_stale() {
     let mut order = DigestOrder::default();
     assert_eq!(order.on_digest(&digest(5, 1)), Freshness::Newcomer);
     assert_eq!(order.on_digest(&digest(5, 3)), Freshness::Newer);
@@ -322,7 +331,7 @@
 }
 
 #[test]
-fn after_its_time_a_suspect_is_tried_by_one_request_first() {
+fn a_suspected_runner_is_probed_by_one_request_first() {
     let mut fleet = one_region();
     fleet.put(record("a", "north", None, 1));
     fleet.put(record("b", "south", None, 1));
@@ -337,12 +346,12 @@
 }
 
 #[test]
-fn a_decode_runner_without_memory_is_left() {
+fn a_decode_runner_without_free_memory_is_avoided() {
     let mut fleet = one_region();
     fleet.put(record("d1", "north", Some(Stage::Decode), 1));
     fleet.put(record("d2", "south", Some(Stage::Decode), 1));
     let case = Case::new(0, 10_000);
-    let chosen = |fleet: &Fleet| choose_writer(fleet, &case.demand(), None).unwrap().runner;
+    let chosen = |fleet: &Fleet| choose_decode_runner(fleet, &case.demand(), None).unwrap().runner;
     assert_eq!(chosen(&fleet), RunnerId::new("d1"));
     let demand = AttemptDemand { unread_tokens: 0, late_tokens: 0, held_tokens: CACHE_TOKENS };
     fleet.on_sent(&RunnerId::new("d1"), demand);
@@ -352,37 +361,41 @@
 }
 
 #[test]
-fn a_runner_that_answers_with_failures_is_left_and_tried_again_later() {
+fn a_failing_runner_is_avoided_and_retried_later() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
     let pace = ReadPace::default();
-    let home = reader(plan_reading(&fleet, &pace, &case.demand()));
+    let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
     for _ in 0..5 {
         fleet.on_answered(&RunnerId::new(&home), true, 1_000);
     }
-    assert_ne!(reader(plan_reading(&fleet, &pace, &case.demand())), home);
+    assert_ne!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
     let later = Demand { now_us: 60_000_000, ..case.demand() };
-    assert_eq!(reader(plan_reading(&fleet, &pace, &later)), home);
+    assert_eq!(planned_runner(plan_prefill(&fleet, &pace, &later)), home);
 }
 
 #[test]
-fn a_zone_that_the_policy_forbids_gets_no_request_however_idle_it_is() {
+fn a_zone_excluded_by_policy_gets_no_request_even_if_idle() {
     let mut fleet = one_region();
     fleet.put(record("near", "north", None, 1));
     fleet.put(record("far", "south", None, 1));
     let mut case = Case::new(0, 0);
     case.zones = Some([ZoneId::new("south")].into());
     for _ in 0..50 {
-        let choice = choose_worker(&fleet, &case.demand()).unwrap();
+        let choice = choose_least_occupied(&fleet, &case.demand()).unwrap();
         assert_eq!(choice.runner, RunnerId::new("far"));
         fleet.on_sent(&choice.runner, choice.demand);
     }
     case.excluded.push(RunnerId::new("far"));
-    assert_eq!(choose_worker(&fleet, &case.demand()), None, "rather none than a forbidden one");
+    assert_eq!(
+        choose_least_occupied(&fleet, &case.demand()),
+        None,
+        "rather none than a forbidden one"
+    );
 }
 
 #[test]
-fn load_that_a_scheduler_told_fades_until_it_tells_again() {
+fn load_reported_by_a_scheduler_decays_until_the_next_report() {
     let mut fleet = one_region();
     fleet.put(record("a", "north", None, 1));
     let id = RunnerId::new("a");
@@ -405,12 +418,12 @@
 
 /// Once a runner that had changed its role while the list was late got no work for a whole day.
 #[test]
-fn a_runner_that_answered_for_another_is_believed_again_once_the_list_is_newer() {
+fn a_misdirected_runner_is_used_again_after_a_newer_entry() {
     let mut fleet = one_region();
     let id = RunnerId::new("a");
     fleet.put(record("a", "north", Some(Stage::Decode), 3));
     fleet.on_misdirected(&id);
-    assert_eq!(fleet.put(record("a", "north", Some(Stage::Decode), 3)), FleetChange::None);
+    assert_eq!(fleet.put(record("a", "north", Some(Stage::Decode), 3)), FleetChange::Unchanged);
     assert!(!fleet.get(&id).unwrap().takes_work(), "the same entry again");
     fleet.replace_all(vec![record("a", "north", Some(Stage::Prefill), 5)], at(6), None);
     assert!(fleet.get(&id).unwrap().takes_work());
--- a/crates/serving/tests/region_fetch.rs
+++ b/crates/serving/tests/region_fetch.rs
@@ -6,18 +6,18 @@
 use pitchstall_serving::configuration::EngineSpec;
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{RegionId, RunnerId, ServiceName, ZoneId};
-use pitchstall_serving::placement::{plan_reading, Choice, Demand, ReadingPlan};
+use pitchstall_serving::placement::{plan_prefill, Demand, PrefillPlan, RunnerChoice};
 use pitchstall_serving::prefix::{Prompt, PromptPart};
 use pitchstall_serving::read_pace::ReadPace;
-use pitchstall_serving::regions::PartsRead;
+use pitchstall_serving::regions::CachedPrefixMessage;
 use pitchstall_serving::runner::{RunnerRecord, Stage};
 use pitchstall_serving::topology::Topology;
 use std::collections::BTreeSet;
 use support::runner_record;
 use test_case::test_case;
 
-const SHARED: u64 = 8_000;
-const ALL: u64 = 10_000;
+const SHARED_TOKENS: u64 = 8_000;
+const PROMPT_TOKENS: u64 = 10_000;
 const CACHE_TOKENS: u64 = 400_000;
 /// By the guessed pace, reading a token takes 0.033 ms.
 const FAST_MOVE_MS: f64 = 0.004;
@@ -40,17 +40,19 @@
 }
 
 fn prompt() -> Prompt {
-    let parts =
-        vec![PromptPart { id: 1, tokens: SHARED }, PromptPart { id: 2, tokens: ALL - SHARED }];
-    Prompt { parts, tokens: ALL, max_output_tokens: 10 }
+    let parts = vec![
+        PromptPart { id: 1, tokens: SHARED_TOKENS },
+        PromptPart { id: 2, tokens: PROMPT_TOKENS - SHARED_TOKENS },
+    ];
+    Prompt { parts, tokens: PROMPT_TOKENS, max_output_tokens: 10 }
 }
 
 /// Who reads in the region `w`, where a move between regions takes so long.
-fn read_in_w(
+fn plan_in_w(
     fleet: &Fleet,
     region_move_ms: Option<f64>,
     zones: Option<&BTreeSet<ZoneId>>,
-) -> Choice {
+) -> RunnerChoice {
     let (service, prompt, zone) = (ServiceName::new("llm"), prompt(), ZoneId::new("w-1"));
     let only_w = [RunnerId::new("p-e-1"), RunnerId::new("d-e-1")];
     let demand = Demand {
@@ -61,59 +63,59 @@
         region_move_ms,
         now_us: 1_000_000,
     };
-    match plan_reading(fleet, &ReadPace::default(), &demand).unwrap() {
-        ReadingPlan::Split(choice) | ReadingPlan::Direct(choice) => choice,
+    match plan_prefill(fleet, &ReadPace::default(), &demand).unwrap() {
+        PrefillPlan::Split(choice) | PrefillPlan::Direct(choice) => choice,
     }
 }
 
 /// A runner of `e` has read the shared parts, and its region has told so.
-fn told_of_e(fleet: &mut Fleet) {
-    let told = PartsRead::new(&RunnerId::new("p-e-1"), prompt().shared_parts());
-    fleet.on_read(&told.runner, &told.parts(), 0, CACHE_TOKENS);
+fn announce_prefix_of_e(fleet: &mut Fleet) {
+    let announced = CachedPrefixMessage::new(&RunnerId::new("p-e-1"), prompt().shared_prefix());
+    fleet.on_prefix_cached(&announced.runner, &announced.parts(), 0, CACHE_TOKENS);
 }
 
-#[test_case(Some(FAST_MOVE_MS), Some("p-e-1"), ALL - SHARED; "a fast link")]
-#[test_case(Some(SLOW_MOVE_MS), None, ALL; "a link slower than reading")]
-#[test_case(None, None, ALL; "a link of which nothing is told")]
-fn parts_are_taken_over_from_another_region_if_that_takes_less_than_reading(
+#[test_case(Some(FAST_MOVE_MS), Some("p-e-1"), PROMPT_TOKENS - SHARED_TOKENS; "a fast link")]
+#[test_case(Some(SLOW_MOVE_MS), None, PROMPT_TOKENS; "a link slower than reading")]
+#[test_case(None, None, PROMPT_TOKENS; "a link of which nothing is announced")]
+fn a_prefix_is_fetched_from_another_region_if_that_is_faster_than_prefill(
     region_move_ms: Option<f64>,
     expected_source: Option<&str>,
     expected_unread: u64,
 ) {
     let mut fleet = fleet();
-    told_of_e(&mut fleet);
-    let choice = read_in_w(&fleet, region_move_ms, None);
+    announce_prefix_of_e(&mut fleet);
+    let choice = plan_in_w(&fleet, region_move_ms, None);
     assert_eq!(choice.fetch_from, expected_source.map(RunnerId::new));
-    assert_eq!(choice.tokens_to_read(), expected_unread);
+    assert_eq!(choice.prefill_tokens(), expected_unread);
 }
 
 #[test]
-fn what_the_own_region_holds_is_taken_over_from_no_other() {
+fn a_prefix_held_in_the_own_region_is_not_fetched_from_another() {
     let mut fleet = fleet();
-    told_of_e(&mut fleet);
-    fleet.on_read(&RunnerId::new("p-w-1"), prompt().shared_parts(), 0, CACHE_TOKENS);
-    let choice = read_in_w(&fleet, Some(FAST_MOVE_MS), None);
+    announce_prefix_of_e(&mut fleet);
+    fleet.on_prefix_cached(&RunnerId::new("p-w-1"), prompt().shared_prefix(), 0, CACHE_TOKENS);
+    let choice = plan_in_w(&fleet, Some(FAST_MOVE_MS), None);
     assert_eq!((choice.runner.as_str(), choice.fetch_from), ("p-w-1", None));
 }
 
 #[test]
-fn a_policy_that_keeps_a_request_in_its_zones_keeps_its_parts_there() {
+fn a_zone_policy_also_restricts_prefix_sources() {
     let mut fleet = fleet();
-    told_of_e(&mut fleet);
+    announce_prefix_of_e(&mut fleet);
     let allowed = BTreeSet::from([ZoneId::new("w-1")]);
-    assert_eq!(read_in_w(&fleet, Some(FAST_MOVE_MS), Some(&allowed)).fetch_from, None);
+    assert_eq!(plan_in_w(&fleet, Some(FAST_MOVE_MS), Some(&allowed)).fetch_from, None);
 }
 
 #[test]
-fn a_link_that_turns_slow_makes_parts_be_read_again() {
+fn a_slow_link_makes_the_prefix_be_prefilled_again() {
     let mut fleet = fleet();
-    told_of_e(&mut fleet);
+    announce_prefix_of_e(&mut fleet);
     fleet.on_round_trip(&ZoneId::new("e-1"), 900.0, 900_000);
-    assert_eq!(read_in_w(&fleet, Some(FAST_MOVE_MS), None).fetch_from, None);
+    assert_eq!(plan_in_w(&fleet, Some(FAST_MOVE_MS), None).fetch_from, None);
 }
 
 #[test]
-fn the_time_of_a_move_between_regions_comes_from_the_engine() {
+fn the_transfer_time_per_token_comes_from_the_engine_spec() {
     let engine = EngineSpec { token_bytes: 18_432, move_mbps: 430_000.0, ..EngineSpec::default() };
     let move_ms = engine.region_move_ms().unwrap();
     assert!((move_ms - 0.003_43).abs() < 0.000_01, "{move_ms}");
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -7,13 +7,18 @@
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
-use pitchstall_serving::placement::{choose_worker, Choice, Demand, ReadingPlan};
+use pitchstall_serving::placement::{choose_least_occupied, Demand, PrefillPlan, RunnerChoice};
 use pitchstall_serving::prefix::{rendezvous_weight, Prompt, PromptPart};
 use pitchstall_serving::read_pace::ReadPace;
-use pitchstall_serving::regions::{service_load, Placed, RegionBacklogs, RegionLoads, ServiceLoad};
+use pitchstall_serving::regions::{
+    service_load, LocalPlacement, RegionBacklogs, RegionLoads, ServiceLoad,
+};
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord, Stage};
-use pitchstall_serving::scheduler::{choose, choose_any_writer, other_region, Due, PlacedRequest};
-use pitchstall_serving::scheduling::{LeavingReason, Shard};
+use pitchstall_serving::scheduler::{
+    choose_decode_runner_in_any_region, choose_placement, preferred_remote_region,
+    PlacementDecision, ResponseTarget,
+};
+use pitchstall_serving::scheduling::{CrossRegionReason, Shard};
 use pitchstall_serving::topology::Topology;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -21,7 +26,7 @@
 use support::runner_record;
 
 const SECOND: u64 = 1_000_000;
-const DUE: Due = Due { target_ms: 500.0, elapsed_ms: 0.0 };
+const DUE: ResponseTarget = ResponseTarget { target_ms: 500.0, elapsed_ms: 0.0 };
 
 /// Zones `w-1`, `w-2`, `e-1`, `e-2` of the regions `w` and `e`.
 fn two_regions() -> Topology {
@@ -84,12 +89,12 @@
         }
     }
 
-    fn placed(&self, fleet: &Fleet, shard: Option<&Shard>) -> PlacedRequest {
-        choose(fleet, &ReadPace::default(), &self.demand(), shard, DUE)
+    fn placed(&self, fleet: &Fleet, shard: Option<&Shard>) -> PlacementDecision {
+        choose_placement(fleet, &ReadPace::default(), &self.demand(), shard, DUE)
     }
 }
 
-fn region_of(fleet: &Fleet, choice: &Choice) -> String {
+fn region_of(fleet: &Fleet, choice: &RunnerChoice) -> String {
     fleet.get(&choice.runner).unwrap().region.to_string()
 }
 
@@ -98,7 +103,7 @@
 }
 
 #[test]
-fn a_zone_that_nobody_told_of_is_a_region_of_its_own() {
+fn an_unconfigured_zone_is_a_region_of_its_own() {
     let topology = two_regions();
     let unknown = ZoneId::new("elsewhere");
     assert_eq!(topology.region_of(&unknown), RegionId::new("elsewhere"));
@@ -109,11 +114,11 @@
     fleet.put(record("p-lost", "elsewhere", Some(Stage::Prefill)));
     fleet.put(record("d-lost", "elsewhere", Some(Stage::Decode)));
     let placed = Case::from("elsewhere").placed(&fleet, None);
-    assert_eq!(placed.first().unwrap().runner, RunnerId::new("p-lost"));
+    assert_eq!(placed.prefill_choice().unwrap().runner, RunnerId::new("p-lost"));
 }
 
 #[test]
-fn a_topology_that_is_told_anew_moves_runners_and_nodes_to_their_new_regions() {
+fn a_new_topology_moves_runners_and_nodes_to_their_new_regions() {
     let mut fleet = fleet(&two_regions());
     assert_eq!(fleet.regions().len(), 2);
     let all = two_regions();
@@ -168,7 +173,7 @@
 }
 
 #[test]
-fn the_mirrors_of_a_region_are_two_of_different_zones_and_followed_first() {
+fn a_region_has_two_mirrors_in_different_zones_that_are_followed_first() {
     let topology = regions(3, 2);
     let views: Vec<Membership> = (0..91).map(|own| membership(&topology, 91, own)).collect();
     let mirrors: Vec<&Membership> = views.iter().filter(|view| view.is_mirror()).collect();
@@ -198,7 +203,7 @@
 }
 
 #[test]
-fn a_region_whose_nodes_are_all_gone_is_scheduled_by_another() {
+fn a_region_without_nodes_is_scheduled_by_another_region() {
     let topology = two_regions();
     let mut seen = membership(&topology, 40, 6);
     assert_eq!(seen.own_region(), RegionId::new("w"));
@@ -223,7 +228,7 @@
 
 proptest! {
     #[test]
-    fn in_one_region_shards_and_schedulers_are_what_they_were(
+    fn a_single_region_has_the_same_shards_and_schedulers_as_without_regions(
         nodes in 1_usize..200,
         zones in 1_usize..6,
         runners in proptest::collection::vec("[a-z]{1,8}", 1..40),
@@ -242,7 +247,7 @@
         for runner in fleet.iter() {
             let shard = Shard::of_runner(runner, of);
             prop_assert_eq!(shard.number, number_without_regions(&runner.record.id, of));
-            prop_assert!(shards.iter().all(|other| other.has(runner) == (*other == shard)));
+            prop_assert!(shards.iter().all(|other| other.contains(runner) == (*other == shard)));
         }
         for shard in &shards {
             let key = format!("scheduler/{}", shard.number);
@@ -258,18 +263,18 @@
 }
 
 #[test]
-fn a_prompt_is_read_and_written_in_the_region_from_which_it_comes() {
+fn prefill_and_decode_run_in_the_region_of_the_request() {
     let fleet = fleet(&regions(3, 2));
     for (zone, region) in [("w-1", "w"), ("e-2", "e"), ("n-1", "n")] {
         let placed = Case::from(zone).placed(&fleet, None);
-        assert!(matches!(placed.reading, Some(ReadingPlan::Split(_))));
-        assert_eq!(region_of(&fleet, placed.first().unwrap()), region);
-        assert_eq!(region_of(&fleet, placed.writer.as_ref().unwrap()), region);
+        assert!(matches!(placed.prefill, Some(PrefillPlan::Split(_))));
+        assert_eq!(region_of(&fleet, placed.prefill_choice().unwrap()), region);
+        assert_eq!(region_of(&fleet, placed.decode.as_ref().unwrap()), region);
     }
 }
 
 #[test]
-fn a_region_that_is_cut_off_serves_by_its_own_runners() {
+fn an_isolated_region_serves_with_its_own_runners() {
     let mut fleet = fleet(&two_regions());
     let far: Vec<RunnerId> = fleet
         .iter()
@@ -279,14 +284,14 @@
     far.iter().for_each(|id| fleet.on_unreachable(id, SECOND));
     let case = Case::from("w-1");
     let placed = case.placed(&fleet, None);
-    assert_eq!(region_of(&fleet, placed.first().unwrap()), "w");
+    assert_eq!(region_of(&fleet, placed.prefill_choice().unwrap()), "w");
     let own = RegionId::new("w");
     let none = RegionBacklogs::default();
-    assert_eq!(other_region(&fleet, &none, &case.demand(), &own, &placed, DUE), None);
+    assert_eq!(preferred_remote_region(&fleet, &none, &case.demand(), &own, &placed, DUE), None);
 }
 
 #[test]
-fn a_region_without_a_runner_that_can_be_reached_is_left_for_the_nearest_and_used_at_last() {
+fn a_region_without_reachable_runners_is_ranked_last_after_the_nearest() {
     let topology = regions(3, 1);
     let mut fleet = fleet(&topology);
     fleet.on_round_trip(&ZoneId::new("n-1"), 20.0, SECOND);
@@ -295,31 +300,34 @@
         fleet.on_unreachable(&RunnerId::new(id), SECOND);
     }
     let placed = case.placed(&fleet, None);
-    assert_eq!(region_of(&fleet, placed.first().unwrap()), "n");
-    assert_eq!(region_of(&fleet, placed.writer.as_ref().unwrap()), "n");
+    assert_eq!(region_of(&fleet, placed.prefill_choice().unwrap()), "n");
+    assert_eq!(region_of(&fleet, placed.decode.as_ref().unwrap()), "n");
     let own = RegionId::new("w");
     let none = RegionBacklogs::default();
-    let left = other_region(&fleet, &none, &case.demand(), &own, &placed, DUE).unwrap();
-    assert_eq!((left.region.as_str(), left.reason), ("n", LeavingReason::NoRunner));
+    let left = preferred_remote_region(&fleet, &none, &case.demand(), &own, &placed, DUE).unwrap();
+    assert_eq!((left.region.as_str(), left.reason), ("n", CrossRegionReason::NoRunner));
     let far: Vec<RunnerId> = fleet.iter().map(|runner| runner.record.id.clone()).collect();
     far.iter().for_each(|id| fleet.on_unreachable(id, SECOND));
     let placed = case.placed(&fleet, None);
-    assert_eq!(region_of(&fleet, placed.first().unwrap()), "w", "no other is better");
+    assert_eq!(region_of(&fleet, placed.prefill_choice().unwrap()), "w", "no other is better");
 }
 
 #[test]
-fn a_prompt_that_was_read_is_written_in_its_region_or_else_read_anew_in_another() {
+fn decode_stays_in_the_region_of_the_prefill_if_it_has_decode_runners() {
     let mut fleet = fleet(&regions(2, 1));
     let case = Case::from("w-1");
-    let writer = |fleet: &Fleet, source: &str| {
+    let decode_region = |fleet: &Fleet, source: &str| {
         let source = ZoneId::new(source);
-        region_of(fleet, &choose_any_writer(fleet, &case.demand(), Some(&source)).unwrap())
+        region_of(
+            fleet,
+            &choose_decode_runner_in_any_region(fleet, &case.demand(), Some(&source)).unwrap(),
+        )
     };
-    assert_eq!(writer(&fleet, "e-1"), "e");
+    assert_eq!(decode_region(&fleet, "e-1"), "e");
     for id in ["d-e-1-0", "d-e-1-1"] {
         fleet.on_misdirected(&RunnerId::new(id));
     }
-    assert_eq!(writer(&fleet, "e-1"), "w");
+    assert_eq!(decode_region(&fleet, "e-1"), "w");
 }
 
 #[test]
@@ -331,14 +339,14 @@
     let case = Case::from("w-1");
     let mut taken: BTreeMap<RunnerId, u32> = BTreeMap::new();
     for _ in 0..40 {
-        let choice = choose_worker(&fleet, &case.demand()).unwrap();
+        let choice = choose_least_occupied(&fleet, &case.demand()).unwrap();
         fleet.on_sent(&choice.runner, choice.demand);
         *taken.entry(choice.runner).or_default() += 1;
     }
     assert!(taken.keys().all(|id| id.as_str().starts_with('w')), "{taken:?}");
     assert!(taken.values().all(|count| *count >= 18), "{taken:?}");
     for _ in 0..40 {
-        let choice = choose_worker(&fleet, &case.demand()).unwrap();
+        let choice = choose_least_occupied(&fleet, &case.demand()).unwrap();
         fleet.on_sent(&choice.runner, choice.demand);
         *taken.entry(choice.runner).or_default() += 1;
     }
@@ -348,7 +356,7 @@
 fn loads(region: &str, wait_ms: f64) -> RegionLoads {
     let load = ServiceLoad {
         service: ServiceName::new("llm"),
-        readers: 4,
+        prefill_runners: 4,
         wait_us: (wait_ms * 1_000.0) as u64,
         occupancy: 300,
     };
@@ -357,50 +365,50 @@
 
 /// Whether a request that waits so long in region `from` leaves it, by what `backlogs` know.
 fn leaves(fleet: &Fleet, backlogs: &RegionBacklogs, from: &str, wait_ms: f64, now_us: u64) -> bool {
-    let placed = Placed {
+    let placed = LocalPlacement {
         service: &ServiceName::new("llm"),
         region: &RegionId::new(from),
         zone: &ZoneId::new(format!("{from}-1")),
         wait_ms,
-        reading_ms: 30.0,
-        due_in_ms: 10_000.0,
+        prefill_ms: 30.0,
+        remaining_target_ms: 10_000.0,
         now_us,
     };
     backlogs.better_region(fleet, &placed).is_some()
 }
 
 #[test]
-fn a_request_leaves_its_region_when_it_gains_more_than_the_way_costs() {
+fn a_request_leaves_its_region_when_the_gain_exceeds_the_cost() {
     let fleet = fleet(&two_regions());
     let mut backlogs = RegionBacklogs::default();
     assert!(!leaves(&fleet, &backlogs, "w", 5_000.0, SECOND), "nothing is known of the other");
-    backlogs.on_word(loads("e", 100.0), SECOND);
+    backlogs.on_loads(loads("e", 100.0), SECOND);
     // Three round trips of 60 ms, dearer bytes and a margin of 100 ms.
     assert!(!leaves(&fleet, &backlogs, "w", 370.0, SECOND));
     assert!(leaves(&fleet, &backlogs, "w", 390.0, SECOND));
     assert!(!leaves(&fleet, &backlogs, "w", 390.0, SECOND + 200_000), "the word has aged");
     assert!(!leaves(&fleet, &backlogs, "w", 60_000.0, SECOND * 6), "it is too old");
-    backlogs.on_left(&RegionId::new("e"), &ServiceName::new("llm"), 400.0);
+    backlogs.on_request_sent(&RegionId::new("e"), &ServiceName::new("llm"), 400.0);
     assert!(!leaves(&fleet, &backlogs, "w", 390.0, SECOND), "what was sent there waits there");
     let mut full = loads("e", 0.0);
     full.services[0].occupancy = 900;
-    backlogs.on_word(full, SECOND);
+    backlogs.on_loads(full, SECOND);
     assert!(!leaves(&fleet, &backlogs, "w", 5_000.0, SECOND), "nobody could write it there");
 }
 
 #[test]
-fn a_request_that_would_be_late_in_the_other_region_too_stays() {
+fn a_request_that_would_miss_its_target_in_the_other_region_stays() {
     let fleet = fleet(&two_regions());
     let mut backlogs = RegionBacklogs::default();
-    backlogs.on_word(loads("e", 400.0), SECOND);
+    backlogs.on_loads(loads("e", 400.0), SECOND);
     let (service, region, zone) = (ServiceName::new("llm"), RegionId::new("w"), ZoneId::new("w-1"));
-    let placed = |due_in_ms| Placed {
+    let placed = |remaining_target_ms| LocalPlacement {
         service: &service,
         region: &region,
         zone: &zone,
         wait_ms: 4_000.0,
-        reading_ms: 30.0,
-        due_in_ms,
+        prefill_ms: 30.0,
+        remaining_target_ms,
         now_us: SECOND,
     };
     assert_eq!(backlogs.better_region(&fleet, &placed(500.0)), None);
@@ -410,13 +418,13 @@
 proptest! {
     /// Waits that grow by no more than time passes and shrink as they like, told once a second.
     #[test]
-    fn two_regions_never_send_each_other_their_requests(
+    fn two_regions_never_exchange_their_requests(
         steps in proptest::collection::vec((0.0_f64..1.0, 0.0_f64..1.0), 1..200),
         slow_link_ms in 1.0_f64..600.0,
     ) {
         const STEP_US: u64 = 100_000;
         const STEP_MS: f64 = 100.0;
-        const STEPS_A_WORD: usize = 10;
+        const STEPS_PER_REPORT: usize = 10;
         let mut west = fleet(&two_regions());
         west.on_round_trip(&ZoneId::new("e-1"), slow_link_ms, 0);
         let (mut of_west, mut of_east) = (RegionBacklogs::default(), RegionBacklogs::default());
@@ -424,11 +432,11 @@
         let next = |wait: f64, change: f64| if change < 0.2 { wait * change } else { wait + STEP_MS * change };
         for (step, (west_change, east_change)) in steps.into_iter().enumerate() {
             let now_us = step as u64 * STEP_US;
-            if step % STEPS_A_WORD == 0 {
-                of_east.on_word(loads("w", wait_west), now_us);
+            if step % STEPS_PER_REPORT == 0 {
+                of_east.on_loads(loads("w", wait_west), now_us);
             }
-            if step % STEPS_A_WORD == STEPS_A_WORD / 2 {
-                of_west.on_word(loads("e", wait_east), now_us);
+            if step % STEPS_PER_REPORT == STEPS_PER_REPORT / 2 {
+                of_west.on_loads(loads("e", wait_east), now_us);
             }
             let west_leaves = leaves(&west, &of_west, "w", wait_west, now_us);
             let east_leaves = leaves(&west, &of_east, "e", wait_east, now_us);
@@ -440,7 +448,7 @@
 }
 
 #[test]
-fn a_regions_load_is_what_its_own_runners_have_to_do() {
+fn a_regions_load_covers_only_its_own_runners() {
     let mut fleet = fleet(&two_regions());
     let service = ServiceName::new("llm");
     let pace = ReadPace::default();
@@ -450,27 +458,27 @@
     let load = |region: &str| {
         service_load(&fleet, &pace, &service, &RegionId::new(region), SECOND).unwrap()
     };
-    assert_eq!((load("w").readers, load("e").readers), (4, 4));
-    let expected_us = (pace.read_ms(20_000.0) * 1_000.0) as u64;
-    assert_eq!((load("w").wait_us, load("e").wait_us), (expected_us, 0));
+    assert_eq!((load("w").prefill_runners, load("e").prefill_runners), (4, 4));
+    let expected_prefill_us = (pace.read_ms(20_000.0) * 1_000.0) as u64;
+    assert_eq!((load("w").wait_us, load("e").wait_us), (expected_prefill_us, 0));
     assert_eq!(service_load(&fleet, &pace, &service, &RegionId::new("n"), SECOND), None);
 }
 
 #[test]
-fn most_digests_go_to_the_own_region_and_in_time_each_node_gets_one() {
+fn most_digests_go_to_the_own_region_and_eventually_each_node_gets_one() {
     const FAR: u32 = 1_000;
     let near: Vec<u32> = (0..30).collect();
     let far: Vec<u32> = (FAR..FAR + 60).collect();
     let mut turns = DigestTurns::default();
-    let mut heard: BTreeMap<u32, u32> = BTreeMap::new();
+    let mut received: BTreeMap<u32, u32> = BTreeMap::new();
     for _ in 0..30 {
         let to = turns.next(&near, &far);
         assert_eq!(to.len(), 16);
         assert_eq!(to.iter().filter(|node| **node >= FAR).count(), 2);
-        to.into_iter().for_each(|node| *heard.entry(node).or_default() += 1);
+        to.into_iter().for_each(|node| *received.entry(node).or_default() += 1);
     }
-    assert_eq!(heard.len(), 90);
-    assert!(heard.iter().all(|(node, count)| *node >= FAR || *count >= 13), "{heard:?}");
+    assert_eq!(received.len(), 90);
+    assert!(received.iter().all(|(node, count)| *node >= FAR || *count >= 13), "{received:?}");
     let mut turns = DigestTurns::default();
     assert_eq!(turns.next(&near[..20], &[]).len(), 16, "one region is told as before");
     assert_eq!(turns.next(&[], &far).len(), 16, "a node that is alone in its region");
--- a/crates/serving/tests/role_view.rs
+++ b/crates/serving/tests/role_view.rs
@@ -257,7 +257,7 @@
     let limit = Some(RequestRate(2_500_000));
     for name in ["d0", "d1", "p0"] {
         let notice = RunnerNotice { limit, ..RunnerNotice::default() };
-        fleet.on_limit_in_head(&RunnerId::new(name), notice, 1, 2);
+        fleet.on_limit_in_response(&RunnerId::new(name), notice, 1, 2);
     }
     let mut planner = planner();
     let first = look(&mut planner, &fleet, SECOND);
@@ -275,7 +275,7 @@
     let mut fleet = fleet(2, 2);
     let notice = RunnerNotice { limit: Some(RequestRate(1)), ..RunnerNotice::default() };
     for name in ["p0", "p1", "d0", "d1"] {
-        fleet.on_limit_in_head(&RunnerId::new(name), notice, 1, 2);
+        fleet.on_limit_in_response(&RunnerId::new(name), notice, 1, 2);
     }
     let seen = look(&mut planner(), &fleet, SECOND).seen;
     assert_eq!((seen.prefill, seen.decode), (2, 2));
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -217,7 +217,7 @@
 fn a_runner_that_changes_its_role_takes_no_work_until_the_list_tells() {
     let mut fleet = fleet(1, 1);
     let id = RunnerId::new("d0");
-    fleet.on_changing(&id, Stage::Prefill, 10 * SECOND);
+    fleet.on_role_change_ordered(&id, Stage::Prefill, 10 * SECOND);
     let takers =
         |fleet: &Fleet| fleet.candidates(&Eligible::all_of(&ServiceName::new("llm")), SECOND).len();
     assert_eq!(takers(&fleet), 1);
@@ -233,14 +233,14 @@
     const WAY_US: u64 = 5_000;
     let mut nodes = vec![fleet(1, 1), fleet(1, 1), fleet(1, 1)];
     let id = RunnerId::new("d0");
-    nodes[0].on_changing(&id, Stage::Prefill, 2 * SECOND);
+    nodes[0].on_role_change_ordered(&id, Stage::Prefill, 2 * SECOND);
     for round in 0..60 {
         let now_us = round * EVERY_US;
-        let words: Vec<_> = nodes.iter().map(|node| node.changing(now_us)).collect();
+        let words: Vec<_> = nodes.iter().map(|node| node.role_changes(now_us)).collect();
         for (from, told) in words.iter().enumerate() {
             for (to, node) in nodes.iter_mut().enumerate() {
                 if from != to {
-                    node.on_changing_words(told, now_us + WAY_US);
+                    node.on_role_changes_reported(told, now_us + WAY_US);
                 }
             }
         }
@@ -256,6 +256,6 @@
     let id = RunnerId::new("d0");
     let record = fleet.get(&id).unwrap().record.clone();
     fleet.put(RunnerRecord { stage: Some(Stage::Prefill), revision: at(2), ..record });
-    fleet.on_changing(&id, Stage::Prefill, 10 * SECOND);
+    fleet.on_role_change_ordered(&id, Stage::Prefill, 10 * SECOND);
     assert!(!fleet.get(&id).unwrap().is_changing(SECOND));
 }
--- a/crates/serving/tests/roles_world/mod.rs
+++ b/crates/serving/tests/roles_world/mod.rs
@@ -11,9 +11,9 @@
 use pitchstall_serving::role_planner::{RoleDemand, RolePlanner, RolePolicy};
 use pitchstall_serving::runner::{RunnerRecord, Stage};
 use pitchstall_serving::scheduler::{
-    choose, reservation, shorter_shard, told_plan, Due, PlacedRequest,
+    choose_placement, less_loaded_shard, reservation, wire_plan, PlacementDecision, ResponseTarget,
 };
-use pitchstall_serving::scheduling::{told_parts, PlacementQuestion, Shard, Ticket, ToldPlan};
+use pitchstall_serving::scheduling::{wire_parts, PlacementQuery, Shard, Ticket, WirePlan};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -228,8 +228,8 @@
         &self,
         index: usize,
         ticket: Ticket,
-        handed_on: bool,
-    ) -> (PlacedRequest, Option<usize>) {
+        is_forwarded: bool,
+    ) -> (PlacementDecision, Option<usize>) {
         let (prompt, service, zone) = (prompt(ticket.number), service(), ZoneId::new("north"));
         let scheduler = &self.schedulers[index];
         let demand = Demand {
@@ -240,12 +240,13 @@
             region_move_ms: None,
             now_us: self.now_us,
         };
-        let due = Due { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
+        let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
         let pace = ReadPace::default();
-        let placed = choose(&scheduler.fleet, &pace, &demand, Some(&scheduler.shard), due);
+        let placed =
+            choose_placement(&scheduler.fleet, &pace, &demand, Some(&scheduler.shard), due);
         let question =
-            PlacementQuestion { handed_on, ..question(ticket, &prompt, scheduler.shard.clone()) };
-        let shorter = shorter_shard(&scheduler.fleet, &pace, &question, &placed, self.now_us);
+            PlacementQuery { is_forwarded, ..question(ticket, &prompt, scheduler.shard.clone()) };
+        let shorter = less_loaded_shard(&scheduler.fleet, &pace, &question, &placed, self.now_us);
         (placed, shorter.map(|shard| shard.number))
     }
 
@@ -260,11 +261,11 @@
         let waiting = Waiting { ticket, scheduler: index, came_us: self.now_us };
         let prompt = prompt(self.requests);
         let scheduler = &mut self.schedulers[index];
-        let Some(plan) = told_plan(placed) else { return self.done.push((self.now_us, false)) };
+        let Some(plan) = wire_plan(placed) else { return self.done.push((self.now_us, false)) };
         let question = question(ticket, &prompt, scheduler.shard.clone());
         let reserved = reservation(&scheduler.fleet, &question, &prompt, &plan, self.now_us);
         scheduler.reservations.reserve(&mut scheduler.fleet, ticket, reserved);
-        let (ToldPlan::Split(reader, _) | ToldPlan::Direct(reader)) = plan;
+        let (WirePlan::Split(reader, _) | WirePlan::Direct(reader)) = plan;
         scheduler.fleet.on_placed(&reader.runner, TOKENS, self.now_us);
         // Whoever isn't there any more can't be reached: the request is lost to this try.
         let Some(engine) = self.engines.get_mut(&reader.runner) else {
@@ -348,29 +349,33 @@
         }
         for change in changes {
             self.orders += 1;
-            self.holder.on_changing(&change.runner, change.stage, now_us + 6 * SECOND);
+            self.holder.on_role_change_ordered(&change.runner, change.stage, now_us + 6 * SECOND);
             for scheduler in &mut self.schedulers {
-                scheduler.fleet.on_changing(&change.runner, change.stage, now_us + 6 * SECOND);
+                scheduler.fleet.on_role_change_ordered(
+                    &change.runner,
+                    change.stage,
+                    now_us + 6 * SECOND,
+                );
             }
             self.changing.push((now_us + SWITCH_US, change.runner, change.stage));
         }
     }
 }
 
-fn question(ticket: Ticket, prompt: &Prompt, shard: Shard) -> PlacementQuestion {
-    PlacementQuestion {
+fn question(ticket: Ticket, prompt: &Prompt, shard: Shard) -> PlacementQuery {
+    PlacementQuery {
         ticket,
         request: "request".to_owned(),
-        answer_to: SocketAddr::from(([127, 0, 0, 1], 1)),
+        reply_to: SocketAddr::from(([127, 0, 0, 1], 1)),
         shard,
-        handed_on: false,
+        is_forwarded: false,
         service: service(),
-        parts: told_parts(prompt),
+        parts: wire_parts(prompt),
         tokens: prompt.tokens,
         max_output_tokens: prompt.max_output_tokens,
         target_ms: TARGET_MS,
         elapsed_ms: 0,
-        left_ms: DEADLINE_MS,
+        remaining_ms: DEADLINE_MS,
         zone: ZoneId::new("north"),
         excluded: Vec::new(),
         zones: None,
--- a/crates/serving/tests/runner_lives.rs
+++ b/crates/serving/tests/runner_lives.rs
@@ -6,7 +6,7 @@
 
 use pitchstall_serving::crash_evidence::CrashEvidence;
 use pitchstall_serving::digest::ChangingRunner;
-use pitchstall_serving::fleet::{Eligible, EndedLife, Fleet, FleetChange};
+use pitchstall_serving::fleet::{Eligible, EndedIncarnation, Fleet, FleetChange};
 use pitchstall_serving::ids::{RegionId, RunnerId, RunnerName, ServiceName, ZoneId};
 use pitchstall_serving::prefix::{Prompt, PromptPart};
 use pitchstall_serving::quarantine::{Crash, CrashChange, Quarantine};
@@ -62,17 +62,17 @@
 fn believe(fleet: &mut Fleet, id: &RunnerId, belief: &str) {
     let shard = whole_shard(fleet);
     match belief {
-        "prefix cache" => fleet.on_read(id, &prompt().parts, SECOND, 10_000),
+        "prefix cache" => fleet.on_prefix_cached(id, &prompt().parts, SECOND, 10_000),
         "requests in flight" => fleet.on_sent(id, DEMAND),
         "reservations" => fleet.on_reserved(id, DEMAND),
-        "prompts awaited" => fleet.on_awaiting_prompt(id),
+        "prompts awaited" => fleet.on_remote_prefill_pending(id),
         "placed" => fleet.on_placed(id, 10_000, SECOND),
         "told loads" => fleet.on_shard_loads(&shard, &[load_of(id)], SECOND),
         "reported load" => fleet.on_load(id, LoadReport { running: 5, waiting: 2 }, SECOND),
         "failures" => (0..20).for_each(|_| fleet.on_answered(id, true, SECOND)),
         "suspicion" => fleet.on_unreachable(id, SECOND),
         "full" => fleet.on_full(id, SECOND),
-        "role under way" => fleet.on_changing(id, Stage::Prefill, 9 * SECOND),
+        "role under way" => fleet.on_role_change_ordered(id, Stage::Prefill, 9 * SECOND),
         "misdirected" => fleet.on_misdirected(id),
         "leaving by its own word" => {
             let notice = RunnerNotice { leaving: true, ..RunnerNotice::default() };
@@ -111,7 +111,7 @@
         runner.held_by_all(now_us),
         runner.cached_tokens(&prompt()),
         runner.pace_factor(now_us),
-        fleet.changing(now_us),
+        fleet.role_changes(now_us),
     )
 }
 
@@ -140,8 +140,8 @@
     believe(&mut reborn, &life(1_000), belief);
     let change = reborn.put(record(life(2_000), 9));
     let was_leaving = matches!(belief, "draining" | "leaving by its own word");
-    let ended = EndedLife { id: life(1_000), was_leaving };
-    assert_eq!(change, FleetChange::Reborn { ended });
+    let ended = EndedIncarnation { id: life(1_000), was_leaving };
+    assert_eq!(change, FleetChange::Restarted { ended });
     assert_eq!(seen(&reborn, &life(2_000)), unknown);
     assert!(reborn.get(&life(1_000)).is_none());
 }
@@ -168,7 +168,7 @@
     fleet.on_ended(&life(1_000), DEMAND);
     fleet.on_reservation_ended(&life(1_000), DEMAND);
     let word = ChangingRunner { runner: life(1_000), stage: Stage::Prefill, left_ms: 5_000 };
-    fleet.on_changing_words(&[word], SECOND);
+    fleet.on_role_changes_reported(&[word], SECOND);
     assert_eq!(seen(&fleet, &life(2_000)), known, "of a life that is over");
 }
 
@@ -176,15 +176,19 @@
 #[test]
 fn a_later_entry_is_a_later_life_whatever_its_clock_said() {
     let mut fleet = fleet();
-    assert_eq!(fleet.put(record(life(9_000), 4)), FleetChange::None, "an entry that came late");
+    assert_eq!(
+        fleet.put(record(life(9_000), 4)),
+        FleetChange::Unchanged,
+        "an entry that came late"
+    );
     assert!(fleet.get(&life(1_000)).is_some());
-    let ended = EndedLife { id: life(1_000), was_leaving: false };
-    assert_eq!(fleet.put(record(life(500), 8)), FleetChange::Reborn { ended });
-    assert_eq!(fleet.put(record(life(1_000), 6)), FleetChange::None, "the life that is over");
-    assert_eq!(fleet.life_of(&RunnerName::new("i-1")), Some(&life(500)));
-    assert_eq!(fleet.remove(&life(1_000), at(9), None), FleetChange::None);
-    assert_eq!(fleet.remove(&life(500), at(9), None), FleetChange::Left);
-    assert_eq!(fleet.life_of(&RunnerName::new("i-1")), None);
+    let ended = EndedIncarnation { id: life(1_000), was_leaving: false };
+    assert_eq!(fleet.put(record(life(500), 8)), FleetChange::Restarted { ended });
+    assert_eq!(fleet.put(record(life(1_000), 6)), FleetChange::Unchanged, "the life that is over");
+    assert_eq!(fleet.incarnation_of(&RunnerName::new("i-1")), Some(&life(500)));
+    assert_eq!(fleet.remove(&life(1_000), at(9), None), FleetChange::Unchanged);
+    assert_eq!(fleet.remove(&life(500), at(9), None), FleetChange::Removed);
+    assert_eq!(fleet.incarnation_of(&RunnerName::new("i-1")), None);
 }
 
 /// A node that was cut off reads everything anew: nobody has noticed the gap.
@@ -192,7 +196,7 @@
 fn a_list_that_is_read_whole_tells_of_new_lives() {
     let mut fleet = fleet();
     let over = fleet.replace_all(vec![record(life(2_000), 8)], at(9), Some(SECOND));
-    assert_eq!(over, [EndedLife { id: life(1_000), was_leaving: false }]);
+    assert_eq!(over, [EndedIncarnation { id: life(1_000), was_leaving: false }]);
     assert!(fleet.get(&life(2_000)).is_some());
     assert!(fleet.replace_all(vec![record(life(2_000), 8)], at(10), None).is_empty());
 }
@@ -269,7 +273,7 @@
             match kind {
                 0 => drop(fleet.put(record(life(born_ms), revision))),
                 1 => {
-                    if let Some(id) = fleet.life_of(&RunnerName::new("i-1")).cloned() {
+                    if let Some(id) = fleet.incarnation_of(&RunnerName::new("i-1")).cloned() {
                         fleet.remove(&id, at(revision), None);
                     }
                 }
--- a/crates/serving/tests/runner_notices.rs
+++ b/crates/serving/tests/runner_notices.rs
@@ -101,8 +101,8 @@
         fleet.on_notice(&RunnerId::new(name), rest(rest_us), 0);
     }
     fleet.on_notice(&RunnerId::new("c"), LEAVING, 0);
-    assert_eq!(fleet.first_opening(&eligible, 1).map(|it| it.at_us), Some(2 * SECOND));
-    assert_eq!(fleet.first_opening(&eligible, 2 * SECOND).map(|it| it.at_us), Some(3 * SECOND));
+    assert_eq!(fleet.next_availability(&eligible, 1).map(|it| it.at_us), Some(2 * SECOND));
+    assert_eq!(fleet.next_availability(&eligible, 2 * SECOND).map(|it| it.at_us), Some(3 * SECOND));
     assert_eq!(fleet.withheld(&service, 1)[0], RunnerId::new("c"), "it stays withheld");
 }
 
@@ -172,7 +172,7 @@
         let (mut now_us, mut revision) = (0_u64, 1_u64);
         for step in steps {
             revision += 2;
-            let current = fleet.life_of(&RunnerName::new("i-1")).cloned();
+            let current = fleet.incarnation_of(&RunnerName::new("i-1")).cloned();
             match step {
                 Step::Put { born, draining } => {
                     fleet.put(record(life(born), draining, revision));
--- a/crates/serving/tests/runner_pace.rs
+++ b/crates/serving/tests/runner_pace.rs
@@ -5,7 +5,7 @@
 
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
-use pitchstall_serving::placement::{plan_reading, Demand, ReadingPlan};
+use pitchstall_serving::placement::{plan_prefill, Demand, PrefillPlan};
 use pitchstall_serving::prefix::Prompt;
 use pitchstall_serving::read_pace::{ReadPace, ReadSample};
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord, Stage};
@@ -195,7 +195,7 @@
             if runner != id(SPEEDS.len()) {
                 self.pace.on_read(sample);
                 let reading = self.pace.compare(&sample, true);
-                let spent = self.fleet.on_paced(&runner, reading, at_us);
+                let spent = self.fleet.on_prefill_measured(&runner, reading, at_us);
                 spent.into_iter().for_each(|spent| self.pace.on_spent(spent));
             }
         }
@@ -212,16 +212,16 @@
             region_move_ms: None,
             now_us,
         };
-        let plan = plan_reading(&self.fleet, &self.pace, &demand).unwrap();
-        let (ReadingPlan::Split(choice) | ReadingPlan::Direct(choice)) = plan;
+        let plan = plan_prefill(&self.fleet, &self.pace, &demand).unwrap();
+        let (PrefillPlan::Split(choice) | PrefillPlan::Direct(choice)) = plan;
         let runner = choice.runner;
         let met_no_queue = self.fleet.get(&runner).unwrap().is_idle(now_us);
         self.fleet.on_sent(&runner, demand_of(tokens));
         let (slow_runner, by, when) = &self.slow;
         let slowed = if *slow_runner == runner && when.contains(&now_us) { *by } else { 1.0 };
-        let reading_ms = tokens as f64 / TOKENS_A_MS / self.speeds[&runner] * slowed;
+        let prefill_ms = tokens as f64 / TOKENS_A_MS / self.speeds[&runner] * slowed;
         let free_at_us = self.free_at_us.entry(runner.clone()).or_default();
-        *free_at_us = now_us.max(*free_at_us) + (reading_ms * MICROS_PER_MILLI) as u64;
+        *free_at_us = now_us.max(*free_at_us) + (prefill_ms * MICROS_PER_MILLI) as u64;
         let read_at_us = *free_at_us + (FIXED_MS * MICROS_PER_MILLI) as u64;
         *self.given.entry((runner.clone(), now_us / SECOND_US)).or_default() += tokens;
         self.reading.push(Reverse((read_at_us, now_us, runner, tokens, met_no_queue)));
@@ -261,11 +261,11 @@
     let mut fleet = Fleet::default();
     fleet.put(record(0, Stage::Prefill));
     (1..=6).for_each(|number| {
-        fleet.on_paced(&id(0), alone(40.0, 5.0), number * 100_000);
+        fleet.on_prefill_measured(&id(0), alone(40.0, 5.0), number * 100_000);
     });
     assert!(fleet.get(&id(0)).unwrap().pace_factor(600_000) > 3.0);
     fleet.remove(&id(0), at(5), None);
-    fleet.on_paced(&id(0), alone(40.0, 5.0), 700_000);
+    fleet.on_prefill_measured(&id(0), alone(40.0, 5.0), 700_000);
     assert!(fleet.get(&id(0)).is_none());
     fleet.put(RunnerRecord { revision: at(9), ..record(0, Stage::Prefill) });
     let factor = fleet.get(&id(0)).unwrap().pace_factor(800_000);
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -7,15 +7,15 @@
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
-use pitchstall_serving::placement::{reading_home, Demand, ReadingPlan};
+use pitchstall_serving::placement::{prefill_home, Demand, PrefillPlan};
 use pitchstall_serving::prefix::{Prompt, PromptPart};
 use pitchstall_serving::read_pace::ReadPace;
 use pitchstall_serving::reservations::Reservations;
 use pitchstall_serving::runner::{RunnerRecord, Stage};
 use pitchstall_serving::scheduler::{
-    choose, reservation, shorter_shard, told_plan, Due, PlacedRequest,
+    choose_placement, less_loaded_shard, reservation, wire_plan, PlacementDecision, ResponseTarget,
 };
-use pitchstall_serving::scheduling::{told_parts, PlacementQuestion, Shard, Ticket, ToldPlan};
+use pitchstall_serving::scheduling::{wire_parts, PlacementQuery, Shard, Ticket, WirePlan};
 use pitchstall_serving::topology::Topology;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -23,22 +23,22 @@
 use support::runner_record;
 
 const NODES: usize = 295;
-const PREFILL: usize = 56;
-const DECODE: usize = 104;
+const PREFILL_RUNNERS: usize = 56;
+const DECODE_RUNNERS: usize = 104;
 const REQUESTS: u64 = 3_000;
 /// 423 requests a second.
-const BETWEEN_REQUESTS_US: u64 = 2_364;
+const REQUEST_INTERVAL_US: u64 = 2_364;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 const TARGET_MS: u64 = 800;
-const LEFT_MS: u64 = 4_000;
+const REMAINING_MS: u64 = 4_000;
 const SHARED_PROMPTS: u64 = 800;
 /// The first requests meet empty runners.
-const WARM_UP: u64 = 500;
+const WARM_UP_REQUESTS: u64 = 500;
 
 /// Numbers that are the same in each run.
-struct Numbers(u64);
+struct Rng(u64);
 
-impl Numbers {
+impl Rng {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         (self.0 >> 33) % bound
@@ -52,10 +52,10 @@
 fn runners() -> Vec<RunnerRecord> {
     let record = |number: usize| RunnerRecord {
         slots: 64,
-        stage: Some(if number < PREFILL { Stage::Prefill } else { Stage::Decode }),
+        stage: Some(if number < PREFILL_RUNNERS { Stage::Prefill } else { Stage::Decode }),
         ..runner_record(RunnerId::new(format!("i-{number}")))
     };
-    (0..PREFILL + DECODE).map(record).collect()
+    (0..PREFILL_RUNNERS + DECODE_RUNNERS).map(record).collect()
 }
 
 fn fleet() -> Fleet {
@@ -68,7 +68,7 @@
 
 /// Who places requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Placer {
+enum Strategy {
     /// Schedulers of so many shards; so many of a hundred words on progress are lost.
     Schedulers { shards: usize, lost: u64 },
     /// Each node by what it knows of its own requests.
@@ -76,7 +76,7 @@
 }
 
 /// One who places requests: a scheduler or a node.
-struct Mind {
+struct Placer {
     fleet: Fleet,
     reservations: Reservations,
 }
@@ -89,32 +89,32 @@
 
 impl Queues {
     /// A prompt comes to a runner; returns its wait, and when it has been read.
-    fn add(&mut self, runner: &RunnerId, now_us: u64, reading_us: u64) -> (u64, u64) {
+    fn add(&mut self, runner: &RunnerId, now_us: u64, prefill_us: u64) -> (u64, u64) {
         let free_at_us = self.free_at_us.entry(runner.clone()).or_default();
         let begins_us = now_us.max(*free_at_us);
-        *free_at_us = begins_us + reading_us;
+        *free_at_us = begins_us + prefill_us;
         (begins_us - now_us, *free_at_us)
     }
 }
 
-struct Play {
-    placer: Placer,
-    minds: Vec<Mind>,
+struct Simulation {
+    strategy: Strategy,
+    placers: Vec<Placer>,
     queues: Queues,
     read: BinaryHeap<Reverse<(u64, usize, Ticket)>>,
     waits_us: Vec<u64>,
 }
 
-impl Play {
-    fn new(placer: Placer) -> Self {
-        let minds = match placer {
-            Placer::Schedulers { shards, .. } => shards,
-            Placer::EachNode => NODES,
+impl Simulation {
+    fn new(strategy: Strategy) -> Self {
+        let placers = match strategy {
+            Strategy::Schedulers { shards, .. } => shards,
+            Strategy::EachNode => NODES,
         };
-        let mind = |_| Mind { fleet: fleet(), reservations: Reservations::default() };
+        let placer = |_| Placer { fleet: fleet(), reservations: Reservations::default() };
         Self {
-            placer,
-            minds: (0..minds).map(mind).collect(),
+            strategy,
+            placers: (0..placers).map(placer).collect(),
             queues: Queues::default(),
             read: BinaryHeap::new(),
             waits_us: Vec::new(),
@@ -123,39 +123,39 @@
 
     /// Mean wait of requests, milliseconds.
     fn run(mut self) -> f64 {
-        let mut numbers = Numbers(7);
+        let mut rng = Rng(7);
         for number in 0..REQUESTS {
-            let now_us = number * BETWEEN_REQUESTS_US;
-            self.take_words(now_us, &mut numbers);
-            self.place(number, now_us, &mut numbers);
+            let now_us = number * REQUEST_INTERVAL_US;
+            self.deliver_progress(now_us, &mut rng);
+            self.place(number, now_us, &mut rng);
         }
-        let counted = &self.waits_us[WARM_UP as usize..];
+        let counted = &self.waits_us[WARM_UP_REQUESTS as usize..];
         counted.iter().sum::<u64>() as f64 / MICROS_PER_MILLI / counted.len() as f64
     }
 
-    fn take_words(&mut self, now_us: u64, numbers: &mut Numbers) {
+    fn deliver_progress(&mut self, now_us: u64, rng: &mut Rng) {
         while self.read.peek().is_some_and(|Reverse((at_us, ..))| *at_us <= now_us) {
-            let Reverse((_, mind, ticket)) = self.read.pop().unwrap();
-            let lost = match self.placer {
-                Placer::Schedulers { lost, .. } => numbers.below(100) < lost,
-                Placer::EachNode => false,
+            let Reverse((_, placer, ticket)) = self.read.pop().unwrap();
+            let lost = match self.strategy {
+                Strategy::Schedulers { lost, .. } => rng.below(100) < lost,
+                Strategy::EachNode => false,
             };
-            let Mind { fleet, reservations } = &mut self.minds[mind];
+            let Placer { fleet, reservations } = &mut self.placers[placer];
             if !lost {
                 reservations.on_read(fleet, ticket);
                 reservations.end(fleet, ticket);
             }
         }
         if now_us % 100 < 10 {
-            self.minds.iter_mut().for_each(|mind| {
-                mind.reservations.expire(&mut mind.fleet, now_us);
+            self.placers.iter_mut().for_each(|placer| {
+                placer.reservations.expire(&mut placer.fleet, now_us);
             });
         }
     }
 
-    fn place(&mut self, number: u64, now_us: u64, numbers: &mut Numbers) {
-        let tokens = 500 + numbers.below(5_000);
-        let shared = PromptPart { id: numbers.below(SHARED_PROMPTS), tokens: 1 };
+    fn place(&mut self, number: u64, now_us: u64, rng: &mut Rng) {
+        let tokens = 500 + rng.below(5_000);
+        let shared = PromptPart { id: rng.below(SHARED_PROMPTS), tokens: 1 };
         let own = PromptPart { id: SHARED_PROMPTS + number, tokens };
         let prompt = Prompt { parts: vec![shared, own], tokens: tokens + 1, max_output_tokens: 8 };
         let service = ServiceName::new("llm");
@@ -168,94 +168,94 @@
             region_move_ms: None,
             now_us,
         };
-        let shards = match self.placer {
-            Placer::Schedulers { shards, .. } => shards,
-            Placer::EachNode => 1,
+        let shards = match self.strategy {
+            Strategy::Schedulers { shards, .. } => shards,
+            Strategy::EachNode => 1,
         };
-        let home = reading_home(&self.minds[0].fleet, &demand).unwrap();
-        let home = self.minds[0].fleet.get(home).unwrap();
+        let home = prefill_home(&self.placers[0].fleet, &demand).unwrap();
+        let home = self.placers[0].fleet.get(home).unwrap();
         let shard = Shard::of_runner(home, shards);
-        let mut question = PlacementQuestion {
+        let mut query = PlacementQuery {
             ticket: Ticket { incarnation: 1, number },
             request: String::new(),
-            answer_to: SocketAddr::from(([127, 0, 0, 1], 1)),
+            reply_to: SocketAddr::from(([127, 0, 0, 1], 1)),
             shard: shard.clone(),
-            handed_on: false,
+            is_forwarded: false,
             service: service.clone(),
-            parts: told_parts(&prompt),
+            parts: wire_parts(&prompt),
             tokens: prompt.tokens,
             max_output_tokens: 8,
             target_ms: TARGET_MS,
             elapsed_ms: 0,
-            left_ms: LEFT_MS,
+            remaining_ms: REMAINING_MS,
             zone: zone.clone(),
             excluded: Vec::new(),
             zones: None,
         };
-        let mut mind = match self.placer {
-            Placer::Schedulers { .. } => shard.number,
-            Placer::EachNode => numbers.below(NODES as u64) as usize,
+        let mut placer = match self.strategy {
+            Strategy::Schedulers { .. } => shard.number,
+            Strategy::EachNode => rng.below(NODES as u64) as usize,
         };
         let pace = ReadPace::default();
-        let mut placed = self.decide(mind, &demand, &question.shard, &pace);
-        let told: Vec<_> = self
-            .minds
+        let mut placed = self.decide(placer, &demand, &query.shard, &pace);
+        let reported: Vec<_> = self
+            .placers
             .iter()
             .enumerate()
             .take(shards)
-            .map(|(number, mind)| {
+            .map(|(number, placer)| {
                 let shard = shard_of(number, shards);
-                let loads = mind.fleet.shard_loads(&shard, now_us);
+                let loads = placer.fleet.shard_loads(&shard, now_us);
                 (shard, loads)
             })
             .collect();
-        if matches!(self.placer, Placer::Schedulers { .. }) {
-            for (other, loads) in &told {
-                if other.number != mind {
-                    self.minds[mind].fleet.on_shard_loads(other, loads, now_us);
+        if matches!(self.strategy, Strategy::Schedulers { .. }) {
+            for (other, loads) in &reported {
+                if other.number != placer {
+                    self.placers[placer].fleet.on_shard_loads(other, loads, now_us);
                 }
             }
         }
-        let better = shorter_shard(&self.minds[mind].fleet, &pace, &question, &placed, now_us);
+        let better = less_loaded_shard(&self.placers[placer].fleet, &pace, &query, &placed, now_us);
         if let Some(better) = better {
-            mind = better.number;
-            question.shard = better;
-            question.handed_on = true;
-            placed = self.decide(mind, &demand, &question.shard, &pace);
+            placer = better.number;
+            query.shard = better;
+            query.is_forwarded = true;
+            placed = self.decide(placer, &demand, &query.shard, &pace);
         }
-        let plan = told_plan(placed).unwrap();
-        let Mind { fleet, reservations } = &mut self.minds[mind];
-        let reservation = reservation(fleet, &question, &prompt, &plan, now_us);
-        reservations.reserve(fleet, question.ticket, reservation);
-        let (ToldPlan::Split(reader, _) | ToldPlan::Direct(reader)) = &plan;
-        let slower = if matches!(plan, ToldPlan::Direct(_)) { 2.0 } else { 1.0 };
-        let reading_us = (pace.read_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
-        let (wait_us, read_at_us) = self.queues.add(&reader.runner, now_us, reading_us);
+        let plan = wire_plan(placed).unwrap();
+        let Placer { fleet, reservations } = &mut self.placers[placer];
+        let reservation = reservation(fleet, &query, &prompt, &plan, now_us);
+        reservations.reserve(fleet, query.ticket, reservation);
+        let (WirePlan::Split(reader, _) | WirePlan::Direct(reader)) = &plan;
+        let slower = if matches!(plan, WirePlan::Direct(_)) { 2.0 } else { 1.0 };
+        let prefill_us = (pace.read_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
+        let (wait_us, read_at_us) = self.queues.add(&reader.runner, now_us, prefill_us);
         self.waits_us.push(wait_us);
-        self.read.push(Reverse((read_at_us, mind, question.ticket)));
+        self.read.push(Reverse((read_at_us, placer, query.ticket)));
     }
 
     fn decide(
         &self,
-        mind: usize,
+        placer: usize,
         demand: &Demand<'_>,
         shard: &Shard,
         pace: &ReadPace,
-    ) -> PlacedRequest {
-        let due = Due { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
-        let shard = matches!(self.placer, Placer::Schedulers { .. }).then_some(shard);
-        choose(&self.minds[mind].fleet, pace, demand, shard, due)
+    ) -> PlacementDecision {
+        let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
+        let shard = matches!(self.strategy, Strategy::Schedulers { .. }).then_some(shard);
+        choose_placement(&self.placers[placer].fleet, pace, demand, shard, due)
     }
 }
 
 #[test]
-fn schedulers_of_shards_place_nearly_as_well_as_one_that_sees_all() {
-    let mean_wait_ms = |placer| Play::new(placer).run();
-    let one = mean_wait_ms(Placer::Schedulers { shards: 1, lost: 0 });
+fn sharded_schedulers_place_nearly_as_well_as_a_single_scheduler() {
+    let mean_wait_ms = |strategy| Simulation::new(strategy).run();
+    let one = mean_wait_ms(Strategy::Schedulers { shards: 1, lost: 0 });
     let shards = Shard::count(NODES);
-    let eight = mean_wait_ms(Placer::Schedulers { shards, lost: 0 });
-    let lossy = mean_wait_ms(Placer::Schedulers { shards, lost: 5 });
-    let alone = mean_wait_ms(Placer::EachNode);
+    let eight = mean_wait_ms(Strategy::Schedulers { shards, lost: 0 });
+    let lossy = mean_wait_ms(Strategy::Schedulers { shards, lost: 5 });
+    let alone = mean_wait_ms(Strategy::EachNode);
     println!("mean wait, ms: one {one:.1}, {shards} shards {eight:.1}, with losses {lossy:.1}, each node alone {alone:.1}");
     assert!(eight < one + 25.0, "{eight} against {one}");
     assert!(lossy < alone / 2.0, "{lossy} against {alone}");
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn all_nodes_find_the_same_strong_scheduler_and_the_next_one_when_it_is_gone() {
+fn all_nodes_choose_the_same_strong_scheduler_and_the_same_successor() {
     let shard = &shard_of(3, 8);
     let seen = membership(1, NODES);
     let (first, address) = seen.scheduler(shard, |_| true).unwrap();
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_node_that_knows_nobody_schedules_all_shards_itself() {
+fn a_node_without_peers_schedules_all_shards_itself() {
     let alone = membership(0, 1);
     assert_eq!(Shard::count(alone.len()), 1);
     assert!(alone.scheduler(&shard_of(0, 1), |_| true).is_none());
@@ -303,36 +303,36 @@
 #[test]
 fn a_request_without_a_long_wait_stays_in_its_shard() {
     let fleet = fleet();
-    let question = PlacementQuestion {
+    let query = PlacementQuery {
         ticket: Ticket { incarnation: 1, number: 1 },
         request: String::new(),
-        answer_to: SocketAddr::from(([127, 0, 0, 1], 1)),
+        reply_to: SocketAddr::from(([127, 0, 0, 1], 1)),
         shard: shard_of(0, 8),
-        handed_on: false,
+        is_forwarded: false,
         service: ServiceName::new("llm"),
         parts: Vec::new(),
         tokens: 1_000,
         max_output_tokens: 8,
         target_ms: TARGET_MS,
         elapsed_ms: 0,
-        left_ms: LEFT_MS,
+        remaining_ms: REMAINING_MS,
         zone: ZoneId::new("north"),
         excluded: Vec::new(),
         zones: None,
     };
-    let prompt = question.prompt();
+    let prompt = query.prompt();
     let demand = Demand {
-        eligible: Eligible::all_of(&question.service),
+        eligible: Eligible::all_of(&query.service),
         prompt: &prompt,
-        zone: &question.zone,
+        zone: &query.zone,
         cache_tokens: 400_000,
         region_move_ms: None,
         now_us: 0,
     };
-    let due = Due { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
-    let placed = choose(&fleet, &ReadPace::default(), &demand, Some(&question.shard), due);
-    let reading = placed.reading.as_ref().unwrap();
-    let (ReadingPlan::Split(choice) | ReadingPlan::Direct(choice)) = reading;
-    assert!(question.shard.has(fleet.get(&choice.runner).unwrap()));
-    assert_eq!(shorter_shard(&fleet, &ReadPace::default(), &question, &placed, 0), None);
+    let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
+    let placed = choose_placement(&fleet, &ReadPace::default(), &demand, Some(&query.shard), due);
+    let reading = placed.prefill.as_ref().unwrap();
+    let (PrefillPlan::Split(choice) | PrefillPlan::Direct(choice)) = reading;
+    assert!(query.shard.contains(fleet.get(&choice.runner).unwrap()));
+    assert_eq!(less_loaded_shard(&fleet, &ReadPace::default(), &query, &placed, 0), None);
 }
--- a/crates/serving/tests/store_revision.rs
+++ b/crates/serving/tests/store_revision.rs
@@ -66,7 +66,7 @@
 fn entries_of_another_store_are_believed_whatever_their_revisions() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, at(3, 50)));
-    fleet.on_other_store();
+    fleet.on_store_replaced();
     assert_eq!(fleet.put(record("a", true, at(1, 7))), FleetChange::Draining);
 }
 
@@ -132,7 +132,7 @@
     fleet.put(record("a", false, at(1, 50)));
     assert_eq!(fleet.put(record("a", true, at(2, 7))), FleetChange::Draining);
     assert_eq!(fleet.put(record("b", false, at(2, 8))), FleetChange::Joined);
-    assert_eq!(fleet.remove(&RunnerId::new("b"), at(2, 9), None), FleetChange::Left);
+    assert_eq!(fleet.remove(&RunnerId::new("b"), at(2, 9), None), FleetChange::Removed);
 }
 
 #[test]
@@ -167,7 +167,7 @@
     fleet.put(record(100, at(1, 50)));
     fleet.put(record(200, at(1, 60)));
     fleet.replace_all(vec![record(100, at(2, 50))], at(2, 55), Some(SECOND));
-    assert_eq!(fleet.life_of(&name), Some(&life(200)));
+    assert_eq!(fleet.incarnation_of(&name), Some(&life(200)));
 }
 
 #[test_case(false; "the store is not known to have been away")]
--- a/crates/serving/tests/urgency.rs
+++ b/crates/serving/tests/urgency.rs
@@ -2,27 +2,27 @@
 #![allow(missing_docs)]
 
 use pitchstall_serving::ids::RunnerId;
-use pitchstall_serving::placement::{Choice, ReadingPlan};
+use pitchstall_serving::placement::{PrefillPlan, RunnerChoice};
 use pitchstall_serving::runner::AttemptDemand;
 use pitchstall_serving::urgency::{put_behind_if_late, rank};
 use test_case::test_case;
 
 const TARGET_MS: f64 = 200.0;
 
-fn choice(wait_ms: f64, reading_ms: f64) -> Choice {
-    Choice {
+fn choice(wait_ms: f64, prefill_ms: f64) -> RunnerChoice {
+    RunnerChoice {
         runner: RunnerId::new("p"),
         demand: AttemptDemand { unread_tokens: 1_000, late_tokens: 0, held_tokens: 1_000 },
         fetch_from: None,
-        expected_us: ((wait_ms + reading_ms) * 1_000.0) as u64,
-        reading_ms,
+        expected_prefill_us: ((wait_ms + prefill_ms) * 1_000.0) as u64,
+        prefill_ms,
     }
 }
 
-fn is_put_behind(wait_ms: f64, reading_ms: f64, elapsed_ms: f64) -> bool {
-    let plan = ReadingPlan::Split(choice(wait_ms, reading_ms));
+fn is_put_behind(wait_ms: f64, prefill_ms: f64, elapsed_ms: f64) -> bool {
+    let plan = PrefillPlan::Split(choice(wait_ms, prefill_ms));
     let planned = put_behind_if_late(plan, TARGET_MS, elapsed_ms);
-    let ReadingPlan::Split(choice) = planned else { unreachable!("the way of reading stays") };
+    let PrefillPlan::Split(choice) = planned else { unreachable!("the way of reading stays") };
     choice.demand.late_tokens > 0
 }
 
@@ -32,14 +32,14 @@
 #[test_case(100.0, 30.0, 150.0, true; "most of the time has passed")]
 #[test_case(0.0, 900.0, 0.0, false; "too long at any runner")]
 #[test_case(0.0, 30.0, 400.0, true; "late already")]
-fn waiting_puts_behind(wait_ms: f64, reading_ms: f64, elapsed_ms: f64, expected: bool) {
-    assert_eq!(is_put_behind(wait_ms, reading_ms, elapsed_ms), expected);
+fn waiting_puts_behind(wait_ms: f64, prefill_ms: f64, elapsed_ms: f64, expected: bool) {
+    assert_eq!(is_put_behind(wait_ms, prefill_ms, elapsed_ms), expected);
 }
 
 #[test]
 fn what_was_put_behind_is_still_counted_and_comes_after_all_others() {
-    let behind = choice(900.0, 30.0).put_behind();
-    assert_eq!(behind.tokens_to_read(), 1_000);
+    let behind = choice(900.0, 30.0).defer();
+    assert_eq!(behind.prefill_tokens(), 1_000);
     assert_eq!(behind.demand.unread_tokens, 0, "it holds nobody up");
     let last_in_time = rank(u8::MAX, &choice(0.0, 190.0), TARGET_MS);
     assert!(rank(0, &behind, TARGET_MS) > last_in_time);
@@ -58,11 +58,11 @@
 #[test_case(0.1)]
 #[test_case(10.0)]
 fn order_follows_the_measure_of_the_target(scale: f64) {
-    for (wait_ms, reading_ms) in [(0.0, 20.0), (150.0, 40.0), (300.0, 40.0), (0.0, 150.0)] {
+    for (wait_ms, prefill_ms) in [(0.0, 20.0), (150.0, 40.0), (300.0, 40.0), (0.0, 150.0)] {
         let ranked = |scale: f64| {
-            let plan = ReadingPlan::Split(choice(wait_ms * scale, reading_ms * scale));
+            let plan = PrefillPlan::Split(choice(wait_ms * scale, prefill_ms * scale));
             let planned = put_behind_if_late(plan, TARGET_MS * scale, 0.0);
-            let ReadingPlan::Split(choice) = planned else { unreachable!("the way stays") };
+            let PrefillPlan::Split(choice) = planned else { unreachable!("the way stays") };
             rank(1, &choice, TARGET_MS * scale)
         };
         assert_eq!(ranked(scale), ranked(1.0));
