--- a/crates/serving/src/distance.rs
+++ b/crates/serving/src/distance.rs
@@ -1,30 +1,31 @@
-//! How far zones are from each other.
+//! Estimates of the round-trip times between zones.
 //!
-//! A node measures round trips from its own zone where it sees them anyway: questions that other
-//! nodes answer, and connections that it opens to runners. A pair of zones that it has not
-//! measured lately counts as what is usual inside a region, or between two.
+//! A node measures round trips from its own zone where they occur anyway: queries to other nodes
+//! and connections to runners. A pair of zones without a recent measurement has the default for its
+//! kind: within a zone, within a region or between regions.
 
 use crate::ids::ZoneId;
 use crate::topology::Topology;
 use std::collections::BTreeMap;
 
-/// Round trips that are usual, milliseconds: inside a zone, between two zones of a region, and
-/// between two regions. The users' deployments have 0.2 to 0.9 ms one way between zones, and 30 ms
-/// between regions.
+/// Default round-trip times in milliseconds: within a zone, between two zones of a region, and
+/// between two regions. The one-way times in the users' deployments are 0.2 to 0.9 ms between zones
+/// and 30 ms between regions.
 const SAME_ZONE_RTT_MS: f64 = 0.5;
 const CROSS_ZONE_RTT_MS: f64 = 2.0;
 const CROSS_REGION_RTT_MS: f64 = 60.0;
-/// Time of which the shortest round trip counts, and that before: what makes one longer is mostly a
-/// busy machine at either end, and not the way. A way that has become longer is seen after that.
+/// Length of a measurement window. The estimate is the minimum of the current and the previous
+/// window, because longer round trips are mostly caused by a busy machine at either end. A path
+/// that has become slower is detected once both windows have passed.
 const WINDOW_US: u64 = 2_000_000;
-/// Time after the last round trip for which the estimate stands, and until it is forgotten,
-/// microseconds: a way that nobody takes because it was long has to be tried again.
+/// Age of the last measurement up to which it has its full weight, and from which the default is
+/// used, in microseconds. A path that is avoided because it was slow has to be tried again.
 const FULL_WEIGHT_US: u64 = 10_000_000;
 const EXPIRY_US: u64 = 30_000_000;
 
 #[derive(Clone, Copy, Debug)]
 struct RoundTrip {
-    /// The shortest of the window before, and of this one.
+    /// Minimum round trip of the previous window and of the current one.
     previous_min_ms: f64,
     current_min_ms: f64,
     window_start_us: u64,
@@ -48,7 +49,7 @@
         self.measured_at_us = now_us;
     }
 
-    /// What it counts as: with its age, more and more what is usual.
+    /// The estimate at a given time: it decays to the default with the age of the last measurement.
     fn at(self, default_ms: f64, now_us: u64) -> f64 {
         let estimate_ms = self.previous_min_ms.min(self.current_min_ms);
         let age_us = now_us.saturating_sub(self.measured_at_us);
@@ -58,7 +59,7 @@
     }
 }
 
-/// Round trips from a node's zone to the others.
+/// Measured round trips from a node's zone to other zones.
 #[derive(Clone, Debug, Default)]
 pub struct Distances {
     own: ZoneId,
@@ -66,18 +67,18 @@
 }
 
 impl Distances {
-    /// Distances of a node in this zone; nothing is measured yet.
+    /// Creates the estimates for a node in the zone `own`, without any measurement.
     pub fn new(own: ZoneId) -> Self {
         Self { own, measured: BTreeMap::new() }
     }
 
-    /// A round trip to another zone took so long.
+    /// Records a round trip to another zone that took `rtt_ms` milliseconds.
     pub fn on_round_trip(&mut self, to: &ZoneId, rtt_ms: f64, now_us: u64) {
         let first = RoundTrip::new(rtt_ms, now_us);
         self.measured.entry(to.clone()).or_insert(first).add(rtt_ms, now_us);
     }
 
-    /// A round trip between two zones, milliseconds.
+    /// The estimated round-trip time between two zones, in milliseconds.
     pub fn round_trip_ms(
         &self,
         topology: &Topology,
@@ -89,7 +90,7 @@
         let remote_zone = match (*from == self.own, *to == self.own) {
             (true, _) => to,
             (_, true) => from,
-            // Nobody measures here what lies between others.
+            // Round trips between two other zones are not measured here.
             _ => return default_ms,
         };
         let measured = self.measured.get(remote_zone);
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -1,5 +1,6 @@
-//! What a node believes of a runner's load, health, cache and role, from its own attempts, the runner's answers
-//! and other nodes' words. Whatever is about a life that is not known changes nothing.
+//! Updates of a node's estimates of each runner's load, health, cache and role. They come from the
+//! node's own attempts, from the runners' responses and from messages of other nodes. Updates for
+//! an unknown incarnation are ignored, except what is kept for entries that may come back.
 
 use super::Fleet;
 use crate::digest::ChangingRunner;
@@ -13,13 +14,14 @@
 use crate::suspicion::Suspicion;
 
 const MICROS_PER_MILLI: u64 = 1_000;
-/// A word on a change that ends later than the known one by so much is of another order.
+/// Minimum delay between the end of a known role change and the reported one for the report to
+/// count as a new order, in microseconds.
 const NEW_ORDER_MIN_DELAY_US: u64 = 1_000_000;
-/// Time for which a runner that refused a request as full is avoided.
+/// Time for which a runner is avoided after it has refused a request because it was full.
 const FULL_AVOIDANCE_US: u64 = 100_000;
 
 impl Fleet {
-    /// An attempt goes to a runner.
+    /// Records that an attempt is sent to a runner.
     pub fn on_sent(&mut self, id: &RunnerId, demand: AttemptDemand) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.in_flight += 1;
@@ -31,7 +33,7 @@
         }
     }
 
-    /// A runner has read the prompt of an attempt.
+    /// Records that a runner has prefilled the prompt of an attempt.
     pub fn on_prompt_read(&mut self, id: &RunnerId, demand: AttemptDemand) {
         if let Some(runner) = self.runners.get_mut(id) {
             let read = u32::from(demand.is_unread());
@@ -41,7 +43,7 @@
         }
     }
 
-    /// An attempt has ended; what it had left unread and held is over.
+    /// Records the end of an attempt and releases its pending prefill tokens and its KV cache.
     pub fn on_ended(&mut self, id: &RunnerId, demand: AttemptDemand) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.in_flight = runner.in_flight.saturating_sub(1);
@@ -54,7 +56,8 @@
         }
     }
 
-    /// A runner holds the shared parts of a prompt, for it has read them or taken them over.
+    /// Records that a runner holds a shared prefix because it has prefilled or fetched it.
+    /// `capacity` is the size of its KV cache in tokens.
     pub fn on_prefix_cached(
         &mut self,
         id: &RunnerId,
@@ -67,14 +70,15 @@
         }
     }
 
-    /// This node has placed a request at a runner, which has so many tokens to read for it.
+    /// Records that this node has placed a request on a runner, which has to prefill `tokens` for
+    /// it.
     pub fn on_placed(&mut self, id: &RunnerId, tokens: u64, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.asked.on_asked(tokens, now_us);
         }
     }
 
-    /// A runner has read a prompt; returns what that took if it can be told.
+    /// Records a completed prefill; returns the time spent on it if it can be determined.
     pub fn on_prefill_measured(
         &mut self,
         id: &RunnerId,
@@ -84,27 +88,27 @@
         self.runners.get_mut(id)?.pace.on_read(reading, now_us)
     }
 
-    /// A scheduler sets a request's needs aside at a runner.
+    /// Reserves the demand of a request on a runner that this node schedules.
     pub fn on_reserved(&mut self, id: &RunnerId, demand: AttemptDemand) {
         self.update_reserved(id, |reserved| reserved.add(demand));
     }
 
-    /// The prompt of a request whose needs were set aside has been read.
+    /// Records that the prompt of a request with a reservation has been prefilled.
     pub fn on_reserved_prefilled(&mut self, id: &RunnerId, demand: AttemptDemand) {
         self.update_reserved(id, |reserved| reserved.on_read(demand));
     }
 
-    /// A request whose needs were set aside is over there.
+    /// Releases the reservation of a request.
     pub fn on_reservation_ended(&mut self, id: &RunnerId, demand: AttemptDemand) {
         self.update_reserved(id, |reserved| reserved.remove(demand));
     }
 
-    /// What is set aside there waits for another runner to read the prompt.
+    /// Records that a reservation on this runner waits for another runner to prefill the prompt.
     pub fn on_remote_prefill_pending(&mut self, id: &RunnerId) {
         self.update_reserved(id, |reserved| reserved.unread_requests += 1);
     }
 
-    /// That prompt has been read, or is not waited for any more.
+    /// Records that the prompt has been prefilled elsewhere, or is no longer waited for.
     pub fn on_remote_prefill_finished(&mut self, id: &RunnerId) {
         self.update_reserved(id, |reserved| {
             reserved.unread_requests = reserved.unread_requests.saturating_sub(1);
@@ -117,7 +121,8 @@
         }
     }
 
-    /// A scheduler told the loads of a shard's runners; those it leaves out have none.
+    /// Applies the loads of a shard's runners that its scheduler reported. Runners without a load
+    /// are left out of the report, so their previous loads are cleared.
     pub fn on_shard_loads(&mut self, shard: &Shard, loads: &[RunnerLoad], now_us: u64) {
         for runner in self.runners.values_mut().filter(|runner| shard.contains(runner)) {
             runner.told = None;
@@ -136,7 +141,8 @@
         }
     }
 
-    /// What this node, as the scheduler of a shard, knows of the load at its runners.
+    /// The loads of a shard's runners as known to this node, which is the scheduler of the shard.
+    /// Runners without requests are left out.
     pub fn shard_loads(&self, shard: &Shard, now_us: u64) -> Vec<RunnerLoad> {
         let load = |runner: &Runner| RunnerLoad {
             runner: runner.record.id.clone(),
@@ -151,7 +157,8 @@
         of_shard.map(load).filter(|load| load.in_flight > 0).collect()
     }
 
-    /// A runner told its load.
+    /// Applies the load that a runner reported in a response. Requests beyond those of this node
+    /// are attributed to other nodes.
     pub fn on_load(&mut self, id: &RunnerId, load: LoadReport, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.others = (load.running + load.waiting).saturating_sub(runner.in_flight);
@@ -159,7 +166,7 @@
         }
     }
 
-    /// A runner answered; `failed` if the answer was a failure of its own.
+    /// Records a response of a runner. `failed` is true if the runner itself failed.
     pub fn on_answered(&mut self, id: &RunnerId, failed: bool, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.suspicion.on_progress(now_us);
@@ -167,15 +174,16 @@
         }
     }
 
-    /// A runner refused a request as full.
+    /// Records that a runner refused a request because it was full.
     pub fn on_full(&mut self, id: &RunnerId, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.full_until_us = now_us + FULL_AVOIDANCE_US;
         }
     }
 
-    /// A runner was ordered to change its role; the list will tell when it has. What is told
-    /// of the same order again, a little late, makes its time no longer.
+    /// Records that a runner was ordered to change its role until `until_us`; the registry shows
+    /// when it has done so. A repeated report of the same order, which may arrive a little late,
+    /// does not extend the time.
     pub fn on_role_change_ordered(&mut self, id: &RunnerId, stage: Stage, until_us: u64) {
         let Some(runner) = self.runners.get_mut(id) else { return };
         let is_same_order = |(known, known_until_us): (Stage, u64)| {
@@ -186,7 +194,7 @@
         }
     }
 
-    /// Another node's word on runners that change their roles.
+    /// Applies another node's report of runners that are changing their roles.
     pub fn on_role_changes_reported(&mut self, changes: &[ChangingRunner], now_us: u64) {
         for change in changes {
             let until_us = now_us + change.left_ms * MICROS_PER_MILLI;
@@ -194,7 +202,7 @@
         }
     }
 
-    /// Runners that are changing their role.
+    /// The runners that are changing their roles, with the time left for it.
     pub fn role_changes(&self, now_us: u64) -> Vec<ChangingRunner> {
         let changing = self.runners.values().filter(|runner| runner.is_changing(now_us));
         let role_change = |runner: &Runner| {
@@ -205,8 +213,8 @@
         changing.filter_map(role_change).collect()
     }
 
-    /// A runner has said something of itself in an answer to this node. A life whose entry is gone is
-    /// remembered: the entry may come back as it was.
+    /// Applies what a runner reported about itself in a response to this node. The notice is kept
+    /// even if the entry of the incarnation is gone, because the entry may come back unchanged.
     pub fn on_notice(&mut self, id: &RunnerId, notice: RunnerNotice, now_us: u64) -> Learned {
         if let Some(runner) = self.runners.get_mut(id) {
             return runner.availability.on_notice(notice, now_us);
@@ -217,7 +225,7 @@
         learned
     }
 
-    /// The head of an answer of a runner has come, to a request that was sent at `sent_at_us`.
+    /// Applies the limit in the head of a response to a request that was sent at `sent_at_us`.
     pub fn on_limit_in_response(
         &mut self,
         id: &RunnerId,
@@ -228,17 +236,18 @@
         self.update_limit(id, |limit| limit.on_head(notice, sent_at_us, now_us))
     }
 
-    /// Another node has heard what a runner takes.
+    /// Applies a runner's limit that another node reported.
     pub fn on_limit_reported(&mut self, word: &LimitWord, now_us: u64) -> Option<LimitChange> {
         self.update_limit(&word.runner, |limit| limit.on_word(word, now_us))
     }
 
-    /// The keeper of a runner's limit has none left for a time, microseconds.
+    /// Records that the keeper of a runner's limit has no capacity left for `wait_us` microseconds.
     pub fn on_limit_exhausted(&mut self, id: &RunnerId, wait_us: u64, now_us: u64) {
         self.update_limit(id, |limit| limit.on_refused(wait_us, now_us));
     }
 
-    /// A life whose entry is gone is remembered: the entry may come back as it was.
+    /// Updates the limit of a runner. The limit is kept even if the entry of the incarnation is
+    /// gone, because the entry may come back unchanged.
     fn update_limit<R: Default>(
         &mut self,
         id: &RunnerId,
@@ -253,20 +262,22 @@
         result
     }
 
-    /// What a runner has said that it takes; `None`: it names no limit.
+    /// The limit that a runner reported, as a message for other nodes; `None` if the runner names
+    /// no limit.
     pub fn limit_message(&self, id: &RunnerId, now_us: u64) -> Option<LimitWord> {
         let runner = self.runners.get(id)?;
         runner.limit().map(|_| runner.availability.limit.word(id, now_us))
     }
 
-    /// A runner has taken up a request of this node.
+    /// Records that a runner has accepted a request of this node.
     pub fn on_accepted(&mut self, id: &RunnerId) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.availability.on_accepted();
         }
     }
 
-    /// What a node has seen of a runner's being there changes by `update`.
+    /// Applies `update` to the suspicion that a runner is unreachable; returns `None` if the runner
+    /// is not known.
     pub fn update_suspicion<R>(
         &mut self,
         id: &RunnerId,
@@ -275,19 +286,20 @@
         self.runners.get_mut(id).map(|runner| update(&mut runner.suspicion))
     }
 
-    /// A runner could not be reached: it is avoided for a time.
+    /// Records that a runner could not be reached; it is avoided for a time.
     pub fn on_unreachable(&mut self, id: &RunnerId, now_us: u64) {
         self.update_suspicion(id, |suspicion| suspicion.on_unreachable(now_us));
     }
 
-    /// A runner broke an answer off, though it can be reached.
+    /// Records that a runner broke off a response although it is reachable.
     pub fn on_response_interrupted(&mut self, id: &RunnerId, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.failures.on_answer(true, now_us);
         }
     }
 
-    /// Another runner, or one of another role, answered at a runner's address.
+    /// Records that another runner, or a runner of another role, answered at the address of this
+    /// one. The runner gets no requests until a newer entry arrives.
     pub fn on_misdirected(&mut self, id: &RunnerId) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.misdirected = true;
--- a/crates/serving/src/fleet/last_entries.rs
+++ b/crates/serving/src/fleet/last_entries.rs
@@ -1,11 +1,13 @@
-//! The last entries of lives that are over, to be known again when an older copy of the store brings them back.
+//! The last entries of ended incarnations. They identify entries that reappear when the store falls
+//! back to an older state.
 
 use crate::ids::RunnerId;
 use crate::runner::RunnerRecord;
 use crate::store_revision::StoreRevision;
 use std::collections::VecDeque;
 
-/// Lives that are remembered: the aim's 1,300 runners may all be replaced.
+/// Maximum number of incarnations that are remembered: all 1,300 runners of the largest intended
+/// deployment may be replaced.
 const MAX_ENTRIES: usize = 2_048;
 
 #[derive(Clone, Debug)]
@@ -15,14 +17,15 @@
     draining: bool,
 }
 
-/// The last entry of each life, the latest to end last.
+/// The last entry of each ended incarnation, in the order in which the incarnations ended.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LastEntries {
     entries: VecDeque<LastEntry>,
 }
 
 impl LastEntries {
-    /// A life is over, and this was its entry.
+    /// Stores the last entry of an incarnation that has ended and evicts the oldest one if the
+    /// limit is reached.
     pub(super) fn remember(&mut self, record: RunnerRecord) {
         self.entries.retain(|entry| entry.incarnation != record.id);
         if self.entries.len() >= MAX_ENTRIES {
@@ -32,14 +35,15 @@
         self.entries.push_back(LastEntry { incarnation, revision, draining });
     }
 
-    /// Whether an entry is the last one of a life that ended in an earlier era. Had its runner written it again, it
-    /// would have another number.
+    /// Whether an entry is the last one of an incarnation that ended in an earlier era. An entry
+    /// that the runner had written again would have another revision number.
     pub(super) fn is_last_entry(&self, record: &RunnerRecord) -> bool {
         self.of_earlier_era(record)
             .is_some_and(|last| last.revision.number() == record.revision.number())
     }
 
-    /// Whether the last entry of a life said in an earlier era that it leaves: it goes on leaving.
+    /// Whether the last entry of the incarnation was draining in an earlier era. A runner that
+    /// drains does not return to service.
     pub(super) fn was_draining(&self, record: &RunnerRecord) -> bool {
         self.of_earlier_era(record).is_some_and(|last| last.draining)
     }
--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! The runners that a node knows of, and what it believes about their load and health.
+//! The runners that a node knows of, with its estimates of their load and health.
 //!
-//! Three sources disagree in time: the platform's list (late, sometimes stale), what the
-//! runners say in their answers, and failures that this node sees. The list and a runner's own
-//! word decide whether a runner may get work; failures only rank runners, because acting on a
-//! failure as if the runner were gone would empty the fleet during a short cut.
+//! Three sources disagree in time: the platform's registry (late, sometimes stale), what the
+//! runners report in their responses, and the failures that this node observes. The registry and a
+//! runner's own report decide whether a runner may get work. Failures only rank runners: treating a
+//! failure as a removal would empty the fleet during a short network partition.
 
 mod estimates;
 mod last_entries;
@@ -19,34 +19,35 @@
 use crate::topology::Topology;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a change of the list did to a runner.
+/// The effect of a registry update on a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetChange {
-    /// It is new.
+    /// The runner was not known before.
     Joined,
-    /// It has started again: another life of it ended before.
+    /// The runner has started again under the same name; its previous incarnation has ended.
     Restarted {
-        /// The life that ended.
+        /// The incarnation that ended.
         ended: EndedIncarnation,
     },
-    /// It began to leave.
+    /// The runner has begun to drain.
     Draining,
-    /// Its stage changed.
+    /// The runner's stage has changed.
     StageChanged,
-    /// Its entry is gone, which may be only because the store was away.
+    /// The entry is gone, possibly only because the store was unavailable. The runner is kept for a
+    /// grace period.
     Lapsed,
-    /// It is gone.
+    /// The runner has been removed from the fleet.
     Removed,
-    /// Nothing that matters.
+    /// The update is stale or changes nothing that affects placement.
     Unchanged,
 }
 
-/// A life of a runner that is over.
+/// An incarnation of a runner that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedIncarnation {
-    /// The life.
+    /// The id of the incarnation.
     pub id: RunnerId,
-    /// Whether it had said that it was about to leave.
+    /// Whether its entry or the runner itself had announced that it would leave.
     pub was_leaving: bool,
 }
 
@@ -57,16 +58,16 @@
 /// The part of the fleet that runners are chosen from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope<'a> {
-    /// All of it.
+    /// The whole fleet.
     AllRegions,
-    /// One region.
+    /// The runners of one region.
     Region(&'a RegionId),
-    /// One shard of a region.
+    /// The runners of one shard of a region.
     Shard(&'a Shard),
 }
 
 impl Scope<'_> {
-    /// Whether a runner belongs to it.
+    /// Whether the runner belongs to this scope.
     pub fn contains(&self, runner: &Runner) -> bool {
         match self {
             Self::AllRegions => true,
@@ -76,41 +77,44 @@
     }
 }
 
-/// A runner takes requests of this node again.
+/// The moment from which a runner accepts requests of this node again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextAvailability {
-    /// When, microseconds.
+    /// Microseconds of the node's steady clock.
     pub at_us: u64,
-    /// Whether it names a limit: then other nodes wait as well, while a rest is this node's alone.
+    /// Whether the runner names a request limit. A limit holds back other nodes as well, while a
+    /// rest period applies to this node alone.
     pub has_limit: bool,
 }
 
-/// Which node a request is sent by.
+/// The node that sends a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// This one. A runner that has asked it for rest, or has none left of its limit, gets nothing.
+    /// This node. Runners that have asked it for a rest period, or whose limit is used up, are not
+    /// eligible.
     ThisNode,
-    /// Another one, which knows whom it may send to. What this node was asked for only ranks runners.
+    /// Another node, which knows itself which runners it may send to. Rest periods and limits that
+    /// apply to this node only rank runners.
     AnotherNode,
 }
 
-/// Which runners a request may go to, whatever their load and health.
+/// Selects the runners that a request may go to, irrespective of their load and health.
 #[derive(Clone, Copy, Debug)]
 pub struct Eligible<'a> {
-    /// Who sends it.
+    /// The node that sends the request.
     pub sender: Sender,
-    /// The service.
+    /// The service that has to be offered.
     pub service: &'a ServiceName,
-    /// Runners that have had the request already.
+    /// Runners to which the request has already been sent.
     pub excluded: &'a [RunnerId],
-    /// Zones that the operators' policy leaves; `None`: all.
+    /// Zones that the operators' policy allows; `None` allows all.
     pub zones: Option<&'a BTreeSet<ZoneId>>,
-    /// Where they are.
+    /// The part of the fleet that is considered.
     pub scope: Scope<'a>,
 }
 
 impl<'a> Eligible<'a> {
-    /// Every runner of a service, for some node.
+    /// All runners of a service, for a request that any node may send.
     pub fn all_of(service: &'a ServiceName) -> Self {
         let sender = Sender::AnotherNode;
         Self { sender, service, excluded: &[], zones: None, scope: Scope::AllRegions }
@@ -125,7 +129,7 @@
             && self.scope.contains(runner)
     }
 
-    /// Whether the sender may send to a runner now.
+    /// Whether the sender may send requests to the runner now.
     fn may_be_sent_to(&self, runner: &Runner, now_us: u64) -> bool {
         match self.sender {
             Sender::ThisNode => runner.is_open_to_plans(now_us),
@@ -140,21 +144,22 @@
     topology: Topology,
     distances: Distances,
     runners: BTreeMap<RunnerId, Runner>,
-    /// The life that each runner is in.
+    /// The current incarnation of each runner.
     incarnations: BTreeMap<RunnerName, RunnerId>,
-    /// What lives have said of themselves whose entries are gone: an entry may only have lapsed.
+    /// What runners without an entry have reported about themselves. It is kept because an entry
+    /// may have lapsed while its runner is alive.
     departed: DepartedAvailability,
-    /// The last entries of lives that are over.
+    /// The last entries of incarnations that have ended.
     last_entries: LastEntries,
 }
 
 impl Fleet {
-    /// A fleet without runners, as a node of the zone `own` sees it; zones belong to these regions.
+    /// Creates an empty fleet for a node in the zone `own`; `topology` assigns zones to regions.
     pub fn new(own: ZoneId, topology: Topology) -> Self {
         Self { topology, distances: Distances::new(own), ..Self::default() }
     }
 
-    /// Zones belong to other regions from now on.
+    /// Replaces the assignment of zones to regions and updates the region of every runner.
     pub fn set_topology(&mut self, topology: Topology) {
         for runner in self.runners.values_mut() {
             runner.region = topology.region_of(&runner.record.zone);
@@ -162,23 +167,23 @@
         self.topology = topology;
     }
 
-    /// The regions of the zones.
+    /// The assignment of zones to regions.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// A round trip from this node's zone to another took so long.
+    /// Records a measured round trip from this node's zone to another one.
     pub fn on_round_trip(&mut self, to: &ZoneId, rtt_ms: f64, now_us: u64) {
         self.distances.on_round_trip(to, rtt_ms, now_us);
     }
 
-    /// A round trip between two zones, milliseconds.
+    /// The estimated round-trip time between two zones, in milliseconds.
     pub fn round_trip_ms(&self, one: &ZoneId, other: &ZoneId, now_us: u64) -> f64 {
         self.distances.round_trip_ms(&self.topology, one, other, now_us)
     }
 
-    /// A round trip from a zone to the nearest runners of a region, milliseconds; `None` if it has
-    /// none.
+    /// The round-trip time from a zone to the nearest zone with runners of a region, in
+    /// milliseconds; `None` if the region has no runners.
     pub fn nearest_runner_rtt_ms(
         &self,
         from: &ZoneId,
@@ -191,20 +196,21 @@
         round_trips.min_by(f64::total_cmp)
     }
 
-    /// Regions in which a service has runners.
+    /// The regions in which a service has runners.
     pub fn regions_of(&self, service: &ServiceName) -> BTreeSet<RegionId> {
         let of_service = self.runners.values().filter(|runner| runner.record.service == *service);
         of_service.map(|runner| runner.region.clone()).collect()
     }
 
-    /// Regions with runners.
+    /// The regions that have runners of any service.
     pub fn regions(&self) -> BTreeSet<RegionId> {
         self.runners.values().map(|runner| runner.region.clone()).collect()
     }
 
-    /// Takes in an entry of the list. Entries older than what is known are passed over: the revision of an
-    /// entry orders lives too, as a machine's clock may have been set back before a runner's start. So are those of
-    /// lives that are over, which an older copy of the store brings back.
+    /// Applies an entry of the registry. Entries older than the known one are ignored. The revision
+    /// of an entry also orders incarnations, because a machine's clock may have been set back
+    /// before the runner started. Entries of ended incarnations, which an older state of the store
+    /// brings back, are ignored too.
     pub fn put(&mut self, mut record: RunnerRecord) -> FleetChange {
         if self.last_entries.is_last_entry(&record) {
             return FleetChange::Unchanged;
@@ -222,14 +228,15 @@
             return FleetChange::Unchanged;
         }
         if incarnation != record.id {
-            // Nothing that is believed of the life that ended passes to the new one.
+            // The new incarnation inherits no estimates from the previous one.
             let ended = ended(known);
             self.forget(&incarnation);
             self.insert(record, region);
             return FleetChange::Restarted { ended };
         }
         if record.revision.era() > known.record.revision.era() {
-            // The entry may be older than what is known; a life that leaves goes on leaving.
+            // After a change of the store's era the entry may be older than the known one, so a
+            // runner that is draining stays draining.
             record.draining |= known.record.draining;
             record.leaves_ms = record.leaves_ms.or(known.record.leaves_ms);
         }
@@ -254,8 +261,9 @@
         self.runners.insert(incarnation, Runner::new(record, region, availability));
     }
 
-    /// An entry has gone from the list at the given revision. One that may only have lapsed while the
-    /// store was away is kept until `lapses_until_us`, unless its runner was about to leave.
+    /// Applies the removal of an entry at the given revision. If `lapses_until_us` is set, the
+    /// entry may only have lapsed while the store was unavailable: the runner is kept until then,
+    /// unless it was about to leave.
     pub fn remove(
         &mut self,
         id: &RunnerId,
@@ -275,7 +283,8 @@
         }
     }
 
-    /// Entries come from another store from now on, which counts its revisions in another way: whatever it has is later.
+    /// Resets the known revisions after the store has been replaced by another one that counts
+    /// revisions independently: every entry of the new store is taken as newer.
     pub fn on_store_replaced(&mut self) {
         for runner in self.runners.values_mut() {
             runner.record.revision = StoreRevision::default();
@@ -286,7 +295,7 @@
         self.last_entries = LastEntries::default();
     }
 
-    /// The life that a runner is in, as far as its entries tell.
+    /// The current incarnation of a runner according to its entries.
     pub fn incarnation_of(&self, name: &RunnerName) -> Option<&RunnerId> {
         self.incarnations.get(name)
     }
@@ -299,7 +308,7 @@
         self.incarnations.remove(&id.name());
     }
 
-    /// Removes runners whose entries lapsed and have not come back in time; returns them.
+    /// Removes and returns the runners whose entries lapsed and did not return in time.
     pub fn remove_lapsed(&mut self, now_us: u64) -> Vec<RunnerId> {
         let is_over = |runner: &&Runner| runner.lapsed.is_some_and(|it| now_us >= it.until_us);
         let gone: Vec<RunnerId> =
@@ -308,8 +317,8 @@
         gone
     }
 
-    /// Takes in a whole list that was read at the given revision; returns the lives that are over. For
-    /// `lapses_until_us` see [`Fleet::remove`].
+    /// Applies a complete list of entries that was read at the given revision and returns the
+    /// incarnations that ended. For `lapses_until_us` see [`Fleet::remove`].
     pub fn replace_all(
         &mut self,
         records: Vec<RunnerRecord>,
@@ -334,23 +343,24 @@
         over
     }
 
-    /// Zones in which a service has runners.
+    /// The zones in which a service has runners.
     pub fn zones_of(&self, service: &ServiceName) -> BTreeSet<ZoneId> {
         let of_service = self.runners.values().filter(|runner| runner.record.service == *service);
         of_service.map(|runner| runner.record.zone.clone()).collect()
     }
 
-    /// A runner by its id.
+    /// Looks up an incarnation of a runner; `None` if it is not known or has ended.
     pub fn get(&self, id: &RunnerId) -> Option<&Runner> {
         self.runners.get(id)
     }
 
-    /// All runners.
+    /// Iterates over all runners in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Runner> {
         self.runners.values()
     }
 
-    /// Runners that may get new requests; those that are avoided only if there are no others.
+    /// The runners that may get new requests. Runners that are to be avoided are returned only if
+    /// there are no others.
     pub fn candidates(&self, eligible: &Eligible<'_>, now_us: u64) -> Vec<&Runner> {
         let is_eligible = |runner: &&Runner| {
             let may_be_sent_to = eligible.may_be_sent_to(runner, now_us);
@@ -366,7 +376,8 @@
         }
     }
 
-    /// The first runner that takes requests of this node again, of those that get none because of a rest or a limit alone.
+    /// The earliest moment at which a runner accepts requests of this node again, among the runners
+    /// that are unavailable only because of a rest period or a limit.
     pub fn next_availability(
         &self,
         eligible: &Eligible<'_>,
@@ -383,7 +394,8 @@
         withheld.filter_map(availability).min_by_key(|availability| availability.at_us)
     }
 
-    /// Runners of a service that get nothing from this node by their own word, leaving ones first.
+    /// Runners of a service that currently refuse requests of this node by their own report,
+    /// because they leave, rest or have reached a limit. Leaving runners come first.
     pub fn withheld(&self, service: &ServiceName, now_us: u64) -> Vec<RunnerId> {
         let is_withheld = |runner: &&Runner| {
             let is_refusing =
@@ -395,7 +407,7 @@
         withheld.into_iter().map(|runner| runner.record.id.clone()).collect()
     }
 
-    /// Whether there is a runner for new requests that is not avoided and writes answers.
+    /// Whether any candidate that can decode (or serves without stages) need not be avoided.
     pub fn has_healthy(&self, eligible: &Eligible<'_>, now_us: u64) -> bool {
         let candidates = self.candidates(eligible, now_us);
         let is_decode_capable = |runner: &&Runner| runner.record.stage != Some(Stage::Prefill);
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -1,8 +1,11 @@
-//! Which runner reads a prompt and which one writes the answer.
+//! Chooses the runner that prefills a prompt and the runner that decodes the output.
 //!
-//! Requests with the same shared parts have the same home at every node (rendezvous
-//! hashing), so the KV cache of the parts is read once and used by all. A home that is busy
-//! for longer than reading the parts again takes gives way to another runner.
+//! Requests with the same shared prefix have the same home on every node (rendezvous hashing), so
+//! the KV cache of the prefix is computed once and reused. If the queue at the home takes longer
+//! than prefilling the prefix again, another runner is chosen.
+//!
+//! Runners for a prompt are compared by a cost in milliseconds of expected latency. Constants named
+//! `..._COST_MS` convert other disadvantages to that unit.
 
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RunnerId, ZoneId};
@@ -10,117 +13,119 @@
 use crate::read_pace::ReadPace;
 use crate::runner::{AttemptDemand, Runner, Stage};
 
-/// What a choice depends on besides the fleet.
+/// The inputs of a choice besides the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
-    /// Runners that it may go to.
+    /// The runners that the request may go to.
     pub eligible: Eligible<'a>,
-    /// The prompt, if the service runs a language model.
+    /// The prompt; empty if the service does not run a language model.
     pub prompt: &'a Prompt,
-    /// The node's zone.
+    /// The zone of the node that received the request.
     pub zone: &'a ZoneId,
-    /// Tokens of KV cache that a runner has.
+    /// Size of a runner's KV cache in tokens.
     pub cache_tokens: u64,
-    /// Time that a move of KV cache between regions takes, milliseconds a token; `None`: nothing
-    /// is taken over from another region.
+    /// Time to transfer the KV cache of one token between regions, in milliseconds. `None` disables
+    /// fetching a prefix from another region.
     pub region_move_ms: Option<f64>,
-    /// Now, microseconds of a steady clock.
+    /// Current time of a steady clock, in microseconds.
     pub now_us: u64,
 }
 
-/// The runner at which requests with a prompt's shared parts gather to be read; without shared
-/// parts, or without prefill runners, `None`.
+/// The prefill runner at which requests with this shared prefix are gathered. `None` without a
+/// shared prefix or without prefill runners.
 pub fn prefill_home<'a>(fleet: &'a Fleet, demand: &Demand<'_>) -> Option<&'a RunnerId> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let (prefill_runners, _) = partition_by_stage(&candidates);
     rendezvous_home(&prefill_runners, demand.prompt)
 }
 
-/// A runner for an attempt.
+/// The runner that is chosen for an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerChoice {
-    /// The runner.
+    /// The chosen runner.
     pub runner: RunnerId,
-    /// What the attempt asks of it.
+    /// The demand of the attempt on the runner.
     pub demand: AttemptDemand,
-    /// The runner from which it takes over shared parts that it does not hold.
+    /// The runner from which the chosen one fetches the part of the shared prefix that it lacks;
+    /// `None` if it fetches nothing.
     pub fetch_from: Option<RunnerId>,
-    /// Time until the prompt should have been read, microseconds.
+    /// Expected time until the prompt is prefilled, queueing included, in microseconds.
     pub expected_prefill_us: u64,
-    /// Time that reading takes without any wait, milliseconds.
+    /// Expected duration of the prefill without queueing, in milliseconds.
     pub prefill_ms: f64,
 }
 
 impl RunnerChoice {
-    /// The same, but its prompt is read after all that can still be in time.
+    /// Moves the prefill behind all work that can still meet its target.
     pub fn defer(mut self) -> Self {
         self.demand.late_tokens += std::mem::take(&mut self.demand.unread_tokens);
         self
     }
 
-    /// Prompt tokens that the runner does not hold.
+    /// Prompt tokens that the runner has to prefill, deferred or not.
     pub fn prefill_tokens(&self) -> u64 {
         self.demand.unread_tokens + self.demand.late_tokens
     }
 }
 
-/// How a prompt is read.
+/// How a prompt is prefilled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PrefillPlan {
-    /// A prefill runner reads it; a decode runner then takes over its KV cache.
+    /// A prefill runner prefills the prompt; a decode runner then takes over its KV cache.
     Split(RunnerChoice),
-    /// The decode runner reads it itself.
+    /// The decode runner prefills the prompt itself.
     Direct(RunnerChoice),
 }
 
-/// Occupancy, as a share of the slots, that has to be saved for each millisecond that the distance
-/// counts as: another zone, 8 ms, has to save 0.3.
+/// Occupancy, as a share of the slots, that one millisecond of distance cost is worth. A runner in
+/// another zone, at a cost of 8 ms, has to be emptier by a share of 0.3.
 const OCCUPANCY_PER_MS: f64 = 0.0375;
-/// Occupancy that a failure rate above the best runner's counts as.
+/// Occupancy cost per unit of failure rate above that of the best runner.
 const FAILURE_COST_OCCUPANCY: f64 = 4.0;
-/// Milliseconds that a runner that answers with nothing but failures counts as.
+/// Cost of a runner whose responses are all failures, in milliseconds.
 const FAILURE_COST_MS: f64 = 400.0;
-/// Milliseconds of waiting that the dearer bytes of a request count as, beside the way itself, to
-/// another zone of the region and to another region.
+/// Cost of the more expensive traffic of a request to another zone of the region and to another
+/// region, in milliseconds of waiting. It is added to the round-trip time.
 const CROSS_ZONE_TRAFFIC_COST_MS: f64 = 6.5;
 const CROSS_REGION_TRAFFIC_COST_MS: f64 = 40.0;
-/// Milliseconds that leaving the home of a prompt's shared parts counts as: a second runner
-/// that holds them leaves less room for others.
+/// Cost of not using the home of a shared prefix, in milliseconds: a second copy of the prefix
+/// leaves less room for others.
 const OFF_HOME_COST_MS: f64 = 40.0;
-/// Milliseconds that handing a prompt over from prefill to decode takes.
+/// Time to hand a prompt over from a prefill runner to a decode runner, in milliseconds.
 const HANDOVER_MS: f64 = 15.0;
-/// What work that waits for all other counts as, against work that goes ahead: it keeps such
-/// work from gathering at one runner.
+/// Weight of deferred work relative to other work. It keeps deferred work from accumulating on one
+/// runner.
 const DEFERRED_WORK_WEIGHT: f64 = 0.2;
 const MICROS_PER_MILLI: f64 = 1_000.0;
-/// A decode runner reads at this share of a prefill runner's pace.
+/// Prefill speed of a decode runner relative to that of a prefill runner.
 const DECODE_PREFILL_SPEED: f64 = 0.5;
-/// Share by which each of its streams slows a decode runner's reading.
+/// Relative slowdown of the prefill on a decode runner for each of its streams.
 const SLOWDOWN_PER_STREAM: f64 = 0.03;
-/// Fewest tokens that are worth taking over from another runner.
+/// Minimum number of tokens that are worth fetching from another runner.
 const MIN_FETCH_TOKENS: u64 = 512;
-/// Milliseconds that taking over counts as, and each token of it: the move itself takes less,
-/// but it is paid for.
+/// Cost of fetching a prefix, in milliseconds, fixed and for each token. The transfer itself takes
+/// less time, but its traffic is paid for.
 const FETCH_COST_MS: f64 = 10.0;
 const FETCH_COST_MS_PER_TOKEN: f64 = 0.004;
-/// A move between zones counts as so many moves inside one.
+/// Factor on the fetch cost of a token if source and destination are in different zones.
 const CROSS_ZONE_FETCH_FACTOR: f64 = 3.0;
-/// Shared parts are taken over from another region if that takes no longer than so many times what
-/// reading them again does: a reading keeps the runner from others and is paid for by the token, a
-/// move takes its link alone.
+/// A prefix is fetched from another region if that takes at most this many times as long as
+/// prefilling it again: a prefill occupies the runner and is paid for by the token, while a
+/// transfer only uses its link.
 const PREFILL_COST_FACTOR: f64 = 1.5;
-/// Milliseconds that each running request counts as when a decode runner is chosen.
+/// Cost of each running request on a decode runner, in milliseconds.
 const DECODE_COST_MS_PER_REQUEST: f64 = 4.0;
-/// Share of a decode runner's memory above which it counts as short of it.
+/// Share of a runner's KV cache above which it counts as short of memory.
 const MEMORY_PRESSURE_SHARE: f64 = 0.75;
-/// Milliseconds that a whole memory too much counts as.
+/// Cost of exceeding that share by the whole KV cache, in milliseconds.
 const MEMORY_PRESSURE_COST_MS: f64 = 4_000.0;
-/// Occupancy of a decode runner's slots above which it counts as full.
+/// Share of a decode runner's slots from which on it counts as full.
 const DECODE_FULL_SHARE: f64 = 0.8;
-/// Milliseconds that a full decode runner counts as.
+/// Cost of a full decode runner, in milliseconds.
 const DECODE_FULL_COST_MS: f64 = 2_000.0;
 
-/// Chooses a runner of a service without language models: the least occupied.
+/// Chooses the runner with the lowest occupancy for a service that does not run a language model,
+/// adjusted by distance and failure rate. `None` if no runner takes work.
 pub fn choose_least_occupied(fleet: &Fleet, demand: &Demand<'_>) -> Option<RunnerChoice> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let rates = candidates.iter().map(|runner| runner.failure_rate(demand.now_us));
@@ -143,7 +148,7 @@
     })
 }
 
-/// Chooses how the prompt is read. `None` if no runner takes work.
+/// Chooses how the prompt is prefilled and by which runner. `None` if no decode runner takes work.
 pub fn plan_prefill(fleet: &Fleet, pace: &ReadPace, demand: &Demand<'_>) -> Option<PrefillPlan> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let (prefill_runners, decode_runners) = partition_by_stage(&candidates);
@@ -155,13 +160,14 @@
         (Some((split, split_ms)), Some((_, direct_ms))) if split_ms <= direct_ms => {
             Some(PrefillPlan::Split(split))
         }
-        // Without a decode runner nobody can take the prompt over.
+        // Without a decode runner, no runner can take over the prompt.
         (_, None) => None,
         (_, Some((direct, _))) => Some(PrefillPlan::Direct(direct)),
     }
 }
 
-/// Chooses the decode runner that takes over a prompt that was read in the given zone.
+/// Chooses the decode runner that takes over a prompt that was prefilled in the zone `source`;
+/// `None` stands for the zone of the requesting node.
 pub fn choose_decode_runner(
     fleet: &Fleet,
     demand: &Demand<'_>,
@@ -201,17 +207,17 @@
     Some((choice, cost_ms(best)))
 }
 
-/// A prompt as the runners of its service see it.
+/// A prompt and its cost on each runner of the service.
 struct PromptView<'a> {
     fleet: &'a Fleet,
     pace: &'a ReadPace,
     demand: &'a Demand<'a>,
-    /// Where the shared parts gather, by stage.
+    /// The homes of the shared prefix among the prefill and the decode runners.
     prefill_home: Option<&'a RunnerId>,
     decode_home: Option<&'a RunnerId>,
-    /// The runner that holds most of the shared parts.
+    /// The candidate that holds most of the shared prefix.
     source: Option<&'a Runner>,
-    /// The runner of another region that holds more of them than that.
+    /// The runner of another region that holds more of the shared prefix than `source`.
     remote_source: Option<&'a Runner>,
 }
 
@@ -237,8 +243,8 @@
         }
     }
 
-    /// The runner from which another takes over parts that it does not hold: one of the candidates
-    /// or, if that gains more and is worth the way, one of another region.
+    /// The runner from which `runner` fetches the part of the prefix that it lacks: one of the
+    /// candidates or, if it holds more and the transfer is worthwhile, one of another region.
     fn source_for(&self, runner: &Runner) -> Option<&'a Runner> {
         let held = runner.cached_tokens(self.demand.prompt);
         let gains = |source: &&Runner, held: u64| {
@@ -251,7 +257,7 @@
         remote.filter(|source| self.is_remote_fetch_worthwhile(source, runner)).or(near)
     }
 
-    /// Whether parts are better taken over from another region than read again.
+    /// Whether fetching the prefix from another region is preferable to prefilling it again.
     fn is_remote_fetch_worthwhile(&self, source: &Runner, runner: &Runner) -> bool {
         let held = runner.cached_tokens(self.demand.prompt);
         let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
@@ -259,7 +265,7 @@
             <= self.pace.read_ms(moved_tokens) * PREFILL_COST_FACTOR
     }
 
-    /// Time in which parts are taken over from a runner of another region.
+    /// Time to fetch the prefix from a runner of another region, in milliseconds.
     fn cross_region_fetch_ms(&self, source: &Runner, runner: &Runner) -> f64 {
         let held = runner.cached_tokens(self.demand.prompt);
         let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
@@ -268,27 +274,26 @@
         rtt_ms + moved_tokens * self.demand.region_move_ms.unwrap_or(f64::INFINITY)
     }
 
-    /// Tokens that a runner has to read, once it has taken over what another holds.
+    /// Prompt tokens that a runner has to prefill after it has fetched what another one holds.
     fn unread_tokens(&self, runner: &Runner) -> u64 {
         let holder = self.source_for(runner).unwrap_or(runner);
         self.demand.prompt.tokens.saturating_sub(holder.cached_tokens(self.demand.prompt))
     }
 
-    /// Tokens of KV cache that the request takes while it runs, on the mean: its output grows
-    /// from nothing to what it may be at the most.
+    /// Mean KV cache of the request while it runs, in tokens: its output grows from zero to
+    /// `max_output_tokens`.
     fn held_tokens(&self) -> u64 {
         self.demand.prompt.tokens + self.demand.prompt.max_output_tokens / 2
     }
 
-    /// What running with too little memory counts as: then requests wait, or are put back and
-    /// read anew.
+    /// Cost of a shortage of memory: requests then wait, or are preempted and prefilled again.
     fn memory_cost_ms(&self, runner: &Runner) -> f64 {
         let held = runner.held_by_all(self.demand.now_us) + self.held_tokens();
         let share = held as f64 / self.demand.cache_tokens.max(1) as f64;
         (share - MEMORY_PRESSURE_SHARE).max(0.0) * MEMORY_PRESSURE_COST_MS
     }
 
-    /// What taking over shared parts counts as.
+    /// Cost of fetching the shared prefix, in milliseconds; 0 if nothing is fetched.
     fn fetch_cost_ms(&self, runner: &Runner) -> f64 {
         let Some(source) = self.source_for(runner) else { return 0.0 };
         if source.region != runner.region {
@@ -301,18 +306,19 @@
         FETCH_COST_MS + moved_tokens as f64 * FETCH_COST_MS_PER_TOKEN * zone_factor
     }
 
-    /// Time that a runner spends on so many tokens.
+    /// Time that a runner takes to prefill so many tokens, without queueing.
     fn prefill_duration_ms(&self, runner: &Runner, tokens: u64) -> f64 {
         self.pace.read_ms_at(runner, tokens as f64, self.demand.now_us)
     }
 
-    /// Time in which a prefill runner has read the prompt.
+    /// Expected time until the prompt is prefilled by a runner that is not decoding, queueing
+    /// included.
     fn dedicated_prefill_ms(&self, runner: &Runner) -> f64 {
         let wait = self.pace.backlog_ms(runner, self.demand.now_us);
         wait + self.pace.fixed_ms() + self.prefill_duration_ms(runner, self.unread_tokens(runner))
     }
 
-    /// Time in which a runner has read the prompt, by its role.
+    /// Expected time until the prompt is prefilled, by the runner's stage.
     fn expected_prefill_ms(&self, runner: &Runner) -> f64 {
         if runner.record.stage == Some(Stage::Prefill) {
             self.dedicated_prefill_ms(runner)
@@ -337,13 +343,13 @@
         distance_cost_ms(self.fleet, runner, zone, self.demand.now_us)
     }
 
-    /// What the failures that a runner has lately answered with count as.
+    /// Cost of the runner's recent failures, in milliseconds.
     fn failure_cost_ms(&self, runner: &Runner) -> f64 {
         runner.failure_rate(self.demand.now_us) * FAILURE_COST_MS
     }
 
-    /// Time in which a decode runner has read the prompt itself, between the tokens of its
-    /// streams.
+    /// Expected time until a decode runner has prefilled the prompt itself, interleaved with the
+    /// tokens of its streams.
     fn direct_prefill_ms(&self, runner: &Runner) -> f64 {
         let undisturbed_ms = self.dedicated_prefill_ms(runner) / DECODE_PREFILL_SPEED;
         undisturbed_ms * (1.0 + runner.occupancy(self.demand.now_us) * SLOWDOWN_PER_STREAM)
@@ -354,7 +360,8 @@
         self.direct_prefill_ms(runner) + self.fetch_cost_ms(runner) + load
     }
 
-    /// A decode runner that takes over a prompt read in the zone `near`.
+    /// Cost of a decode runner that takes over a prompt prefilled in the zone `near`, in
+    /// milliseconds.
     fn decode_cost_ms(&self, runner: &Runner, near: &ZoneId) -> f64 {
         let cached = runner.cached_tokens(self.demand.prompt);
         let moved_tokens = self.demand.prompt.tokens.saturating_sub(cached) as f64;
@@ -379,8 +386,8 @@
     }
 }
 
-/// The runner of another region than the asking node's that holds most of a prompt's shared parts,
-/// if it holds more than `near`. Policies on zones bind it as they bind who reads.
+/// The runner outside the requesting node's region that holds most of the shared prefix, if it
+/// holds more than `near`. Zone policies restrict it in the same way as the runners that prefill.
 fn remote_source<'a>(
     fleet: &'a Fleet,
     demand: &Demand<'_>,
@@ -398,8 +405,8 @@
     (best.cached_tokens(demand.prompt) > held_near).then_some(best)
 }
 
-/// What a runner's distance from a zone counts as: the way there and back, as far as it is longer
-/// than inside the zone, and dearer bytes.
+/// Cost of a runner's distance from a zone: the round-trip time in excess of the one inside the
+/// zone, and the more expensive traffic.
 fn distance_cost_ms(fleet: &Fleet, runner: &Runner, zone: &ZoneId, now_us: u64) -> f64 {
     if runner.record.zone == *zone {
         return 0.0;
@@ -412,15 +419,15 @@
     (rtt_ms - same_zone_rtt_ms).max(0.0) + traffic_cost_ms
 }
 
-/// The runner at which all nodes gather requests with the prompt's shared parts.
+/// The runner at which all nodes gather requests with this shared prefix.
 fn rendezvous_home<'a>(runners: &[&'a Runner], prompt: &Prompt) -> Option<&'a RunnerId> {
     let key = prompt.affinity_key()?;
-    // By name: prompts go on being gathered at a runner that starts again.
+    // The weight is computed from the name: a restarted runner remains the home.
     let weight = |runner: &&&Runner| rendezvous_weight(&key, runner.record.id.name().as_str());
     runners.iter().max_by_key(weight).map(|runner| &runner.record.id)
 }
 
-/// What a runner that is not the home of a prompt's shared parts costs besides.
+/// Additional cost of a runner that is not the home of the shared prefix.
 fn off_home_cost_ms(runner: &Runner, home: Option<&RunnerId>) -> f64 {
     if home.is_some_and(|home| *home != runner.record.id) {
         OFF_HOME_COST_MS
--- a/crates/serving/src/prefix.rs
+++ b/crates/serving/src/prefix.rs
@@ -1,4 +1,4 @@
-//! The parts of a prompt, in order. Requests with the same first parts share KV cache.
+//! The ordered parts of a prompt. Requests whose first parts are equal share KV cache.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
@@ -6,35 +6,36 @@
 /// One part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// Identifies the part's text.
+    /// Identifies the text of the part.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length of the part in tokens.
     pub tokens: u64,
 }
 
-/// A prompt as the router sees it: lengths and identities, no text.
+/// A prompt as the router sees it: lengths and identities without text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Parts in order; the last belongs to the request or its session alone.
+    /// The parts in order. The last one belongs to the request or its session alone.
     pub parts: Vec<PromptPart>,
-    /// Tokens in.
+    /// Length of the whole prompt in tokens.
     pub tokens: u64,
-    /// Most tokens out.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u64,
 }
 
 impl Prompt {
-    /// The parts that other requests may have too.
+    /// The parts that other requests may share: all but the last.
     pub fn shared_prefix(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// Tokens of the shared parts.
+    /// Length of the shared prefix in tokens.
     pub fn shared_prefix_tokens(&self) -> u64 {
         self.shared_prefix().iter().map(|part| part.tokens).sum()
     }
 
-    /// What requests with the same shared parts have in common; `None` without shared parts.
+    /// A key that is equal for all requests with the same shared prefix; `None` without a shared
+    /// prefix.
     pub fn affinity_key(&self) -> Option<String> {
         let last = self.shared_prefix().last()?;
         let mut key = String::with_capacity(16);
@@ -44,8 +45,8 @@
     }
 }
 
-/// Rendezvous weight of a key at a place: the place with the highest weight is its home, and
-/// all nodes find the same one without talking to each other.
+/// The rendezvous weight of a candidate for a key. The candidate with the highest weight is the
+/// home of the key, which all nodes determine without coordination.
 pub fn rendezvous_weight(key: &str, candidate: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -54,7 +55,7 @@
     mix_bits(hash)
 }
 
-/// The finishing step of SplitMix64: spreads the few differing bits of similar inputs.
+/// The finalizer of SplitMix64: spreads the few bits in which similar inputs differ.
 fn mix_bits(hash: u64) -> u64 {
     let mut mixed = hash;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/serving/src/prefix_cache.rs
+++ b/crates/serving/src/prefix_cache.rs
@@ -1,12 +1,12 @@
-//! A model of a runner's KV cache, from the prompts that nodes have seen read there.
+//! A model of a runner's KV cache, based on the prompts that nodes have seen prefilled there.
 //!
-//! It is wrong now and then: runners drop parts without a word. A part that is gone is read
-//! again, which costs time and nothing else.
+//! The model may be wrong, because runners evict parts without notice. A part that is missing is
+//! prefilled again, which only costs time.
 
 use crate::prefix::PromptPart;
 use std::collections::HashMap;
 
-/// Which parts of prompts a runner probably holds: those sent there last.
+/// The prompt parts that a runner probably holds: the most recently used ones.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCacheModel {
     parts: HashMap<u64, CachedPart>,
@@ -19,17 +19,19 @@
     used_at_us: u64,
 }
 
-/// Share of a runner's cache that is counted on; running requests need the rest.
+/// Share of a runner's KV cache that is assumed to hold prefixes, in percent; running requests need
+/// the rest.
 const MAX_CACHED_PERCENT: u64 = 70;
 
 impl PrefixCacheModel {
-    /// Tokens of the first of these parts that are held without a gap.
+    /// Number of tokens held from the start of these parts without a gap.
     pub fn cached_tokens(&self, parts: &[PromptPart]) -> u64 {
         let held = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
         held.map(|part| part.tokens).sum()
     }
 
-    /// The runner has read these parts, or taken them over. `capacity` is in tokens.
+    /// Records that the runner has prefilled or fetched these parts, and evicts the least recently
+    /// used ones beyond the assumed capacity. `capacity` is the size of its KV cache in tokens.
     pub fn on_prefix_cached(&mut self, parts: &[PromptPart], now_us: u64, capacity: u64) {
         for part in parts {
             let entry = CachedPart { tokens: part.tokens, used_at_us: now_us };
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -1,10 +1,11 @@
-//! When a request leaves its region.
+//! The decision whether a request leaves its region.
 //!
-//! A request is read and written in one region: its own, unless that has no runner for it, or
-//! another would have read the prompt sooner, in time, by more than the way costs. What a region
-//! has to do is told to the schedulers of the others as one sum, now and then. Between two words a
-//! region may have become as busy as time has passed, and what was sent there has been added: so
-//! two regions never send each other their requests.
+//! A request is prefilled and decoded in one region. This is its own region unless that has no
+//! runner for the request, or another region is expected to finish the prefill within the target
+//! and earlier by more than the cost of the distance. Schedulers periodically report the total load
+//! of their region to the schedulers of the other regions. Between two reports, the wait in a
+//! remote region is assumed to grow as fast as time passes, and the work that was sent there is
+//! added. So two regions never send their requests to each other.
 
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, RunnerId, ServiceName, ZoneId};
@@ -15,79 +16,80 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Round trips over the distance until the first token of a request that leaves its region: a
-/// question, a reading and a writing.
+/// Number of cross-region round trips until the first token of a request that leaves its region: a
+/// query, a prefill and a decode.
 const ROUND_TRIPS: f64 = 3.0;
-/// Milliseconds that the dearer bytes of such a request count as: a prompt of some 10 KB and its
-/// answer, twice over a link that is paid by the gigabyte.
+/// Cost of the more expensive traffic of such a request, in milliseconds: a prompt of about 10 KB
+/// and its response, twice over a link that is paid by the gigabyte.
 const TRAFFIC_COST_MS: f64 = 40.0;
-/// Milliseconds that have to be gained besides: the spread of waits at the runners of one region,
-/// below which a difference between two regions says nothing.
+/// Minimum gain besides that, in milliseconds. It is the spread of waits at the runners of one
+/// region, below which a difference between two regions is not significant.
 const MIN_GAIN_MS: f64 = 60.0;
-/// Time for which a word on a region's load counts, microseconds: three words may be lost.
+/// Time for which a report of a region's load is used, in microseconds: three reports may be lost.
 const REPORT_TTL_US: u64 = 3_500_000;
 /// Share of the slots of its decode runners from which on a region counts as full.
 const MAX_OCCUPANCY: f64 = 0.8;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 const THOUSANDTHS: f64 = 1_000.0;
 
-/// What the runners of a service in a region have to do.
+/// The load of the runners of a service in a region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// Prefill runners that take work.
+    /// Number of prefill runners that take work.
     #[serde(rename = "n")]
     pub prefill_runners: u32,
-    /// What a prompt waits for at them, on the mean, microseconds.
+    /// Mean wait of a prompt at these prefill runners, in microseconds.
     #[serde(rename = "w")]
     pub wait_us: u64,
-    /// Share of the slots of its decode runners that is taken, in thousandths.
+    /// Share of the decode runners' slots that is occupied, in thousandths.
     #[serde(rename = "o")]
     pub occupancy: u32,
 }
 
-/// A runner has read shared parts of prompts: others may take them over.
+/// Announces that a runner has prefilled a shared prefix, which others may fetch from it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedPrefixMessage {
-    /// The runner.
+    /// The runner that holds the prefix.
     #[serde(rename = "r")]
     pub runner: RunnerId,
-    /// The parts, identity and tokens, in the order in which they stand in a prompt.
+    /// Identity and number of tokens of the parts, in their order in the prompt.
     #[serde(rename = "p")]
     pub parts: Vec<(u64, u64)>,
 }
 
 impl CachedPrefixMessage {
-    /// A runner has read these parts.
+    /// Creates the announcement for the given parts.
     pub fn new(runner: &RunnerId, parts: &[PromptPart]) -> Self {
         let parts = parts.iter().map(|part| (part.id, part.tokens)).collect();
         Self { runner: runner.clone(), parts }
     }
 
-    /// The parts.
+    /// The announced parts.
     pub fn parts(&self) -> Vec<PromptPart> {
         self.parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens }).collect()
     }
 }
 
-/// Shared tokens of a prompt from which on other regions are told who has read them: below, reading
-/// them again takes less time than a round trip between regions, at the users' engines.
+/// Minimum length of a shared prefix for which its holders are announced to other regions. On the
+/// users' engines, prefilling a shorter prefix again takes less time than a round trip between
+/// regions.
 pub const MIN_ANNOUNCED_TOKENS: u64 = 4_000;
 
-/// A region's word on its load.
+/// A region's report of its load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionLoads {
-    /// The region.
+    /// The region that is reported.
     #[serde(rename = "r")]
     pub region: RegionId,
-    /// Services of language models with runners there.
+    /// The language-model services that have runners in the region.
     #[serde(rename = "l")]
     pub services: Vec<ServiceLoad>,
 }
 
-/// What the runners of a service in a region have to do; `None` without a prefill runner.
+/// The load of the runners of a service in a region; `None` without a prefill runner.
 pub fn service_load(
     fleet: &Fleet,
     pace: &ReadPace,
@@ -117,7 +119,8 @@
 struct ReportedLoad {
     load: ServiceLoad,
     reported_at_us: u64,
-    /// Reading that was sent there since, milliseconds, over all its prefill runners.
+    /// Prefill work sent there since the report, in milliseconds, as the sum over all its prefill
+    /// runners.
     sent_prefill_ms: f64,
 }
 
@@ -134,33 +137,33 @@
     }
 }
 
-/// What other regions have told of their load.
+/// The loads that other regions have reported.
 #[derive(Clone, Debug, Default)]
 pub struct RegionBacklogs {
     reported: BTreeMap<(RegionId, ServiceName), ReportedLoad>,
 }
 
-/// A request where it has been placed in its own region.
+/// A request and its placement in its own region.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalPlacement<'a> {
-    /// The service.
+    /// The service of the request.
     pub service: &'a ServiceName,
-    /// The region in which it has been placed.
+    /// The region in which the request has been placed.
     pub region: &'a RegionId,
-    /// The zone of the node that has it.
+    /// The zone of the node that received the request.
     pub zone: &'a ZoneId,
-    /// What it waits for there until it is read, milliseconds.
+    /// Expected wait there until the prefill starts, in milliseconds.
     pub wait_ms: f64,
-    /// How long its reading takes, milliseconds.
+    /// Expected duration of the prefill, in milliseconds.
     pub prefill_ms: f64,
-    /// Time until its answer is due, milliseconds; less than 0: it is late.
+    /// Time until the response is due, in milliseconds; negative if the request is overdue.
     pub remaining_target_ms: f64,
-    /// Now, microseconds.
+    /// Current time of a steady clock, in microseconds.
     pub now_us: u64,
 }
 
 impl RegionBacklogs {
-    /// Takes in a region's word.
+    /// Replaces what is known of a region's load by its new report.
     pub fn on_loads(&mut self, loads: RegionLoads, now_us: u64) {
         self.reported.retain(|(region, _), _| *region != loads.region);
         for load in loads.services {
@@ -170,15 +173,15 @@
         }
     }
 
-    /// A request was sent to another region.
+    /// Adds the prefill of a request that was sent to a remote region to the region's load.
     pub fn on_request_sent(&mut self, region: &RegionId, service: &ServiceName, prefill_ms: f64) {
         if let Some(reported) = self.reported.get_mut(&(region.clone(), service.clone())) {
             reported.sent_prefill_ms += prefill_ms;
         }
     }
 
-    /// The region to which a request should rather go: where it is read in time, and so much
-    /// sooner that the way pays.
+    /// The remote region where the prompt would be prefilled within the target, and earlier than in
+    /// its own region by more than the cost of the distance; `None` if the request should stay.
     pub fn better_region(&self, fleet: &Fleet, placed: &LocalPlacement<'_>) -> Option<RegionId> {
         let others = self.reported.iter().filter(|((region, service), reported)| {
             region != placed.region && service == placed.service && reported.has_room(placed.now_us)
@@ -196,8 +199,8 @@
     }
 }
 
-/// The regions in which a request may run, the best first: its own, then those that are nearer;
-/// those where every runner is full or cannot be reached come last.
+/// The regions in which a request may run, in order of preference: its own region, then the others
+/// by distance. Regions without a healthy runner that can decode come last.
 pub fn regions_in_order(fleet: &Fleet, demand: &Demand<'_>, own: &RegionId) -> Vec<RegionId> {
     let regions = fleet.regions_of(demand.eligible.service).into_iter();
     let mut ranked: Vec<(bool, bool, f64, RegionId)> = regions
--- a/crates/serving/src/request.rs
+++ b/crates/serving/src/request.rs
@@ -1,4 +1,4 @@
-//! What a node needs to know of a request; everything else in it is opaque.
+//! Metadata of requests and responses that a node evaluates; everything else is opaque to it.
 
 use crate::ids::{RunnerId, RunnerName, TenantName};
 use crate::prefix::Prompt;
@@ -6,89 +6,90 @@
 use crate::tenancy::Credential;
 use std::net::SocketAddr;
 
-/// A request's own words on itself.
+/// What a client states about a request in its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
     /// The client's id for this try; every attempt carries it unchanged.
     pub id: String,
-    /// Milliseconds for which the client waits.
+    /// Time for which the client waits, in milliseconds; `None` if it states none.
     pub deadline_ms: Option<u64>,
-    /// The prompt, if the request is for a language model.
+    /// The prompt; `None` if the request is not for a language model.
     pub prompt: Option<Prompt>,
-    /// Whether it tells how many tokens its prompt has and how many it may write.
+    /// Whether the request states the token counts of its prompt and of its maximum output.
     pub has_token_counts: bool,
-    /// Id of the last event that the client has of a stream.
+    /// Id of the last stream event that the client has received; `None` for a new stream.
     pub last_event_id: Option<u64>,
-    /// What it shows of who sent it.
+    /// The credential that identifies the sender.
     pub credential: Credential,
 }
 
-/// What a runner is asked to do with a request.
+/// The work that an attempt asks of a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Run it, reading the prompt if there is one.
+    /// Runs the request, including the prefill if it has a prompt.
     Run,
-    /// Only read its prompt and keep the KV cache under a handle.
+    /// Only prefills the prompt and keeps the KV cache under a handle.
     Prefill,
-    /// Run it with the KV cache that another runner has read.
+    /// Runs the request with the KV cache that another runner has prefilled.
     DecodeFrom(KvHandle),
 }
 
-/// KV cache of one request's prompt, kept by the runner that read it. It may be taken once,
-/// and only for that request.
+/// The KV cache of one request's prompt, held by the runner that prefilled it. It may be taken
+/// once, and only for that request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvHandle {
-    /// The runner's address.
+    /// Address of the runner that holds the KV cache.
     pub address: SocketAddr,
-    /// The runner's name for it.
+    /// The name that the runner gave to the KV cache.
     pub name: String,
 }
 
-/// Instructions that go with one attempt.
+/// Instructions that are sent to a runner with an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptInstructions {
-    /// Milliseconds that are left.
+    /// Time until the request's deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Only this runner may run it.
+    /// The only runner that may run the attempt.
     pub runner: RunnerId,
-    /// Rank, 0 first.
+    /// Rank of the attempt at the runner, 0 first; `None` sends no rank.
     pub priority: Option<u8>,
-    /// What to do.
+    /// The work to do.
     pub work: Work,
-    /// The stream goes on after this event.
+    /// The stream resumes after this event; `None` starts it from the beginning.
     pub after_event: Option<u64>,
-    /// The runner first takes over what this one holds of the prompt.
+    /// The runner from which to fetch the cached prefix of the prompt first; `None` fetches
+    /// nothing.
     pub fetch_from: Option<SocketAddr>,
-    /// The tenant for whom it runs.
+    /// The tenant for whom the request runs; `None` states no tenant to the runner.
     pub tenant: Option<TenantName>,
 }
 
-/// What the head of a runner's answer says.
+/// What the head of a runner's response states.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// Id of the request that it answers.
+    /// Id of the request to which the response belongs.
     pub request_id: Option<String>,
-    /// Whether it carries a runner's signature.
+    /// Whether the response carries a runner's signature.
     pub signed: bool,
-    /// Whether the runner says that it has not run the request and never will.
+    /// Whether the runner states that it has not run the request and never will.
     pub not_run: bool,
-    /// Whether another runner answered than the one that was meant.
+    /// Whether a runner other than the addressed one has responded.
     pub misdirected: bool,
-    /// Whether the body was encoded by somebody on the way.
+    /// Whether an intermediary has encoded the body.
     pub encoded: bool,
-    /// The runner's load.
+    /// The load that the runner reports; `None` if it reports none.
     pub load: Option<crate::runner::LoadReport>,
-    /// The runner that answers, if it names itself.
+    /// The runner that responds, if it states its name.
     pub instance: Option<RunnerName>,
-    /// What else the runner says of itself.
+    /// Further notices of the runner about itself.
     pub notice: RunnerNotice,
-    /// Names of headers in which it says something of itself that is not known here.
+    /// Names of headers with statements of the runner that this version does not know.
     pub unknown_headers: Vec<String>,
 }
 
 impl ResponseMetadata {
-    /// Whether what it says of its runner is said by this one. An address may have been given to another runner,
-    /// which says then that it was not meant.
+    /// Whether the metadata describes this runner. An address may have been reassigned to another
+    /// runner, which then states that it was not the addressed one.
     pub fn is_about(&self, runner: &RunnerId) -> bool {
         match &self.instance {
             Some(name) => *name == runner.name(),
--- a/crates/serving/src/routing.rs
+++ b/crates/serving/src/routing.rs
@@ -1,18 +1,18 @@
-//! Which of a route's services a request belongs to.
+//! Assignment of requests to the services of a route.
 
 use crate::configuration::{Configuration, Route, Share};
 use crate::ids::ServiceName;
 use std::collections::{HashMap, HashSet};
 
-/// Splits the requests of each route among its services in the proportion of their weights
-/// (smooth weighted round robin, so that short runs are in proportion too).
+/// Splits the requests of each route among its services in proportion to their weights. Smooth
+/// weighted round robin keeps short sequences in proportion too.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficSplitter {
     credits: HashMap<String, Vec<i64>>,
 }
 
 impl TrafficSplitter {
-    /// The service that gets the route's next request; `None` if no share has a weight.
+    /// The service for the route's next request; `None` if no share has a positive weight.
     pub fn next_service(&mut self, route: &Route) -> Option<ServiceName> {
         if let [only] = route.shares.as_slice() {
             return Some(only.service.clone());
@@ -23,7 +23,7 @@
         Some(route.shares[index].service.clone())
     }
 
-    /// Forgets routes that are no longer in force.
+    /// Drops the state of routes that are no longer configured.
     pub fn retain(&mut self, configuration: &Configuration) {
         let in_force: HashSet<&str> =
             configuration.routes.iter().map(|route| route.name.as_str()).collect();
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -1,5 +1,5 @@
-//! What a scheduler decides: where a request is read and written, what is set aside for it, and
-//! whether another shard's scheduler should be asked instead.
+//! The decisions of a scheduler: which runners prefill and decode a request, what is reserved for
+//! it, and whether the scheduler of another shard should be asked instead.
 
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, ZoneId};
@@ -14,41 +14,43 @@
 };
 use crate::urgency::put_behind_if_late;
 
-/// Wait of a request, in targets, from which on it is handed on to another shard: below, the
-/// way there and its older knowledge cost more than they bring.
+/// Minimum wait, as a share of the target, from which a request is forwarded to another shard.
+/// Below it, the extra hop and the older information about the other shard cost more than they
+/// gain.
 const MIN_FORWARDED_WAIT_SHARE: f64 = 0.25;
-/// Part of that wait that the mean wait at the other shard must stay below.
+/// Maximum mean wait at the other shard, as a share of the wait at this one.
 const MAX_WAIT_RATIO: f64 = 0.5;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// When a request's answer is due.
+/// The latency target of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseTarget {
-    /// Time within which the answer is due, counted from when the request came, milliseconds.
+    /// Time within which the response is due, counted from the arrival of the request, in
+    /// milliseconds.
     pub target_ms: f64,
-    /// Time since it came, milliseconds.
+    /// Time since the request arrived, in milliseconds.
     pub elapsed_ms: f64,
 }
 
-/// Where a request is to be read, and by whom it is to be written if that is another runner.
+/// The runners that are chosen for a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlacementDecision {
-    /// Who reads; `None`: no runner takes work.
+    /// The prefill of the prompt; `None` if no runner takes work.
     pub prefill: Option<PrefillPlan>,
-    /// Who writes what another has read.
+    /// The decode runner that takes over the prompt; `None` if the prefilling runner also decodes.
     pub decode: Option<RunnerChoice>,
 }
 
 impl PlacementDecision {
-    /// Who reads.
+    /// The runner that prefills the prompt, whether split or direct.
     pub fn prefill_choice(&self) -> Option<&RunnerChoice> {
         let (PrefillPlan::Split(choice) | PrefillPlan::Direct(choice)) = self.prefill.as_ref()?;
         Some(choice)
     }
 }
 
-/// Chooses among a shard's runners; if it has none to offer, among those of its region, and then
-/// of the other regions. `None`: the region of the zone from which the request comes.
+/// Chooses among the runners of a shard; if none of them takes work, among those of its region, and
+/// then of the other regions. If `shard` is `None`, the region of the requesting zone comes first.
 pub fn choose_placement(
     fleet: &Fleet,
     pace: &ReadPace,
@@ -69,8 +71,8 @@
     PlacementDecision { prefill, ..placed }
 }
 
-/// Chooses who reads and who writes inside one part of the fleet: what is read in one region is not
-/// moved to another.
+/// Chooses the prefill and the decode runner within one part of the fleet. A prompt that is
+/// prefilled in one region is not moved to another.
 fn choose_within(
     fleet: &Fleet,
     pace: &ReadPace,
@@ -89,8 +91,8 @@
     Some(PlacementDecision { prefill: Some(prefill), decode })
 }
 
-/// Chooses who writes what was read in the zone `source`, or reads and writes it itself: a runner
-/// of that region, or else of another one.
+/// Chooses the runner that decodes a prompt prefilled in the zone `source`, or that prefills and
+/// decodes it itself: a runner of the region of `source`, or else of another region.
 pub fn choose_decode_runner_in_any_region(
     fleet: &Fleet,
     demand: &Demand<'_>,
@@ -103,19 +105,19 @@
     regions.find_map(|region| choose_decode_runner(fleet, &within(region), source))
 }
 
-/// The answer to a question; `None` if no runner takes work.
+/// Converts a decision to its wire format; `None` if no runner takes work.
 pub fn wire_plan(placed: PlacementDecision) -> Option<WirePlan> {
     match placed.prefill? {
         PrefillPlan::Direct(choice) => Some(WirePlan::Direct(WireChoice::from(&choice))),
         PrefillPlan::Split(prefill) => {
-            // Who writes takes the prompt over and does not read it.
+            // The decode runner takes over the KV cache and prefills nothing.
             let decode = WireChoice { unread_tokens: 0, ..WireChoice::from(&placed.decode?) };
             Some(WirePlan::Split(WireChoice::from(&prefill), decode))
         }
     }
 }
 
-/// What is set aside for a request that was placed.
+/// The reservation for a request that is placed according to `plan`.
 pub fn reservation(
     fleet: &Fleet,
     query: &PlacementQuery,
@@ -144,8 +146,8 @@
     }
 }
 
-/// A shard of the same region where a request would wait for much less than where it has been
-/// placed. What has been handed on once stays where it is.
+/// Another shard of the same region where the request would wait much less than where it has been
+/// placed. Requests that were already forwarded stay where they are.
 pub fn less_loaded_shard(
     fleet: &Fleet,
     pace: &ReadPace,
@@ -172,13 +174,13 @@
     (min_wait_ms < wait_ms * MAX_WAIT_RATIO).then_some(shard)
 }
 
-/// What a request waits for where it has been placed, milliseconds.
+/// Expected wait of a request before its prefill starts, in milliseconds.
 fn wait_ms(choice: &RunnerChoice) -> f64 {
     choice.expected_prefill_us as f64 / MICROS_PER_MILLI - choice.prefill_ms
 }
 
-/// Where a request should rather be placed than in its own region; `placed` is what has been chosen
-/// among the runners that are known here.
+/// The region in which a request should be placed instead of `own`; `None` if it should stay.
+/// `placed` is the choice among the runners that are known here.
 pub fn preferred_remote_region(
     fleet: &Fleet,
     backlogs: &RegionBacklogs,
@@ -205,7 +207,8 @@
     Some(RemoteRegion { region, reason: CrossRegionReason::LongWait })
 }
 
-/// What a prompt waits for at the prefill runners, on the mean; `None` if there are none.
+/// Mean wait of a prompt at the eligible prefill runners, in milliseconds; `None` if there are
+/// none.
 fn mean_wait_ms(
     fleet: &Fleet,
     pace: &ReadPace,
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -1,13 +1,15 @@
-//! Which node places the requests of a service of language models, and what nodes say to it.
+//! Assignment of runners to schedulers, and the messages that nodes exchange about placement for
+//! services that run language models.
 //!
-//! The runners of a service are split into shards, by region first, and each shard has a scheduler:
-//! the node of the region that all nodes find by rendezvous hashing, strong machines first. A node
-//! that has taken a request asks the scheduler of the shard of its own region in which the
-//! prompt's shared parts have their home. The scheduler sees all requests to its runners, so it knows their load and caches to within the
-//! age of a datagram, and what it is told grows with requests, not with nodes squared.
+//! The runners of a service are split into shards, first by region, and each shard has a scheduler:
+//! the node of the region that all nodes select by rendezvous hashing, strong
+//! machines first. A node that receives a request asks the scheduler of the shard in its own region that
+//! contains the home of the prompt's shared prefix. The scheduler sees all requests to its runners,
+//! so its information on their load and caches is as old as one datagram, and its traffic grows
+//! with the number of requests, not with the square of the number of nodes.
 //!
-//! All of it only ranks runners. Two schedulers of a shard, or none, cost a worse choice: a node
-//! that gets no answer soon chooses by what it knows itself.
+//! All of this only ranks runners. Two schedulers for a shard, or none, lead to worse choices but
+//! not to failures: a node that gets no reply in time chooses from its own information.
 
 use crate::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use crate::placement::RunnerChoice;
@@ -16,113 +18,115 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Nodes for which there is one shard, so that placing for them takes a scheduler about 1 % of a core.
+/// Number of nodes for each shard. At this size, placing requests takes a scheduler about 1 % of a
+/// core.
 const NODES_PER_SHARD: usize = 40;
 
 /// One of the shards of a region's runners.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Shard {
-    /// The region.
+    /// The region of the shard.
     #[serde(rename = "r")]
     pub region: RegionId,
-    /// Its number among the region's shards.
+    /// Number of the shard within the region, from 0.
     #[serde(rename = "n")]
     pub number: usize,
-    /// How many the region has.
+    /// Number of shards in the region.
     #[serde(rename = "of")]
     pub of: usize,
 }
 
 impl Shard {
-    /// How many shards a region of so many nodes has.
+    /// The number of shards for a region with so many nodes; at least 1.
     pub fn count(nodes: usize) -> usize {
         nodes.div_ceil(NODES_PER_SHARD).max(1)
     }
 
-    /// All shards of a region.
+    /// All shards of a region that has `of` shards.
     pub fn all(region: RegionId, of: usize) -> impl Iterator<Item = Self> {
         (0..of).map(move |number| Self { region: region.clone(), number, of })
     }
 
-    /// The shard of a runner, where its region has so many.
+    /// The shard of a runner whose region has `of` shards.
     pub fn of_runner(runner: &Runner, of: usize) -> Self {
         let number = Self::number_of(&runner.record.id, of);
         Self { region: runner.region.clone(), number, of }
     }
 
     fn number_of(runner: &RunnerId, of: usize) -> usize {
-        // By name: a runner that starts again stays with its scheduler.
+        // The weight is computed from the name: a restarted runner stays with its scheduler.
         let weight = rendezvous_weight("shard", runner.name().as_str());
         usize::try_from(weight % of.max(1) as u64).unwrap_or_default()
     }
 
-    /// Whether a runner belongs to it.
+    /// Whether the runner belongs to this shard.
     pub fn contains(&self, runner: &Runner) -> bool {
         runner.region == self.region && Self::number_of(&runner.record.id, self.of) == self.number
     }
 
-    /// How much a node is preferred as its scheduler.
+    /// The preference for a node as the scheduler of this shard; the highest weight wins.
     pub fn weight(&self, node: &NodeId) -> u64 {
         rendezvous_weight(&format!("scheduler/{}", self.number), node.as_str())
     }
 }
 
-/// A part of a prompt as it is told: its identity and its tokens.
+/// A prompt part on the wire: its identity and its number of tokens.
 type WirePart = (u64, u64);
 
-/// A node asks where a request is to be read and written.
+/// Asks a scheduler where a request is to be prefilled and decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementQuery {
-    /// Identifies the request at the asking node.
+    /// Identifies the request at the requesting node.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// The request's id, for the logs.
     #[serde(rename = "d")]
     pub request: String,
-    /// Where the answer goes: the question may have been handed on.
+    /// Address for the reply, since the query may have been forwarded.
     #[serde(rename = "a")]
     pub reply_to: SocketAddr,
-    /// The shard whose runners are asked for.
+    /// The shard whose runners are considered.
     #[serde(rename = "h")]
     pub shard: Shard,
-    /// Whether another scheduler has handed it on, or has named this one's region: it is not handed
-    /// on again.
+    /// Whether another scheduler has forwarded the query, or has named the region of this one. Such
+    /// a query is not forwarded again.
     #[serde(rename = "w")]
     pub is_forwarded: bool,
-    /// The service.
+    /// The service of the request.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// The prompt's parts.
+    /// The parts of the prompt, in order.
     #[serde(rename = "p")]
     pub parts: Vec<WirePart>,
-    /// Tokens in.
+    /// Length of the prompt in tokens.
     #[serde(rename = "t")]
     pub tokens: u64,
-    /// Most tokens out.
+    /// Maximum number of output tokens.
     #[serde(rename = "o")]
     pub max_output_tokens: u64,
-    /// Time within which the answer is due, counted from when the request came, milliseconds.
+    /// Time within which the response is due, counted from the arrival of the request, in
+    /// milliseconds.
     #[serde(rename = "g")]
     pub target_ms: u64,
-    /// Time since the request came, milliseconds.
+    /// Time since the request arrived, in milliseconds.
     #[serde(rename = "e")]
     pub elapsed_ms: u64,
-    /// Time until the request's deadline, milliseconds.
+    /// Time until the request's deadline, in milliseconds.
     #[serde(rename = "l")]
     pub remaining_ms: u64,
-    /// Zone of the asking node.
+    /// Zone of the requesting node.
     #[serde(rename = "z")]
     pub zone: ZoneId,
-    /// Runners that have had the request already.
+    /// Runners to which the request has already been sent.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub excluded: Vec<RunnerId>,
-    /// Zones that the operators' policy leaves; `None`: all.
+    /// Zones that the operators' policy allows; `None` allows all.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     pub zones: Option<Vec<ZoneId>>,
 }
 
 impl PlacementQuery {
-    /// The prompt.
+    /// The prompt described by the query.
     pub fn prompt(&self) -> Prompt {
         let part = |(id, tokens): &WirePart| PromptPart { id: *id, tokens: *tokens };
         Prompt {
@@ -133,44 +137,45 @@
     }
 }
 
-/// The parts of a prompt as they are told.
+/// The wire format of a prompt's parts.
 pub fn wire_parts(prompt: &Prompt) -> Vec<WirePart> {
     prompt.parts.iter().map(|part| (part.id, part.tokens)).collect()
 }
 
-/// Identifies a request that was placed for a node, over all starts of that node.
+/// Identifies a placed request across all restarts of the requesting node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// This start of the node that asked, drawn at random.
+    /// Random number of the requesting node's current incarnation.
     #[serde(rename = "f")]
     pub incarnation: u64,
-    /// Counts the node's questions.
+    /// Sequence number of the query at that node.
     #[serde(rename = "k")]
     pub number: u64,
 }
 
-/// A runner that a scheduler has chosen.
+/// The wire format of a [`RunnerChoice`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireChoice {
-    /// The runner.
+    /// The chosen runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
-    /// Prompt tokens to read.
+    /// Prompt tokens to prefill.
     #[serde(rename = "u")]
     pub unread_tokens: u64,
-    /// Prompt tokens to read after all that can still be in time.
+    /// Prompt tokens to prefill after all work that can still meet its target.
     #[serde(rename = "l")]
     pub late_tokens: u64,
-    /// Tokens of KV cache.
+    /// KV cache that the request takes, in tokens.
     #[serde(rename = "k")]
     pub held_tokens: u64,
-    /// The runner from which it takes over shared parts.
+    /// The runner from which the chosen one fetches the shared prefix; `None` if it fetches
+    /// nothing.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub fetch_from: Option<RunnerId>,
-    /// Time until the prompt should have been read, microseconds.
+    /// Expected time until the prompt is prefilled, queueing included, in microseconds.
     #[serde(rename = "e")]
     pub expected_prefill_us: u64,
-    /// Time that reading takes without any wait, microseconds.
+    /// Expected duration of the prefill without queueing, in microseconds.
     #[serde(rename = "m")]
     pub prefill_us: u64,
 }
@@ -207,13 +212,13 @@
     }
 }
 
-/// Where a request is to be read and written.
+/// The runners that a scheduler assigns to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum WirePlan {
-    /// The first reads, the second writes.
+    /// The first runner prefills, the second decodes.
     #[serde(rename = "s")]
     Split(WireChoice, WireChoice),
-    /// One does both.
+    /// One runner prefills and decodes.
     #[serde(rename = "d")]
     Direct(WireChoice),
 }
@@ -221,16 +226,16 @@
 /// Why a request is not placed in its own region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CrossRegionReason {
-    /// No runner there takes work.
+    /// No runner of the region takes work.
     #[serde(rename = "n")]
     NoRunner,
-    /// It would wait there for much longer.
+    /// The request would wait much longer in the region.
     #[serde(rename = "w")]
     LongWait,
 }
 
 impl CrossRegionReason {
-    /// Name in logs and metrics.
+    /// The name of the reason in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoRunner => "no_runner",
@@ -239,55 +244,55 @@
     }
 }
 
-/// Another region's scheduler is to be asked.
+/// Redirects a requesting node to the scheduler of another region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RemoteRegion {
-    /// The region.
+    /// The region whose scheduler should be asked.
     #[serde(rename = "r")]
     pub region: RegionId,
-    /// Why.
+    /// Why the request should leave its own region.
     #[serde(rename = "w")]
     pub reason: CrossRegionReason,
 }
 
-/// A scheduler's answer.
+/// A scheduler's reply to a [`PlacementQuery`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlacementReply {
-    /// The request.
+    /// The request that was placed.
     #[serde(rename = "i")]
     pub ticket: Ticket,
-    /// Where it is to run; `None`: no runner takes work.
+    /// The assigned runners; `None` if no runner takes work.
     #[serde(rename = "p")]
     pub plan: Option<WirePlan>,
-    /// Who is to be asked instead; then nothing has been set aside here.
+    /// The region to ask instead; nothing has been reserved here in that case.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub elsewhere: Option<RemoteRegion>,
 }
 
-/// What became of a request that was placed.
+/// The progress of a placed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// Its prompt has been read, so many milliseconds after it was sent.
+    /// The prompt was prefilled, so many milliseconds after the attempt was sent.
     #[serde(rename = "r")]
     Prefilled(u64),
-    /// A runner declined it as full.
+    /// A runner declined the request because it was full.
     #[serde(rename = "d")]
     Declined(RunnerId),
     /// A runner could not be reached.
     #[serde(rename = "u")]
     Unreachable(RunnerId),
-    /// It is over.
+    /// The request has ended.
     #[serde(rename = "e")]
     Ended,
 }
 
-/// A node tells a scheduler what became of a request.
+/// Reports the progress of a request to the scheduler that placed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressMessage {
     /// The request.
     #[serde(rename = "i")]
     pub ticket: Ticket,
-    /// What became of it.
+    /// What happened to the request.
     #[serde(rename = "g")]
     pub progress: Progress,
 }
@@ -296,40 +301,40 @@
     *number == N::default()
 }
 
-/// What a scheduler knows of the load at one of its runners.
+/// A scheduler's information on the load of one of its runners.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerLoad {
     /// The runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
-    /// Requests.
+    /// Number of requests in flight.
     #[serde(rename = "n")]
     pub in_flight: u32,
-    /// Requests among them whose prompt has not been read, here or at the runner that reads it
-    /// for this one.
+    /// Number of requests in flight whose prompt has not been prefilled yet, here or at the runner
+    /// that prefills it for this one.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub unread_requests: u32,
-    /// Prompt tokens to read.
+    /// Prompt tokens to prefill.
     #[serde(rename = "t")]
     pub unread_tokens: u64,
-    /// Prompt tokens to read after all that can still be in time.
+    /// Prompt tokens to prefill after all work that can still meet its target.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
     pub late_tokens: u64,
-    /// Tokens of KV cache that the requests take.
+    /// KV cache that the requests take, in tokens.
     #[serde(rename = "k")]
     pub held_tokens: u64,
-    /// Prompt tokens a second that it is asked to read, lately.
+    /// Rate at which the runner was recently asked to prefill, in prompt tokens per second.
     #[serde(rename = "a", default, skip_serializing_if = "is_zero")]
     pub asked_a_second: u64,
 }
 
-/// A scheduler's word on the runners of a shard. It leaves out those without load.
+/// A scheduler's report of the loads in a shard. Runners without load are left out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardLoads {
-    /// The shard.
+    /// The shard that is reported.
     #[serde(rename = "h")]
     pub shard: Shard,
-    /// The loads.
+    /// The loads of its runners.
     #[serde(rename = "l")]
     pub loads: Vec<RunnerLoad>,
 }
--- a/crates/serving/tests/distance.rs
+++ b/crates/serving/tests/distance.rs
@@ -1,4 +1,4 @@
-//! Distances between zones, told and measured.
+//! Tests of the default and the measured round-trip times between zones.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::distance::Distances;
@@ -7,7 +7,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Zones `w-1` and `w-2` of the region `w`, `e-1` of `e`.
+/// Zones `w-1` and `w-2` of the region `w`, and `e-1` of the region `e`.
 fn two_regions() -> Topology {
     let zones = [("w-1", "w"), ("w-2", "w"), ("e-1", "e")];
     Topology::new(zones.map(|(zone, region)| (ZoneId::new(zone), RegionId::new(region))))
@@ -44,10 +44,13 @@
     let single = measure_for(&mut distances, 60.0, 10);
     distances.on_round_trip(&far, 300.0, now_us);
     let after_one_slow = distances.round_trip_ms(&topology, &here, &far, now_us);
-    assert!(after_one_slow < single + 35.0, "one slow answer says little: {after_one_slow}");
+    assert!(
+        after_one_slow < single + 35.0,
+        "a single slow measurement has little effect: {after_one_slow}"
+    );
 }
 
-/// Otherwise a way that became slow once would never be tried again.
+/// Without the decay, a path that was slow once is never tried again.
 #[test]
 fn an_unmeasured_distance_decays_to_the_default() {
     let topology = two_regions();
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Routes, splits, the fleet and the choice of runners.
+//! Tests of route lookup, traffic splitting, fleet updates and the choice of runners.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -89,12 +89,12 @@
     assert_eq!(final_answer(execution, reason), expected);
 }
 
-/// The shard of a region that has one.
+/// The only shard of the region `coast`.
 fn only_shard() -> Shard {
     Shard { region: RegionId::new("coast"), number: 0, of: 1 }
 }
 
-/// A fleet without runners whose zones are near each other.
+/// An empty fleet whose zones all belong to the region `coast`.
 fn one_region() -> Fleet {
     let zones = ["north", "south", "east"].map(ZoneId::new);
     let coast = RegionId::new("coast");
@@ -122,7 +122,7 @@
     assert_eq!(
         fleet.remove(&RunnerId::new("a"), at(6), None),
         FleetChange::Unchanged,
-        "a late removal"
+        "a removal older than the entry"
     );
     assert_eq!(fleet.remove(&RunnerId::new("a"), at(8), None), FleetChange::Removed);
 }
@@ -201,7 +201,7 @@
     let pace = ReadPace::default();
     let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
     assert_eq!(planned_runner(plan_prefill(&engines(), &pace, &case.demand())), home);
-    // Its scheduler has told that it has much to read.
+    // The scheduler reports a long prefill queue at the home.
     let load = RunnerLoad {
         runner: RunnerId::new(&home),
         in_flight: 3,
@@ -213,7 +213,7 @@
     };
     fleet.on_shard_loads(&only_shard(), &[load], 1_000);
     assert_ne!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
-    // Its next word takes that back.
+    // Its next report contains no load.
     fleet.on_shard_loads(&only_shard(), &[], 1_000);
     assert_eq!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
 }
@@ -228,7 +228,7 @@
     let held = case.prompt.shared_prefix();
     fleet.on_prefix_cached(&RunnerId::new(other), held, 1_000, CACHE_TOKENS);
     let Some(PrefillPlan::Split(choice)) = plan_prefill(&fleet, &pace, &case.demand()) else {
-        unreachable!("prefill runners are free")
+        unreachable!("prefill runners are idle")
     };
     assert_eq!(choice.demand.unread_tokens, 3_000);
     if choice.runner.as_str() != other {
@@ -284,7 +284,7 @@
     fleet.on_load(&RunnerId::new("near"), LoadReport { running: 8, waiting: 4 }, 1_000);
     assert_eq!(chosen(&fleet), "far");
     fleet.on_unreachable(&RunnerId::new("far"), 1_000);
-    assert_eq!(chosen(&fleet), "near", "one that could not be reached comes last");
+    assert_eq!(chosen(&fleet), "near", "an unreachable runner is ranked last");
 }
 
 #[test]
@@ -296,7 +296,7 @@
     fleet.on_misdirected(&RunnerId::new("only"));
     assert!(
         choose_least_occupied(&fleet, &Case::new(0, 0).demand()).is_none(),
-        "another has its address"
+        "another runner has its address"
     );
 }
 
@@ -326,8 +326,8 @@
     assert_eq!(order.on_digest(&digest(5, 1)), Freshness::Newcomer);
     assert_eq!(order.on_digest(&digest(5, 3)), Freshness::Newer);
     assert_eq!(order.on_digest(&digest(5, 2)), Freshness::Stale);
-    assert_eq!(order.on_digest(&digest(5, 3)), Freshness::Stale, "a doubled datagram");
-    assert_eq!(order.on_digest(&digest(4, 1)), Freshness::Newcomer, "it started anew");
+    assert_eq!(order.on_digest(&digest(5, 3)), Freshness::Stale, "a duplicated datagram");
+    assert_eq!(order.on_digest(&digest(4, 1)), Freshness::Newcomer, "the node has restarted");
 }
 
 #[test]
@@ -340,7 +340,7 @@
     let much_later = 60_000_000;
     assert!(!fleet.get(&a).unwrap().is_avoided(much_later));
     fleet.on_sent(&a, AttemptDemand::default());
-    assert!(fleet.get(&a).unwrap().is_avoided(much_later), "others wait for the first");
+    assert!(fleet.get(&a).unwrap().is_avoided(much_later), "other requests wait for the probe");
     fleet.on_answered(&a, false, much_later);
     assert!(!fleet.get(&a).unwrap().is_avoided(much_later));
 }
@@ -390,7 +390,7 @@
     assert_eq!(
         choose_least_occupied(&fleet, &case.demand()),
         None,
-        "rather none than a forbidden one"
+        "no runner rather than one in an excluded zone"
     );
 }
 
@@ -413,10 +413,11 @@
     assert_eq!((runner.occupancy(0), runner.unread_for_peers(0)), (4.0, 1_000));
     assert!(runner.occupancy(400_000) < 3.0 && runner.unread_for_peers(400_000) < 600);
     assert_eq!((runner.occupancy(1_000_000), runner.unread_for_peers(1_000_000)), (0.0, 0));
-    assert_eq!(runner.held_by_all(1_000_000), 50, "memory is let go with the run alone");
+    assert_eq!(runner.held_by_all(1_000_000), 50, "memory is released only when the run ends");
 }
 
-/// Once a runner that had changed its role while the list was late got no work for a whole day.
+/// A misdirected runner has to be used again after its entry has changed. Otherwise a runner that
+/// changes its role while the registry is late gets no requests, which once lasted a whole day.
 #[test]
 fn a_misdirected_runner_is_used_again_after_a_newer_entry() {
     let mut fleet = one_region();
@@ -424,7 +425,7 @@
     fleet.put(record("a", "north", Some(Stage::Decode), 3));
     fleet.on_misdirected(&id);
     assert_eq!(fleet.put(record("a", "north", Some(Stage::Decode), 3)), FleetChange::Unchanged);
-    assert!(!fleet.get(&id).unwrap().takes_work(), "the same entry again");
+    assert!(!fleet.get(&id).unwrap().takes_work(), "the same entry arrives again");
     fleet.replace_all(vec![record("a", "north", Some(Stage::Prefill), 5)], at(6), None);
     assert!(fleet.get(&id).unwrap().takes_work());
 }
--- a/crates/serving/tests/region_fetch.rs
+++ b/crates/serving/tests/region_fetch.rs
@@ -1,4 +1,4 @@
-//! Shared parts of prompts are taken over from another region where that costs less than reading them.
+//! A shared prefix is fetched from another region where that costs less than prefilling it.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -19,7 +19,7 @@
 const SHARED_TOKENS: u64 = 8_000;
 const PROMPT_TOKENS: u64 = 10_000;
 const CACHE_TOKENS: u64 = 400_000;
-/// By the guessed pace, reading a token takes 0.033 ms.
+/// At the default speed, prefilling a token takes 0.033 ms.
 const FAST_MOVE_MS: f64 = 0.004;
 const SLOW_MOVE_MS: f64 = 0.06;
 
@@ -47,7 +47,8 @@
     Prompt { parts, tokens: PROMPT_TOKENS, max_output_tokens: 10 }
 }
 
-/// Who reads in the region `w`, where a move between regions takes so long.
+/// The choice for a request of the region `w` if transferring a token between regions takes
+/// `region_move_ms`. The runners of `e` only serve as sources.
 fn plan_in_w(
     fleet: &Fleet,
     region_move_ms: Option<f64>,
@@ -68,15 +69,15 @@
     }
 }
 
-/// A runner of `e` has read the shared parts, and its region has told so.
+/// Records that a runner of `e` holds the shared prefix, as announced by its region.
 fn announce_prefix_of_e(fleet: &mut Fleet) {
     let announced = CachedPrefixMessage::new(&RunnerId::new("p-e-1"), prompt().shared_prefix());
     fleet.on_prefix_cached(&announced.runner, &announced.parts(), 0, CACHE_TOKENS);
 }
 
 #[test_case(Some(FAST_MOVE_MS), Some("p-e-1"), PROMPT_TOKENS - SHARED_TOKENS; "a fast link")]
-#[test_case(Some(SLOW_MOVE_MS), None, PROMPT_TOKENS; "a link slower than reading")]
-#[test_case(None, None, PROMPT_TOKENS; "a link of which nothing is announced")]
+#[test_case(Some(SLOW_MOVE_MS), None, PROMPT_TOKENS; "a link slower than prefilling")]
+#[test_case(None, None, PROMPT_TOKENS; "a link of unknown speed")]
 fn a_prefix_is_fetched_from_another_region_if_that_is_faster_than_prefill(
     region_move_ms: Option<f64>,
     expected_source: Option<&str>,
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Regions: how the fleet is cut by them, and when a request leaves its own.
+//! Tests of how regions partition the fleet, and when a request leaves its region.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -28,12 +28,12 @@
 const SECOND: u64 = 1_000_000;
 const DUE: ResponseTarget = ResponseTarget { target_ms: 500.0, elapsed_ms: 0.0 };
 
-/// Zones `w-1`, `w-2`, `e-1`, `e-2` of the regions `w` and `e`.
+/// Zones `w-1`, `w-2`, `e-1` and `e-2` of the regions `w` and `e`.
 fn two_regions() -> Topology {
     regions(2, 2)
 }
 
-/// So many regions, each with so many zones.
+/// A topology of so many regions with so many zones each.
 fn regions(regions: usize, zones: usize) -> Topology {
     let names = ["w", "e", "n", "s", "a", "b", "c", "d"];
     let zone = move |region: &'static str| {
@@ -47,7 +47,7 @@
     RunnerRecord { zone: ZoneId::new(zone), stage, ..runner_record(RunnerId::new(id)) }
 }
 
-/// Two prefill and two decode runners in each zone, as seen from `w-1`.
+/// Two prefill and two decode runners in each zone, seen by a node in `w-1`.
 fn fleet(topology: &Topology) -> Fleet {
     let mut fleet = Fleet::new(ZoneId::new("w-1"), topology.clone());
     for (zone, _) in topology.zones() {
@@ -131,7 +131,8 @@
     assert_eq!(seen.count_in(&RegionId::new("all")), 8);
 }
 
-/// Nodes in turn over the zones; every tenth is strong. Seen by node `own`.
+/// Nodes distributed over the zones in turn, as seen by the node `own`. In each ten, as many nodes
+/// as there are zones are strong.
 fn membership(topology: &Topology, nodes: usize, own: usize) -> Membership {
     let zones: Vec<ZoneId> = topology.zones().map(|(zone, _)| zone.clone()).collect();
     let name = |number: usize| NodeId::new(format!("node-{number}"));
@@ -187,7 +188,7 @@
         assert_eq!(sources.len(), 6);
         assert!(sources[..2].iter().all(|source| near.contains(source)));
         let first = mirrors.iter().find(|mirror| mirror.own().address == sources[0]).unwrap();
-        assert_eq!(first.own().zone, view.own().zone, "its own zone first");
+        assert_eq!(first.own().zone, view.own().zone, "the mirror in its own zone comes first");
     }
 }
 
@@ -221,7 +222,7 @@
     assert!(!of_east.contains(scheduler));
 }
 
-/// What all nodes computed before there were regions.
+/// The shard number that nodes computed before regions were introduced.
 fn number_without_regions(runner: &RunnerId, of: usize) -> usize {
     (rendezvous_weight("shard", runner.as_str()) % of as u64) as usize
 }
@@ -309,7 +310,11 @@
     let far: Vec<RunnerId> = fleet.iter().map(|runner| runner.record.id.clone()).collect();
     far.iter().for_each(|id| fleet.on_unreachable(id, SECOND));
     let placed = case.placed(&fleet, None);
-    assert_eq!(region_of(&fleet, placed.prefill_choice().unwrap()), "w", "no other is better");
+    assert_eq!(
+        region_of(&fleet, placed.prefill_choice().unwrap()),
+        "w",
+        "no other region is reachable"
+    );
 }
 
 #[test]
@@ -363,7 +368,7 @@
     RegionLoads { region: RegionId::new(region), services: vec![load] }
 }
 
-/// Whether a request that waits so long in region `from` leaves it, by what `backlogs` know.
+/// Whether a request that waits so long in the region `from` leaves it, given `backlogs`.
 fn leaves(fleet: &Fleet, backlogs: &RegionBacklogs, from: &str, wait_ms: f64, now_us: u64) -> bool {
     let placed = LocalPlacement {
         service: &ServiceName::new("llm"),
@@ -381,19 +386,22 @@
 fn a_request_leaves_its_region_when_the_gain_exceeds_the_cost() {
     let fleet = fleet(&two_regions());
     let mut backlogs = RegionBacklogs::default();
-    assert!(!leaves(&fleet, &backlogs, "w", 5_000.0, SECOND), "nothing is known of the other");
+    assert!(!leaves(&fleet, &backlogs, "w", 5_000.0, SECOND), "the other region has not reported");
     backlogs.on_loads(loads("e", 100.0), SECOND);
-    // Three round trips of 60 ms, dearer bytes and a margin of 100 ms.
+    // Three round trips of 60 ms, and 100 ms for the traffic cost and the minimum gain.
     assert!(!leaves(&fleet, &backlogs, "w", 370.0, SECOND));
     assert!(leaves(&fleet, &backlogs, "w", 390.0, SECOND));
-    assert!(!leaves(&fleet, &backlogs, "w", 390.0, SECOND + 200_000), "the word has aged");
-    assert!(!leaves(&fleet, &backlogs, "w", 60_000.0, SECOND * 6), "it is too old");
+    assert!(
+        !leaves(&fleet, &backlogs, "w", 390.0, SECOND + 200_000),
+        "the reported wait grows with its age"
+    );
+    assert!(!leaves(&fleet, &backlogs, "w", 60_000.0, SECOND * 6), "the report has expired");
     backlogs.on_request_sent(&RegionId::new("e"), &ServiceName::new("llm"), 400.0);
-    assert!(!leaves(&fleet, &backlogs, "w", 390.0, SECOND), "what was sent there waits there");
+    assert!(!leaves(&fleet, &backlogs, "w", 390.0, SECOND), "requests sent there add to its wait");
     let mut full = loads("e", 0.0);
     full.services[0].occupancy = 900;
     backlogs.on_loads(full, SECOND);
-    assert!(!leaves(&fleet, &backlogs, "w", 5_000.0, SECOND), "nobody could write it there");
+    assert!(!leaves(&fleet, &backlogs, "w", 5_000.0, SECOND), "the decode runners there are full");
 }
 
 #[test]
@@ -416,7 +424,8 @@
 }
 
 proptest! {
-    /// Waits that grow by no more than time passes and shrink as they like, told once a second.
+    /// Waits grow at most as fast as time passes and shrink arbitrarily; they are reported once a
+    /// second.
     #[test]
     fn two_regions_never_exchange_their_requests(
         steps in proptest::collection::vec((0.0_f64..1.0, 0.0_f64..1.0), 1..200),
@@ -480,7 +489,7 @@
     assert_eq!(received.len(), 90);
     assert!(received.iter().all(|(node, count)| *node >= FAR || *count >= 13), "{received:?}");
     let mut turns = DigestTurns::default();
-    assert_eq!(turns.next(&near[..20], &[]).len(), 16, "one region is told as before");
+    assert_eq!(turns.next(&near[..20], &[]).len(), 16, "a single region");
     assert_eq!(turns.next(&[], &far).len(), 16, "a node that is alone in its region");
     assert_eq!(turns.next(&near[..3], &far[..1]).len(), 4);
 }
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -1,5 +1,5 @@
-//! A fleet of 295 nodes and 160 runners in virtual time: how long requests wait where they are
-//! placed, by who places them.
+//! Simulates a fleet of 295 nodes and 160 runners in virtual time and compares the queueing times
+//! that different ways of placing requests lead to.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -32,10 +32,10 @@
 const TARGET_MS: u64 = 800;
 const REMAINING_MS: u64 = 4_000;
 const SHARED_PROMPTS: u64 = 800;
-/// The first requests meet empty runners.
+/// The first requests find empty runners and are not counted.
 const WARM_UP_REQUESTS: u64 = 500;
 
-/// Numbers that are the same in each run.
+/// A generator of pseudo-random numbers with a fixed sequence.
 struct Rng(u64);
 
 impl Rng {
@@ -66,29 +66,29 @@
     fleet
 }
 
-/// Who places requests.
+/// Who places the requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Strategy {
-    /// Schedulers of so many shards; so many of a hundred words on progress are lost.
+    /// One scheduler for each of `shards` shards; `lost` percent of the progress messages are lost.
     Schedulers { shards: usize, lost: u64 },
-    /// Each node by what it knows of its own requests.
+    /// Each node, from what it knows of its own requests.
     EachNode,
 }
 
-/// One who places requests: a scheduler or a node.
+/// A scheduler or node that places requests.
 struct Placer {
     fleet: Fleet,
     reservations: Reservations,
 }
 
-/// What a runner has to do until it is free.
+/// The time at which each runner has worked off its queue.
 #[derive(Default)]
 struct Queues {
     free_at_us: BTreeMap<RunnerId, u64>,
 }
 
 impl Queues {
-    /// A prompt comes to a runner; returns its wait, and when it has been read.
+    /// Adds a prompt to a runner's queue; returns its wait and the time at which it is prefilled.
     fn add(&mut self, runner: &RunnerId, now_us: u64, prefill_us: u64) -> (u64, u64) {
         let free_at_us = self.free_at_us.entry(runner.clone()).or_default();
         let begins_us = now_us.max(*free_at_us);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Mean wait of requests, milliseconds.
+    /// Runs the simulation; returns the mean wait of the counted requests in milliseconds.
     fn run(mut self) -> f64 {
         let mut rng = Rng(7);
         for number in 0..REQUESTS {
--- a/crates/serving/tests/support/mod.rs
+++ b/crates/serving/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests build.
+//! Helpers that several tests share.
 #![allow(dead_code, clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
@@ -6,7 +6,8 @@
 use pitchstall_serving::store_revision::StoreRevision;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A runner of the service `llm` in the zone `north`, with eight slots and no stage, at revision 1.
+/// The entry of a runner of the service `llm` in the zone `north`, with eight slots and no stage,
+/// at revision 1.
 pub fn runner_record(id: RunnerId) -> RunnerRecord {
     RunnerRecord {
         id,
@@ -22,7 +23,7 @@
     }
 }
 
-/// A revision of a store that tells no eras.
+/// A revision of a store that does not report eras.
 pub fn at(number: u64) -> StoreRevision {
     StoreRevision::without_era(number)
 }
