--- a/crates/gateway/tests/runner_load.rs
+++ b/crates/gateway/tests/runner_load.rs
@@ -13,12 +13,12 @@
         unread_tokens: 0,
         late_tokens: 0,
         held_tokens: 7,
-        asked_a_second: 0,
+        prefill_tokens_per_s: 0,
     };
     let told = serde_json::to_string(&load).unwrap();
     assert_eq!(told, r#"{"r":"d0","n":2,"t":0,"k":7}"#);
     assert_eq!(serde_json::from_str::<RunnerLoad>(&told).unwrap(), load);
-    let whole = RunnerLoad { unread_requests: 1, late_tokens: 5, asked_a_second: 9, ..load };
+    let whole = RunnerLoad { unread_requests: 1, late_tokens: 5, prefill_tokens_per_s: 9, ..load };
     let told = serde_json::to_string(&whole).unwrap();
     assert_eq!(told, r#"{"r":"d0","n":2,"w":1,"t":0,"l":5,"k":7,"a":9}"#);
     assert_eq!(serde_json::from_str::<RunnerLoad>(&told).unwrap(), whole);
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -136,7 +136,7 @@
                 late_tokens: load.late_tokens,
                 held_tokens: load.held_tokens,
             };
-            let asked_a_second = load.asked_a_second;
+            let asked_a_second = load.prefill_tokens_per_s;
             runner.told = Some(ToldLoad { load: reported, asked_a_second, told_at_us: now_us });
         }
     }
@@ -151,7 +151,7 @@
             unread_tokens: runner.unread_tokens + runner.reserved.unread_tokens,
             late_tokens: runner.late_tokens_of_all(),
             held_tokens: runner.held_tokens + runner.reserved.held_tokens,
-            asked_a_second: runner.asked.a_second(now_us) as u64,
+            prefill_tokens_per_s: runner.asked.a_second(now_us) as u64,
         };
         let of_shard = self.runners.values().filter(|runner| shard.contains(runner));
         of_shard.map(load).filter(|load| load.in_flight > 0).collect()
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -325,7 +325,7 @@
     pub held_tokens: u64,
     /// Rate at which the runner was recently asked to prefill, in prompt tokens per second.
     #[serde(rename = "a", default, skip_serializing_if = "is_zero")]
-    pub asked_a_second: u64,
+    pub prefill_tokens_per_s: u64,
 }
 
 /// A scheduler's report of the loads in a shard. Runners without load are left out.
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -209,7 +209,7 @@
         unread_tokens: 90_000,
         late_tokens: 0,
         held_tokens: 90_000,
-        asked_a_second: 0,
+        prefill_tokens_per_s: 0,
     };
     fleet.on_shard_loads(&only_shard(), &[load], 1_000);
     assert_ne!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
@@ -406,7 +406,7 @@
         unread_tokens: 1_000,
         late_tokens: 0,
         held_tokens: 50,
-        asked_a_second: 0,
+        prefill_tokens_per_s: 0,
     };
     fleet.on_shard_loads(&only_shard(), &[load], 0);
     let runner = fleet.get(&id).unwrap();
--- a/crates/serving/tests/role_view.rs
+++ b/crates/serving/tests/role_view.rs
@@ -120,7 +120,7 @@
         unread_tokens: 0,
         late_tokens: 120_000,
         held_tokens: 0,
-        asked_a_second: 0,
+        prefill_tokens_per_s: 0,
     };
     holder.on_shard_loads(&only_shard(), &[load], SECOND);
     let seen = look(&mut planner(), &holder, SECOND).seen;
--- a/crates/serving/tests/runner_lives.rs
+++ b/crates/serving/tests/runner_lives.rs
@@ -54,7 +54,7 @@
         unread_tokens: 700,
         late_tokens: 100,
         held_tokens: 900,
-        asked_a_second: 50,
+        prefill_tokens_per_s: 50,
     }
 }
 
