--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -46,7 +46,7 @@
 
     /// The runner has read the prompt; only the writing is left.
     pub fn on_read(&mut self) {
-        self.node.fleet.borrow_mut().on_prompt_read(&self.runner, self.demand);
+        self.node.fleet.borrow_mut().on_prefilled(&self.runner, self.demand);
         self.demand.unread_tokens = 0;
         self.demand.late_tokens = 0;
     }
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -34,10 +34,10 @@
     }
 
     /// Records that a runner has prefilled the prompt of an attempt.
-    pub fn on_prompt_read(&mut self, id: &RunnerId, demand: AttemptDemand) {
+    pub fn on_prefilled(&mut self, id: &RunnerId, demand: AttemptDemand) {
         if let Some(runner) = self.runners.get_mut(id) {
-            let read = u32::from(demand.is_unread());
-            runner.unread_requests = runner.unread_requests.saturating_sub(read);
+            let prefilled = u32::from(demand.is_unread());
+            runner.unread_requests = runner.unread_requests.saturating_sub(prefilled);
             runner.unread_tokens = runner.unread_tokens.saturating_sub(demand.unread_tokens);
             runner.late_tokens = runner.late_tokens.saturating_sub(demand.late_tokens);
         }
@@ -237,8 +237,8 @@
     }
 
     /// Applies a runner's limit that another node reported.
-    pub fn on_limit_reported(&mut self, word: &LimitWord, now_us: u64) -> Option<LimitChange> {
-        self.update_limit(&word.runner, |limit| limit.on_word(word, now_us))
+    pub fn on_limit_reported(&mut self, message: &LimitWord, now_us: u64) -> Option<LimitChange> {
+        self.update_limit(&message.runner, |limit| limit.on_word(message, now_us))
     }
 
     /// Records that the keeper of a runner's limit has no capacity left for `wait_us` microseconds.
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -246,29 +246,32 @@
     /// The runner from which `runner` fetches the part of the prefix that it lacks: one of the
     /// candidates or, if it holds more and the transfer is worthwhile, one of another region.
     fn source_for(&self, runner: &Runner) -> Option<&'a Runner> {
-        let held = runner.cached_tokens(self.demand.prompt);
-        let gains = |source: &&Runner, held: u64| {
-            let gained = source.cached_tokens(self.demand.prompt).saturating_sub(held);
+        let cached_tokens = runner.cached_tokens(self.demand.prompt);
+        let gains = |source: &&Runner, cached_tokens: u64| {
+            let gained = source.cached_tokens(self.demand.prompt).saturating_sub(cached_tokens);
             gained >= MIN_FETCH_TOKENS
         };
-        let near = self.source.filter(|source| gains(source, held));
-        let held_near = near.map_or(held, |source| source.cached_tokens(self.demand.prompt));
-        let remote = self.remote_source.filter(|source| gains(source, held_near));
-        remote.filter(|source| self.is_remote_fetch_worthwhile(source, runner)).or(near)
+        let local = self.source.filter(|source| gains(source, cached_tokens));
+        let local_tokens =
+            local.map_or(cached_tokens, |source| source.cached_tokens(self.demand.prompt));
+        let remote = self.remote_source.filter(|source| gains(source, local_tokens));
+        remote.filter(|source| self.is_remote_fetch_worthwhile(source, runner)).or(local)
     }
 
     /// Whether fetching the prefix from another region is preferable to prefilling it again.
     fn is_remote_fetch_worthwhile(&self, source: &Runner, runner: &Runner) -> bool {
-        let held = runner.cached_tokens(self.demand.prompt);
-        let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
+        let cached_tokens = runner.cached_tokens(self.demand.prompt);
+        let moved_tokens =
+            source.cached_tokens(self.demand.prompt).saturating_sub(cached_tokens) as f64;
         self.cross_region_fetch_ms(source, runner)
             <= self.pace.read_ms(moved_tokens) * PREFILL_COST_FACTOR
     }
 
     /// Time to fetch the prefix from a runner of another region, in milliseconds.
     fn cross_region_fetch_ms(&self, source: &Runner, runner: &Runner) -> f64 {
-        let held = runner.cached_tokens(self.demand.prompt);
-        let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
+        let cached_tokens = runner.cached_tokens(self.demand.prompt);
+        let moved_tokens =
+            source.cached_tokens(self.demand.prompt).saturating_sub(cached_tokens) as f64;
         let (from, to) = (&source.record.zone, &runner.record.zone);
         let rtt_ms = self.fleet.round_trip_ms(from, to, self.demand.now_us);
         rtt_ms + moved_tokens * self.demand.region_move_ms.unwrap_or(f64::INFINITY)
@@ -299,8 +302,8 @@
         if source.region != runner.region {
             return self.cross_region_fetch_ms(source, runner);
         }
-        let held = runner.cached_tokens(self.demand.prompt);
-        let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(held);
+        let cached_tokens = runner.cached_tokens(self.demand.prompt);
+        let moved_tokens = source.cached_tokens(self.demand.prompt).saturating_sub(cached_tokens);
         let zone_factor =
             if source.record.zone == runner.record.zone { 1.0 } else { CROSS_ZONE_FETCH_FACTOR };
         FETCH_COST_MS + moved_tokens as f64 * FETCH_COST_MS_PER_TOKEN * zone_factor
@@ -387,22 +390,22 @@
 }
 
 /// The runner outside the requesting node's region that holds most of the shared prefix, if it
-/// holds more than `near`. Zone policies restrict it in the same way as the runners that prefill.
+/// holds more than `local`. Zone policies restrict it in the same way as the runners that prefill.
 fn remote_source<'a>(
     fleet: &'a Fleet,
     demand: &Demand<'_>,
-    near: Option<&Runner>,
+    local: Option<&Runner>,
 ) -> Option<&'a Runner> {
     demand.region_move_ms?;
-    let held_near = near.map_or(0, |runner| runner.cached_tokens(demand.prompt));
-    if held_near >= demand.prompt.shared_prefix_tokens() {
+    let local_tokens = local.map_or(0, |runner| runner.cached_tokens(demand.prompt));
+    if local_tokens >= demand.prompt.shared_prefix_tokens() {
         return None;
     }
     let eligible = Eligible { scope: Scope::AllRegions, excluded: &[], ..demand.eligible };
     let holders = fleet.candidates(&eligible, demand.now_us).into_iter();
     let remote = holders.filter(|runner| !fleet.topology().is_in(demand.zone, &runner.region));
     let best = remote.max_by_key(|runner| runner.cached_tokens(demand.prompt))?;
-    (best.cached_tokens(demand.prompt) > held_near).then_some(best)
+    (best.cached_tokens(demand.prompt) > local_tokens).then_some(best)
 }
 
 /// Cost of a runner's distance from a zone: the round-trip time in excess of the one inside the
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -101,7 +101,7 @@
     strategy: Strategy,
     placers: Vec<Placer>,
     queues: Queues,
-    read: BinaryHeap<Reverse<(u64, usize, Ticket)>>,
+    prefills: BinaryHeap<Reverse<(u64, usize, Ticket)>>,
     waits_us: Vec<u64>,
 }
 
@@ -116,7 +116,7 @@
             strategy,
             placers: (0..placers).map(placer).collect(),
             queues: Queues::default(),
-            read: BinaryHeap::new(),
+            prefills: BinaryHeap::new(),
             waits_us: Vec::new(),
         }
     }
@@ -134,8 +134,8 @@
     }
 
     fn deliver_progress(&mut self, now_us: u64, rng: &mut Rng) {
-        while self.read.peek().is_some_and(|Reverse((at_us, ..))| *at_us <= now_us) {
-            let Reverse((_, placer, ticket)) = self.read.pop().unwrap();
+        while self.prefills.peek().is_some_and(|Reverse((at_us, ..))| *at_us <= now_us) {
+            let Reverse((_, placer, ticket)) = self.prefills.pop().unwrap();
             let lost = match self.strategy {
                 Strategy::Schedulers { lost, .. } => rng.below(100) < lost,
                 Strategy::EachNode => false,
@@ -227,12 +227,12 @@
         let Placer { fleet, reservations } = &mut self.placers[placer];
         let reservation = reservation(fleet, &query, &prompt, &plan, now_us);
         reservations.reserve(fleet, query.ticket, reservation);
-        let (WirePlan::Split(reader, _) | WirePlan::Direct(reader)) = &plan;
+        let (WirePlan::Split(prefill, _) | WirePlan::Direct(prefill)) = &plan;
         let slower = if matches!(plan, WirePlan::Direct(_)) { 2.0 } else { 1.0 };
         let prefill_us = (pace.read_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
-        let (wait_us, read_at_us) = self.queues.add(&reader.runner, now_us, prefill_us);
+        let (wait_us, prefilled_at_us) = self.queues.add(&prefill.runner, now_us, prefill_us);
         self.waits_us.push(wait_us);
-        self.read.push(Reverse((read_at_us, placer, query.ticket)));
+        self.prefills.push(Reverse((prefilled_at_us, placer, query.ticket)));
     }
 
     fn decide(
@@ -331,8 +331,8 @@
     };
     let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
     let placed = choose_placement(&fleet, &ReadPace::default(), &demand, Some(&query.shard), due);
-    let reading = placed.prefill.as_ref().unwrap();
-    let (PrefillPlan::Split(choice) | PrefillPlan::Direct(choice)) = reading;
+    let prefill = placed.prefill.as_ref().unwrap();
+    let (PrefillPlan::Split(choice) | PrefillPlan::Direct(choice)) = prefill;
     assert!(query.shard.contains(fleet.get(&choice.runner).unwrap()));
     assert_eq!(less_loaded_shard(&fleet, &ReadPace::default(), &query, &placed, 0), None);
 }
