--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! The runners that a node knows of, and what it believes about their load and health.
+//! The runners that a node knows of, with its estimates of their load and health.
 //!
-//! Three sources disagree in time: the platform's list (late, sometimes stale), what the
-//! runners say in their answers, and failures that this node sees. The list and a runner's own
-//! word decide whether a runner may get work; failures only rank runners, because acting on a
-//! failure as if the runner were gone would empty the fleet during a short cut.
+//! Three sources disagree in time: the platform's registry (late, sometimes stale), what the
+//! runners report in their responses, and the failures that this node observes. The registry and a
+//! runner's own report decide whether a runner may get work. Failures only rank runners: treating a
+//! failure as a removal would empty the fleet during a short network partition.
 
-mod beliefs;
+mod estimates;
 mod last_entries;
 
 use last_entries::LastEntries;
@@ -19,101 +19,105 @@
 use crate::topology::Topology;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a change of the list did to a runner.
+/// The effect of a registry update on a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetChange {
-    /// It is new.
+    /// The runner was not known before.
     Joined,
-    /// It has started again: another life of it ended before.
-    Reborn {
-        /// The life that ended.
-        ended: EndedLife,
+    /// The runner has started again under the same name; its previous incarnation has ended.
+    Restarted {
+        /// The incarnation that ended.
+        ended: EndedIncarnation,
     },
-    /// It began to leave.
+    /// The runner has begun to drain.
     Draining,
-    /// Its stage changed.
-    Restaged,
-    /// Its entry is gone, which may be only because the store was away.
+    /// The runner's stage has changed.
+    StageChanged,
+    /// The entry is gone, possibly only because the store was unavailable. The runner is kept for a
+    /// grace period.
     Lapsed,
-    /// It is gone.
-    Left,
-    /// Nothing that matters.
-    None,
+    /// The runner has been removed from the fleet.
+    Removed,
+    /// The update is stale or changes nothing that affects placement.
+    Unchanged,
 }
 
-/// A life of a runner that is over.
+/// An incarnation of a runner that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndedLife {
-    /// The life.
+pub struct EndedIncarnation {
+    /// The id of the incarnation.
     pub id: RunnerId,
-    /// Whether it had said that it was about to leave.
+    /// Whether its entry or the runner itself had announced that it would leave.
     pub was_leaving: bool,
 }
 
-fn ended(runner: &Runner) -> EndedLife {
-    EndedLife { id: runner.record.id.clone(), was_leaving: runner.is_leaving() }
+fn ended(runner: &Runner) -> EndedIncarnation {
+    EndedIncarnation { id: runner.record.id.clone(), was_leaving: runner.is_leaving() }
 }
 
 /// The part of the fleet that runners are chosen from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope<'a> {
-    /// All of it.
-    Everywhere,
-    /// One region.
+    /// The whole fleet.
+    AllRegions,
+    /// The runners of one region.
     Region(&'a RegionId),
-    /// One shard of a region.
+    /// The runners of one shard of a region.
     Shard(&'a Shard),
 }
 
 impl Scope<'_> {
-    /// Whether a runner belongs to it.
-    pub fn has(&self, runner: &Runner) -> bool {
+    /// Whether the runner belongs to this scope.
+    pub fn contains(&self, runner: &Runner) -> bool {
         match self {
-            Self::Everywhere => true,
+            Self::AllRegions => true,
             Self::Region(region) => runner.region == **region,
-            Self::Shard(shard) => shard.has(runner),
+            Self::Shard(shard) => shard.contains(runner),
         }
     }
 }
 
-/// A runner takes requests of this node again.
+/// The moment from which a runner accepts requests of this node again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opening {
-    /// When, microseconds.
+pub struct NextAvailability {
+    /// Microseconds of the node's steady clock.
     pub at_us: u64,
-    /// Whether it names a limit: then other nodes wait as well, while a rest is this node's alone.
+    /// Whether the runner names a request limit. A limit holds back other nodes as well, while a
+    /// rest period applies to this node alone.
     pub has_limit: bool,
 }
 
-/// Which node a request is sent by.
+/// The node that sends a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// This one. A runner that has asked it for rest, or has none left of its limit, gets nothing.
+    /// This node. Runners that have asked it for a rest period, or whose limit is used up, are not
+    /// eligible.
     ThisNode,
-    /// Another one, which knows whom it may send to. What this node was asked for only ranks runners.
+    /// Another node, which knows itself which runners it may send to. Rest periods and limits that
+    /// apply to this node only rank runners.
     AnotherNode,
 }
 
-/// Which runners a request may go to, whatever their load and health.
+/// Selects the runners that a request may go to, irrespective of their load and health.
 #[derive(Clone, Copy, Debug)]
 pub struct Eligible<'a> {
-    /// Who sends it.
+    /// The node that sends the request.
     pub sender: Sender,
-    /// The service.
+    /// The service that has to be offered.
     pub service: &'a ServiceName,
-    /// Runners that have had the request already.
+    /// Runners to which the request has already been sent.
     pub excluded: &'a [RunnerId],
-    /// Zones that the operators' policy leaves; `None`: all.
+    /// Zones that the operators' policy allows; `None` allows all.
     pub zones: Option<&'a BTreeSet<ZoneId>>,
-    /// Where they are.
+    /// The part of the fleet that is considered.
     pub scope: Scope<'a>,
 }
 
 impl<'a> Eligible<'a> {
-    /// Every runner of a service, for some node.
+    /// All runners of a service, for a request that any node may send.
     pub fn all_of(service: &'a ServiceName) -> Self {
         let sender = Sender::AnotherNode;
-        Self { sender, service, excluded: &[], zones: None, scope: Scope::Everywhere }
+        Self { sender, service, excluded: &[], zones: None, scope: Scope::AllRegions }
     }
 
     fn admits(&self, runner: &Runner) -> bool {
@@ -122,10 +126,10 @@
         record.service == *self.service
             && zone_is_allowed
             && !self.excluded.contains(&record.id)
-            && self.scope.has(runner)
+            && self.scope.contains(runner)
     }
 
-    /// Whether the sender may send to a runner now.
+    /// Whether the sender may send requests to the runner now.
     fn may_be_sent_to(&self, runner: &Runner, now_us: u64) -> bool {
         match self.sender {
             Sender::ThisNode => runner.is_open_to_plans(now_us),
@@ -140,21 +144,22 @@
     topology: Topology,
     distances: Distances,
     runners: BTreeMap<RunnerId, Runner>,
-    /// The life that each runner is in.
-    lives: BTreeMap<RunnerName, RunnerId>,
-    /// What lives have said of themselves whose entries are gone: an entry may only have lapsed.
+    /// The current incarnation of each runner.
+    incarnations: BTreeMap<RunnerName, RunnerId>,
+    /// What runners without an entry have reported about themselves. It is kept because an entry
+    /// may have lapsed while its runner is alive.
     departed: DepartedAvailability,
-    /// The last entries of lives that are over.
+    /// The last entries of incarnations that have ended.
     last_entries: LastEntries,
 }
 
 impl Fleet {
-    /// A fleet without runners, as a node of the zone `own` sees it; zones belong to these regions.
+    /// Creates an empty fleet for a node in the zone `own`; `topology` assigns zones to regions.
     pub fn new(own: ZoneId, topology: Topology) -> Self {
         Self { topology, distances: Distances::new(own), ..Self::default() }
     }
 
-    /// Zones belong to other regions from now on.
+    /// Replaces the assignment of zones to regions and updates the region of every runner.
     pub fn set_topology(&mut self, topology: Topology) {
         for runner in self.runners.values_mut() {
             runner.region = topology.region_of(&runner.record.zone);
@@ -162,78 +167,85 @@
         self.topology = topology;
     }
 
-    /// The regions of the zones.
+    /// The assignment of zones to regions.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// A round trip from this node's zone to another took so long.
-    pub fn on_round_trip(&mut self, to: &ZoneId, took_ms: f64, now_us: u64) {
-        self.distances.on_round_trip(to, took_ms, now_us);
+    /// Records a measured round trip from this node's zone to another one.
+    pub fn on_round_trip(&mut self, to: &ZoneId, rtt_ms: f64, now_us: u64) {
+        self.distances.on_round_trip(to, rtt_ms, now_us);
     }
 
-    /// A round trip between two zones, milliseconds.
+    /// The estimated round-trip time between two zones, in milliseconds.
     pub fn round_trip_ms(&self, one: &ZoneId, other: &ZoneId, now_us: u64) -> f64 {
         self.distances.round_trip_ms(&self.topology, one, other, now_us)
     }
 
-    /// A round trip from a zone to the nearest runners of a region, milliseconds; `None` if it has
-    /// none.
-    pub fn way_ms(&self, from: &ZoneId, region: &RegionId, now_us: u64) -> Option<f64> {
+    /// The round-trip time from a zone to the nearest zone with runners of a region, in
+    /// milliseconds; `None` if the region has no runners.
+    pub fn nearest_runner_rtt_ms(
+        &self,
+        from: &ZoneId,
+        region: &RegionId,
+        now_us: u64,
+    ) -> Option<f64> {
         let of_region = self.runners.values().filter(|runner| runner.region == *region);
         let zones: BTreeSet<&ZoneId> = of_region.map(|runner| &runner.record.zone).collect();
-        let ways = zones.into_iter().map(|zone| self.round_trip_ms(from, zone, now_us));
-        ways.min_by(f64::total_cmp)
+        let round_trips = zones.into_iter().map(|zone| self.round_trip_ms(from, zone, now_us));
+        round_trips.min_by(f64::total_cmp)
     }
 
-    /// Regions in which a service has runners.
+    /// The regions in which a service has runners.
     pub fn regions_of(&self, service: &ServiceName) -> BTreeSet<RegionId> {
         let of_service = self.runners.values().filter(|runner| runner.record.service == *service);
         of_service.map(|runner| runner.region.clone()).collect()
     }
 
-    /// Regions with runners.
+    /// The regions that have runners of any service.
     pub fn regions(&self) -> BTreeSet<RegionId> {
         self.runners.values().map(|runner| runner.region.clone()).collect()
     }
 
-    /// Takes in an entry of the list. Entries older than what is known are passed over: the revision of an
-    /// entry orders lives too, as a machine's clock may have been set back before a runner's start. So are those of
-    /// lives that are over, which an older copy of the store brings back.
+    /// Applies an entry of the registry. Entries older than the known one are ignored. The revision
+    /// of an entry also orders incarnations, because a machine's clock may have been set back
+    /// before the runner started. Entries of ended incarnations, which an older state of the store
+    /// brings back, are ignored too.
     pub fn put(&mut self, mut record: RunnerRecord) -> FleetChange {
-        if self.last_entries.has(&record) {
-            return FleetChange::None;
+        if self.last_entries.is_last_entry(&record) {
+            return FleetChange::Unchanged;
         }
-        record.draining |= self.last_entries.left_before(&record);
+        record.draining |= self.last_entries.was_draining(&record);
         let region = self.topology.region_of(&record.zone);
         let name = record.id.name();
-        let Some(life) = self.lives.get(&name).cloned() else {
+        let Some(incarnation) = self.incarnations.get(&name).cloned() else {
             self.insert(record, region);
             return FleetChange::Joined;
         };
-        let Some(known) = self.runners.get_mut(&life) else { return FleetChange::None };
+        let Some(known) = self.runners.get_mut(&incarnation) else { return FleetChange::Unchanged };
         let gone_at = known.lapsed.map_or(StoreRevision::default(), |lapsed| lapsed.revision);
         if record.revision <= known.record.revision.max(gone_at) {
-            return FleetChange::None;
+            return FleetChange::Unchanged;
         }
-        if life != record.id {
-            // Nothing that is believed of the life that ended passes to the new one.
+        if incarnation != record.id {
+            // The new incarnation inherits no estimates from the previous one.
             let ended = ended(known);
-            self.forget(&life);
+            self.forget(&incarnation);
             self.insert(record, region);
-            return FleetChange::Reborn { ended };
+            return FleetChange::Restarted { ended };
         }
         if record.revision.era() > known.record.revision.era() {
-            // The entry may be older than what is known; a life that leaves goes on leaving.
+            // After a change of the store's era the entry may be older than the known one, so a
+            // runner that is draining stays draining.
             record.draining |= known.record.draining;
             record.leaves_ms = record.leaves_ms.or(known.record.leaves_ms);
         }
         let change = if record.draining && !known.record.draining {
             FleetChange::Draining
         } else if record.stage != known.record.stage {
-            FleetChange::Restaged
+            FleetChange::StageChanged
         } else {
-            FleetChange::None
+            FleetChange::Unchanged
         };
         known.record = record;
         known.region = region;
@@ -243,14 +255,15 @@
     }
 
     fn insert(&mut self, record: RunnerRecord, region: RegionId) {
-        let life = record.id.clone();
-        let availability = self.departed.take(&life);
-        self.lives.insert(life.name(), life.clone());
-        self.runners.insert(life, Runner::new(record, region, availability));
+        let incarnation = record.id.clone();
+        let availability = self.departed.take(&incarnation);
+        self.incarnations.insert(incarnation.name(), incarnation.clone());
+        self.runners.insert(incarnation, Runner::new(record, region, availability));
     }
 
-    /// An entry has gone from the list at the given revision. One that may only have lapsed while the
-    /// store was away is kept until `lapses_until_us`, unless its runner was about to leave.
+    /// Applies the removal of an entry at the given revision. If `lapses_until_us` is set, the
+    /// entry may only have lapsed while the store was unavailable: the runner is kept until then,
+    /// unless it was about to leave.
     pub fn remove(
         &mut self,
         id: &RunnerId,
@@ -264,14 +277,15 @@
                     return FleetChange::Lapsed;
                 }
                 self.forget(id);
-                FleetChange::Left
+                FleetChange::Removed
             }
-            _ => FleetChange::None,
+            _ => FleetChange::Unchanged,
         }
     }
 
-    /// Entries come from another store from now on, which counts its revisions in another way: whatever it has is later.
-    pub fn on_other_store(&mut self) {
+    /// Resets the known revisions after the store has been replaced by another one that counts
+    /// revisions independently: every entry of the new store is taken as newer.
+    pub fn on_store_replaced(&mut self) {
         for runner in self.runners.values_mut() {
             runner.record.revision = StoreRevision::default();
             if let Some(lapsed) = &mut runner.lapsed {
@@ -281,9 +295,9 @@
         self.last_entries = LastEntries::default();
     }
 
-    /// The life that a runner is in, as far as its entries tell.
-    pub fn life_of(&self, name: &RunnerName) -> Option<&RunnerId> {
-        self.lives.get(name)
+    /// The current incarnation of a runner according to its entries.
+    pub fn incarnation_of(&self, name: &RunnerName) -> Option<&RunnerId> {
+        self.incarnations.get(name)
     }
 
     fn forget(&mut self, id: &RunnerId) {
@@ -291,10 +305,10 @@
             self.departed.remember(id, runner.availability);
             self.last_entries.remember(runner.record);
         }
-        self.lives.remove(&id.name());
+        self.incarnations.remove(&id.name());
     }
 
-    /// Removes runners whose entries lapsed and have not come back in time; returns them.
+    /// Removes and returns the runners whose entries lapsed and did not return in time.
     pub fn remove_lapsed(&mut self, now_us: u64) -> Vec<RunnerId> {
         let is_over = |runner: &&Runner| runner.lapsed.is_some_and(|it| now_us >= it.until_us);
         let gone: Vec<RunnerId> =
@@ -303,93 +317,100 @@
         gone
     }
 
-    /// Takes in a whole list that was read at the given revision; returns the lives that are over. For
-    /// `lapses_until_us` see [`Fleet::remove`].
+    /// Applies a complete list of entries that was read at the given revision and returns the
+    /// incarnations that ended. For `lapses_until_us` see [`Fleet::remove`].
     pub fn replace_all(
         &mut self,
         records: Vec<RunnerRecord>,
         revision: StoreRevision,
         lapses_until_us: Option<u64>,
-    ) -> Vec<EndedLife> {
+    ) -> Vec<EndedIncarnation> {
         let listed: BTreeSet<RunnerName> = records.iter().map(|record| record.id.name()).collect();
         let is_gone = |runner: &&Runner| {
             runner.record.revision <= revision && !listed.contains(&runner.record.id.name())
         };
         let gone = self.runners.values().filter(is_gone);
-        let gone: Vec<EndedLife> = gone.map(ended).collect();
-        let has_left = |life: &EndedLife| {
-            self.remove(&life.id, revision.next(), lapses_until_us) == FleetChange::Left
+        let gone: Vec<EndedIncarnation> = gone.map(ended).collect();
+        let is_removed = |incarnation: &EndedIncarnation| {
+            self.remove(&incarnation.id, revision.next(), lapses_until_us) == FleetChange::Removed
         };
-        let mut over: Vec<EndedLife> = gone.into_iter().filter(has_left).collect();
+        let mut over: Vec<EndedIncarnation> = gone.into_iter().filter(is_removed).collect();
         for record in records {
-            if let FleetChange::Reborn { ended } = self.put(record) {
+            if let FleetChange::Restarted { ended } = self.put(record) {
                 over.push(ended);
             }
         }
         over
     }
 
-    /// Zones in which a service has runners.
+    /// The zones in which a service has runners.
     pub fn zones_of(&self, service: &ServiceName) -> BTreeSet<ZoneId> {
         let of_service = self.runners.values().filter(|runner| runner.record.service == *service);
         of_service.map(|runner| runner.record.zone.clone()).collect()
     }
 
-    /// A runner by its id.
+    /// Looks up an incarnation of a runner; `None` if it is not known or has ended.
     pub fn get(&self, id: &RunnerId) -> Option<&Runner> {
         self.runners.get(id)
     }
 
-    /// All runners.
+    /// Iterates over all runners in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Runner> {
         self.runners.values()
     }
 
-    /// Runners that may get new requests; those that are avoided only if there are no others.
+    /// The runners that may get new requests. Runners that are to be avoided are returned only if
+    /// there are no others.
     pub fn candidates(&self, eligible: &Eligible<'_>, now_us: u64) -> Vec<&Runner> {
         let is_eligible = |runner: &&Runner| {
             let may_be_sent_to = eligible.may_be_sent_to(runner, now_us);
             eligible.admits(runner) && may_be_sent_to && !runner.is_changing(now_us)
         };
         let all: Vec<&Runner> = self.runners.values().filter(is_eligible).collect();
-        let sound: Vec<&Runner> =
+        let healthy: Vec<&Runner> =
             all.iter().copied().filter(|runner| !runner.is_avoided(now_us)).collect();
-        if sound.is_empty() {
+        if healthy.is_empty() {
             all
         } else {
-            sound
+            healthy
         }
     }
 
-    /// The first runner that takes requests of this node again, of those that get none because of a rest or a limit alone.
-    pub fn first_opening(&self, eligible: &Eligible<'_>, now_us: u64) -> Option<Opening> {
+    /// The earliest moment at which a runner accepts requests of this node again, among the runners
+    /// that are unavailable only because of a rest period or a limit.
+    pub fn next_availability(
+        &self,
+        eligible: &Eligible<'_>,
+        now_us: u64,
+    ) -> Option<NextAvailability> {
         let is_only_withheld = |runner: &&Runner| {
             eligible.admits(runner) && runner.takes_work() && !runner.is_changing(now_us)
         };
         let withheld = self.runners.values().filter(is_only_withheld);
-        let opening = |runner: &Runner| {
+        let availability = |runner: &Runner| {
             let at_us = runner.withheld_until_us(now_us)?;
-            Some(Opening { at_us, has_limit: runner.limit().is_some() })
+            Some(NextAvailability { at_us, has_limit: runner.limit().is_some() })
         };
-        withheld.filter_map(opening).min_by_key(|opening| opening.at_us)
+        withheld.filter_map(availability).min_by_key(|availability| availability.at_us)
     }
 
-    /// Runners of a service that get nothing from this node by their own word, leaving ones first.
+    /// Runners of a service that currently refuse requests of this node by their own report,
+    /// because they leave, rest or have reached a limit. Leaving runners come first.
     pub fn withheld(&self, service: &ServiceName, now_us: u64) -> Vec<RunnerId> {
         let is_withheld = |runner: &&Runner| {
-            let own_word =
+            let is_refusing =
                 runner.availability.is_leaving() || runner.withheld_until_us(now_us).is_some();
-            runner.record.service == *service && own_word
+            runner.record.service == *service && is_refusing
         };
         let mut withheld: Vec<&Runner> = self.runners.values().filter(is_withheld).collect();
         withheld.sort_by_key(|runner| !runner.is_leaving());
         withheld.into_iter().map(|runner| runner.record.id.clone()).collect()
     }
 
-    /// Whether there is a runner for new requests that is not avoided and writes answers.
-    pub fn has_sound(&self, eligible: &Eligible<'_>, now_us: u64) -> bool {
+    /// Whether any candidate that can decode (or serves without stages) need not be avoided.
+    pub fn has_healthy(&self, eligible: &Eligible<'_>, now_us: u64) -> bool {
         let candidates = self.candidates(eligible, now_us);
-        let writes = |runner: &&Runner| runner.record.stage != Some(Stage::Prefill);
-        candidates.into_iter().filter(writes).any(|runner| !runner.is_avoided(now_us))
+        let is_decode_capable = |runner: &&Runner| runner.record.stage != Some(Stage::Prefill);
+        candidates.into_iter().filter(is_decode_capable).any(|runner| !runner.is_avoided(now_us))
     }
 }
--- a/crates/serving/src/prefix_cache.rs
+++ b/crates/serving/src/prefix_cache.rs
@@ -1,12 +1,12 @@
-//! A model of a runner's KV cache, from the prompts that nodes have seen read there.
+//! A model of a runner's KV cache, based on the prompts that nodes have seen prefilled there.
 //!
-//! It is wrong now and then: runners drop parts without a word. A part that is gone is read
-//! again, which costs time and nothing else.
+//! The model may be wrong, because runners evict parts without notice. A part that is missing is
+//! prefilled again, which only costs time.
 
 use crate::prefix::PromptPart;
 use std::collections::HashMap;
 
-/// Which parts of prompts a runner probably holds: those sent there last.
+/// The prompt parts that a runner probably holds: the most recently used ones.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCacheModel {
     parts: HashMap<u64, CachedPart>,
@@ -19,32 +19,34 @@
     used_at_us: u64,
 }
 
-/// Share of a runner's cache that is counted on; running requests need the rest.
-const COUNTED_CACHE_PERCENT: u64 = 70;
+/// Share of a runner's KV cache that is assumed to hold prefixes, in percent; running requests need
+/// the rest.
+const MAX_CACHED_PERCENT: u64 = 70;
 
 impl PrefixCacheModel {
-    /// Tokens of the first of these parts that are held without a gap.
+    /// Number of tokens held from the start of these parts without a gap.
     pub fn cached_tokens(&self, parts: &[PromptPart]) -> u64 {
         let held = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
         held.map(|part| part.tokens).sum()
     }
 
-    /// The runner has read these parts, or taken them over. `capacity` is in tokens.
-    pub fn on_read(&mut self, parts: &[PromptPart], now_us: u64, capacity: u64) {
+    /// Records that the runner has prefilled or fetched these parts, and evicts the least recently
+    /// used ones beyond the assumed capacity. `capacity` is the size of its KV cache in tokens.
+    pub fn on_prefix_cached(&mut self, parts: &[PromptPart], now_us: u64, capacity: u64) {
         for part in parts {
             let entry = CachedPart { tokens: part.tokens, used_at_us: now_us };
             if self.parts.insert(part.id, entry).is_none() {
                 self.tokens += part.tokens;
             }
         }
-        while self.tokens > capacity * COUNTED_CACHE_PERCENT / 100 {
-            if !self.drop_oldest() {
+        while self.tokens > capacity * MAX_CACHED_PERCENT / 100 {
+            if !self.evict_least_recently_used() {
                 break;
             }
         }
     }
 
-    fn drop_oldest(&mut self) -> bool {
+    fn evict_least_recently_used(&mut self) -> bool {
         let oldest = self.parts.iter().min_by_key(|(_, part)| part.used_at_us);
         let Some((id, tokens)) = oldest.map(|(id, part)| (*id, part.tokens)) else {
             return false;
