--- a/crates/serving/src/fleet/beliefs.rs
+++ b/crates/serving/src/fleet/beliefs.rs
@@ -8,7 +8,7 @@
 use crate::runner::{AttemptDemand, Load, LoadReport, Runner, Stage, ToldLoad};
 use crate::runner_limit::{LimitChange, LimitWord, NamedLimit};
 use crate::runner_notice::{Learned, RunnerNotice};
-use crate::runner_pace::{RunnerReading, Spent};
+use crate::runner_speed::{RunnerReading, Spent};
 use crate::scheduling::{RunnerLoad, Shard};
 use crate::suspicion::Suspicion;
 
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -47,7 +47,6 @@
 //! | [`attempt`] | what a failed attempt proves, and the final answer that follows |
 //! | [`event_stream`] | which bytes of a stream may be forwarded, and where it can go on |
 
-mod asked_rate;
 pub mod attempt;
 pub mod authority;
 pub mod capacity_planner;
@@ -63,6 +62,8 @@
 pub mod limit_keeper;
 pub mod membership;
 pub mod placement;
+mod prefill_demand;
+pub mod prefill_speed;
 pub mod prefix;
 pub mod prefix_cache;
 pub mod quarantine;
@@ -77,7 +78,6 @@
 pub mod quota_slots;
 pub mod quota_term;
 pub mod quota_turns;
-pub mod read_pace;
 pub mod regions;
 pub mod request;
 pub mod request_identity;
@@ -89,7 +89,7 @@
 pub mod runner;
 pub mod runner_limit;
 pub mod runner_notice;
-pub mod runner_pace;
+pub mod runner_speed;
 pub mod scheduler;
 pub mod scheduling;
 pub mod store_copy;
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -6,8 +6,8 @@
 
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RunnerId, ZoneId};
+use crate::prefill_speed::ReadPace;
 use crate::prefix::{rendezvous_weight, Prompt};
-use crate::read_pace::ReadPace;
 use crate::runner::{AttemptDemand, Runner, Stage};
 
 /// What a choice depends on besides the fleet.
--- a/crates/serving/src/read_pace.rs
+++ b/crates/serving/src/prefill_speed.rs
@@ -6,7 +6,7 @@
 //! the line is a guess that a few of them outweigh.
 
 use crate::runner::Runner;
-use crate::runner_pace::{RunnerReading, Spent};
+use crate::runner_speed::{RunnerReading, Spent};
 
 /// A reading that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -9,8 +9,8 @@
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, RunnerId, ServiceName, ZoneId};
 use crate::placement::Demand;
+use crate::prefill_speed::ReadPace;
 use crate::prefix::PromptPart;
-use crate::read_pace::ReadPace;
 use crate::runner::{Runner, Stage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/serving/src/role_planner.rs
+++ b/crates/serving/src/role_planner.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::Fleet;
 use crate::ids::RunnerId;
-use crate::read_pace::ReadPace;
+use crate::prefill_speed::ReadPace;
 use crate::role_view::RoleView;
 pub use crate::role_view::{RoleDemand, RolesSeen};
 use crate::runner::Stage;
--- a/crates/serving/src/role_view.rs
+++ b/crates/serving/src/role_view.rs
@@ -4,7 +4,7 @@
 use crate::configuration::EngineSpec;
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, RunnerId, ServiceName};
-use crate::read_pace::ReadPace;
+use crate::prefill_speed::ReadPace;
 use crate::runner::{Runner, Stage};
 
 /// What is asked of a service's runners.
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -1,12 +1,12 @@
 //! One runner as a node sees it: its entry in the list, its load, its health and its cache.
 
-use crate::asked_rate::AskedRate;
 use crate::failure_rate::FailureRate;
 use crate::ids::{RegionId, RunnerId, ServiceName, ZoneId};
+use crate::prefill_demand::AskedRate;
 use crate::prefix::Prompt;
 use crate::prefix_cache::PrefixCacheModel;
 use crate::runner_notice::{Availability, RequestRate};
-use crate::runner_pace::RunnerPace;
+use crate::runner_speed::RunnerPace;
 use crate::store_revision::StoreRevision;
 use crate::suspicion::Suspicion;
 use serde::{Deserialize, Serialize};
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -4,8 +4,8 @@
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, ZoneId};
 use crate::placement::{choose_writer, plan_reading, Choice, Demand, ReadingPlan};
+use crate::prefill_speed::ReadPace;
 use crate::prefix::Prompt;
-use crate::read_pace::ReadPace;
 use crate::regions::{regions_in_order, Placed, RegionBacklogs};
 use crate::reservations::{Reservation, Reserved};
 use crate::runner::Stage;
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -13,8 +13,8 @@
 use pitchstall_serving::placement::{
     choose_worker, choose_writer, plan_reading, Demand, ReadingPlan,
 };
+use pitchstall_serving::prefill_speed::ReadPace;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
-use pitchstall_serving::read_pace::ReadPace;
 use pitchstall_serving::routing::TrafficSplitter;
 use pitchstall_serving::runner::{AttemptDemand, LoadReport, RunnerRecord, Stage};
 use pitchstall_serving::scheduling::{RunnerLoad, Shard};
--- a/crates/serving/tests/read_pace.rs
+++ b/crates/serving/tests/prefill_speed.rs
@@ -1,7 +1,7 @@
 //! The measured pace of reading.
 #![allow(missing_docs)]
 
-use pitchstall_serving::read_pace::{ReadPace, ReadSample};
+use pitchstall_serving::prefill_speed::{ReadPace, ReadSample};
 use test_case::test_case;
 
 const SIZES: [u64; 4] = [500, 2_000, 8_000, 20_000];
--- a/crates/serving/tests/role_view.rs
+++ b/crates/serving/tests/role_view.rs
@@ -6,7 +6,7 @@
 use pitchstall_serving::configuration::EngineSpec;
 use pitchstall_serving::fleet::Fleet;
 use pitchstall_serving::ids::{RegionId, RunnerId, ServiceName, ZoneId};
-use pitchstall_serving::read_pace::ReadPace;
+use pitchstall_serving::prefill_speed::ReadPace;
 use pitchstall_serving::reservations::{Reservation, Reservations, Reserved};
 use pitchstall_serving::role_planner::{
     NothingOrdered, RoleDemand, RolePlan, RolePlanner, RolePolicy,
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -7,7 +7,7 @@
 use pitchstall_serving::configuration::EngineSpec;
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{RunnerId, ServiceName};
-use pitchstall_serving::read_pace::ReadPace;
+use pitchstall_serving::prefill_speed::ReadPace;
 use pitchstall_serving::role_planner::{RoleChange, RoleDemand, RolePlanner, RolePolicy};
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord, Stage};
 use proptest::prelude::*;
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -8,8 +8,8 @@
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
 use pitchstall_serving::placement::{reading_home, Demand, ReadingPlan};
+use pitchstall_serving::prefill_speed::ReadPace;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
-use pitchstall_serving::read_pace::ReadPace;
 use pitchstall_serving::reservations::Reservations;
 use pitchstall_serving::runner::{RunnerRecord, Stage};
 use pitchstall_serving::scheduler::{
