--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -47,8 +47,8 @@
     /// The runner has read the prompt; only the writing is left.
     pub fn on_read(&mut self) {
         self.node.fleet.borrow_mut().on_prompt_read(&self.runner, self.demand);
-        self.demand.unread_tokens = 0;
-        self.demand.late_tokens = 0;
+        self.demand.prefill_tokens = 0;
+        self.demand.overdue_tokens = 0;
     }
 }
 
@@ -146,7 +146,7 @@
 fn usable_record(node: &Node, runner: &RunnerId) -> Result<RunnerRecord, NotPrepared> {
     let now_us = node.now_us();
     let fleet = node.fleet.borrow();
-    let usable = fleet.get(runner).filter(|runner| runner.takes_work_from_here(now_us));
+    let usable = fleet.get(runner).filter(|runner| runner.accepts_work_from_this_node(now_us));
     usable.map(|runner| runner.record.clone()).ok_or(NotPrepared::Withheld)
 }
 
@@ -349,8 +349,8 @@
     let runner = prepared.record.id.as_str();
     let reused = prepared.rested.is_some();
     let revision = prepared.record.revision.to_string();
-    let unread = prepared.flight.demand.unread_tokens;
-    let late = prepared.flight.demand.late_tokens;
+    let unread = prepared.flight.demand.prefill_tokens;
+    let late = prepared.flight.demand.overdue_tokens;
     let expected_ms = u64::try_from(params.expected.as_millis()).unwrap_or(u64::MAX);
     let rank = params.priority.unwrap_or_default();
     let fetch = params.fetch_from.is_some();
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -53,7 +53,7 @@
 /// Runners of language models that belong to one of the shards.
 pub fn runners_to_list(fleet: &Fleet, shards: &[Shard]) -> Vec<(RunnerId, SocketAddr)> {
     let has = |runner: &&Runner| {
-        let is_engine = runner.takes_work() && runner.record.stage.is_some();
+        let is_engine = runner.accepts_work() && runner.record.stage.is_some();
         is_engine && shards.iter().any(|shard| shard.has(runner))
     };
     let listed = fleet.iter().filter(has);
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -167,7 +167,8 @@
         if prompt.is_some() {
             follow_up.tell(Progress::Read(elapsed_ms(sent_at)));
         }
-        let is_usable = |writer: &Choice| prompt.is_some() && self.node.takes_work(&writer.runner);
+        let is_usable =
+            |writer: &Choice| prompt.is_some() && self.node.accepts_work(&writer.runner);
         let writer = writer.filter(is_usable);
         let zone = prompt.as_ref().map(|prompt| prompt.zone.clone());
         let (choice, permit) = self.permitted_writer(writer, zone.as_ref()).await.unzip();
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -33,7 +33,7 @@
 use pitchstall_serving::freshness::StoreFreshness;
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
-use pitchstall_serving::prefill_speed::{ReadPace, ReadSample};
+use pitchstall_serving::prefill_speed::{PrefillSample, PrefillSpeed};
 use pitchstall_serving::prefix::PromptPart;
 use pitchstall_serving::quarantine::Quarantine;
 use pitchstall_serving::retry_budget::{RetryPolicy, SharedRetryBudget};
@@ -128,7 +128,7 @@
     is_stopping: Cell<bool>,
     splitter: RefCell<TrafficSplitter>,
     budgets: RefCell<HashMap<ServiceName, SharedRetryBudget>>,
-    paces: RefCell<HashMap<ServiceName, ReadPace>>,
+    paces: RefCell<HashMap<ServiceName, PrefillSpeed>>,
     open_requests: Cell<usize>,
     open_connections: Cell<usize>,
     is_closing: Cell<bool>,
@@ -292,10 +292,11 @@
     }
 
     /// Whether this node may plan to send requests to a runner, as far as it knows.
-    pub fn takes_work(&self, runner: &RunnerId) -> bool {
+    pub fn accepts_work(&self, runner: &RunnerId) -> bool {
         let now_us = self.now_us();
-        let takes =
-            |runner: &Runner| runner.is_open_to_plans(now_us) && !runner.is_changing(now_us);
+        let takes = |runner: &Runner| {
+            runner.is_available_for_placement(now_us) && !runner.is_changing_role(now_us)
+        };
         self.fleet.borrow().get(runner).is_some_and(takes)
     }
 
@@ -407,21 +408,21 @@
     pub fn with_pace<R>(
         &self,
         service: &ServiceName,
-        use_pace: impl FnOnce(&mut ReadPace) -> R,
+        use_pace: impl FnOnce(&mut PrefillSpeed) -> R,
     ) -> R {
         use_pace(self.paces.borrow_mut().entry(service.clone()).or_default())
     }
 
     /// A runner of a service has read a prompt.
-    pub fn on_read_in(&self, service: &ServiceName, runner: &RunnerId, sample: ReadSample) {
-        let hears_of_all = shard_scheduler::schedules(self, runner);
-        let reading = self.with_pace(service, |pace| {
-            pace.on_read(sample);
-            pace.compare(&sample, hears_of_all)
+    pub fn on_read_in(&self, service: &ServiceName, runner: &RunnerId, sample: PrefillSample) {
+        let observes_all_prefills = shard_scheduler::schedules(self, runner);
+        let reading = self.with_pace(service, |speed| {
+            speed.on_prefilled(sample);
+            speed.timing_of(&sample, observes_all_prefills)
         });
         let spent = self.fleet.borrow_mut().on_paced(runner, reading, self.now_us());
         if let Some(spent) = spent {
-            self.with_pace(service, |pace| pace.on_spent(spent));
+            self.with_pace(service, |speed| speed.on_prefill_timed(spent));
         }
     }
 
@@ -429,8 +430,8 @@
     pub fn has_nothing_else_to_read(&self, runner: &RunnerId, just_sent: u64) -> bool {
         let fleet = self.fleet.borrow();
         let Some(runner) = fleet.get(runner) else { return false };
-        let others = runner.others(self.now_us());
-        runner.unread_tokens <= just_sent && runner.in_flight <= 1 && others < 1.0
+        let others = runner.peer_requests(self.now_us());
+        runner.prefill_tokens <= just_sent && runner.in_flight <= 1 && others < 1.0
     }
 
     /// Whether the node takes new callers.
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -173,7 +173,7 @@
     pub fn may_send_to(&self, runner: &RunnerId) -> bool {
         let now_us = self.now_us();
         let fleet = self.fleet.borrow();
-        fleet.get(runner).is_some_and(|runner| runner.takes_work_from_here(now_us))
+        fleet.get(runner).is_some_and(|runner| runner.accepts_work_from_this_node(now_us))
     }
 
     /// A connection to a runner could not be opened. `is_refused`: nobody listens there.
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -10,7 +10,7 @@
 use pitchstall_platform_adapter::paths;
 use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::placement::Choice;
-use pitchstall_serving::prefill_speed::ReadSample;
+use pitchstall_serving::prefill_speed::PrefillSample;
 use pitchstall_serving::prefix::Prompt;
 use pitchstall_serving::request::PromptHandle;
 use std::cell::Cell;
@@ -91,7 +91,7 @@
     let begun = Instant::now();
     let runner = prepared.record().id.clone();
     let tokens = demand.choice.tokens_to_read();
-    let met_no_queue = node.has_nothing_else_to_read(&runner, tokens);
+    let was_unqueued = node.has_nothing_else_to_read(&runner, tokens);
     let answering = match attempt::send(node, demand.request, prepared, params).await {
         AttemptEnd::Answering(answering) => answering,
         AttemptEnd::Declined => return ReadingEnd::Declined,
@@ -118,7 +118,7 @@
     }
     let name = read.what;
     let elapsed_ms = begun.elapsed().as_secs_f64() * 1_000.0;
-    let sample = ReadSample { tokens, elapsed_ms, met_no_queue };
+    let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
     node.on_read_in(demand.service, &runner, sample);
     let handle = PromptHandle { address: answering.record.address, name };
     let zone = answering.record.zone.clone();
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -15,7 +15,7 @@
 use pitchstall_serving::fleet::Fleet;
 use pitchstall_serving::ids::ServiceName;
 use pitchstall_serving::role_planner::{
-    NothingOrdered, RoleChange, RoleDemand, RolePlan, RolePlanner, RolePolicy, RolesSeen,
+    NoChangeReason, RoleChange, RoleDemand, RoleMetrics, RolePlan, RolePlanner, RolePolicy,
 };
 use pitchstall_serving::runner::{RunnerRecord, Stage};
 use pitchstall_serving::runner_notice::RunnerNotice;
@@ -73,17 +73,17 @@
             let changes = match plan.decision {
                 Ok(_) if self.fence_now().is_none() => {
                     // The planner's pressure goes on: orders follow when the term allows them.
-                    self.log_nothing(&service, &plan.seen, "authority not ready");
+                    self.log_nothing(&service, &plan.metrics, "authority not ready");
                     continue;
                 }
                 Ok(changes) => changes,
-                Err(NothingOrdered::NoPressure) => continue,
+                Err(NoChangeReason::NoPressure) => continue,
                 Err(reason) => {
-                    self.log_nothing(&service, &plan.seen, reason.name());
+                    self.log_nothing(&service, &plan.metrics, reason.name());
                     continue;
                 }
             };
-            log_seen(&service, &plan.seen, changes.len());
+            log_seen(&service, &plan.metrics, changes.len());
             for change in &changes {
                 self.order(change).await;
             }
@@ -94,15 +94,15 @@
     }
 
     /// Says what a planner saw under pressure and why it ordered nothing.
-    fn log_nothing(&mut self, service: &ServiceName, seen: &RolesSeen, reason: &str) {
+    fn log_nothing(&mut self, service: &ServiceName, seen: &RoleMetrics, reason: &str) {
         let now_us = self.node.now_us();
         let last_us = self.lines.get(service).copied();
         if last_us.is_some_and(|last_us| now_us < last_us + LINE_EVERY_US) {
             return;
         }
         self.lines.insert(service.clone(), now_us);
-        let RolesSeen { prefill, decode, .. } = *seen;
-        let needed = seen.readers_needed.round() as u64;
+        let RoleMetrics { prefill, decode, .. } = *seen;
+        let needed = seen.prefill_needed.round() as u64;
         let [wait, late, occupancy, memory] = percents(seen);
         let service = service.as_str();
         log::info!(
@@ -192,15 +192,15 @@
 }
 
 /// Wait, late work, slots and memory in use, each in hundredths.
-fn percents(seen: &RolesSeen) -> [u64; 4] {
+fn percents(seen: &RoleMetrics) -> [u64; 4] {
     let percent = |share: f64| (share * 100.0).round() as u64;
-    [seen.wait, seen.late, seen.occupancy, seen.memory].map(percent)
+    [seen.wait, seen.overdue_wait, seen.occupancy, seen.memory].map(percent)
 }
 
 /// Says what a planner saw when it orders changes.
-fn log_seen(service: &ServiceName, seen: &RolesSeen, changes: usize) {
-    let RolesSeen { prefill, decode, .. } = *seen;
-    let needed = seen.readers_needed.round() as u64;
+fn log_seen(service: &ServiceName, seen: &RoleMetrics, changes: usize) {
+    let RoleMetrics { prefill, decode, .. } = *seen;
+    let needed = seen.prefill_needed.round() as u64;
     let [wait, late, occupancy, memory] = percents(seen);
     let service = service.as_str();
     log::info!(
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -88,7 +88,7 @@
     fn policy(&self) -> CapacityPolicy {
         let section = self.node.settings().capacity;
         CapacityPolicy {
-            least_reserved: section.least_reserved,
+            min_reserved_share: section.least_reserved,
             headroom: section.headroom,
             uses_preemptible: section.preemptible,
             ..CapacityPolicy::default()
@@ -139,7 +139,7 @@
         let need = reserved + plan.found_preemptible;
         if need != plan.record.need {
             plan.record = CapacityRecord { need, zones: supply.into_keys().collect() };
-            plan.planner.on_counted(plan.record.clone());
+            plan.planner.on_recounted(plan.record.clone());
             plan.counting = Some(Instant::now());
             return;
         }
@@ -213,9 +213,7 @@
             Ok(DutyAnswer::Done) => plan.planner.on_ordered(order),
             // The same status tells of a higher fencing token: that one shows at the next order of
             // the other kind, at a usage report, or when the lease is renewed.
-            Ok(DutyAnswer::Conflict) if preemptible => {
-                plan.planner.on_none_to_be_had(order, now_us)
-            }
+            Ok(DutyAnswer::Conflict) if preemptible => plan.planner.on_unavailable(order, now_us),
             Ok(DutyAnswer::Conflict) => {
                 self.node.authority.on_refused(fence);
                 return false;
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -278,12 +278,12 @@
 
 /// Whether a told choice holds. The scheduler does not know all that runners have said to this node.
 fn is_usable(node: &Node, choice: &Choice) -> bool {
-    let takes_work = node.takes_work(&choice.runner);
-    if !takes_work {
+    let accepts_work = node.accepts_work(&choice.runner);
+    if !accepts_work {
         node.metrics.placements_dropped.inc();
         log::info!(target: "scheduling", runner = choice.runner.as_str(); "choice dropped");
     }
-    takes_work
+    accepts_work
 }
 
 /// Runners that a question names as not to be chosen, at most: some 500 bytes. The leaving ones come first, as they
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -167,7 +167,7 @@
         let policy = CapacityPolicy::default();
         Self {
             preemptible: policy.uses_preemptible,
-            least_reserved: policy.least_reserved,
+            least_reserved: policy.min_reserved_share,
             headroom: policy.headroom,
         }
     }
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -13,10 +13,10 @@
 use pitchstall_serving::fleet::{Eligible, Scope, Sender};
 use pitchstall_serving::ids::{RegionId, RunnerId, ZoneId};
 use pitchstall_serving::placement::Demand;
-use pitchstall_serving::prefill_speed::ReadSample;
+use pitchstall_serving::prefill_speed::PrefillSample;
 use pitchstall_serving::prefix::Prompt;
 use pitchstall_serving::regions::{service_load, RegionLoads, ServiceLoad};
-use pitchstall_serving::reservations::{Reservation, Reserved};
+use pitchstall_serving::reservations::{Reservation, RunnerReservation};
 use pitchstall_serving::scheduler::{reservation, shorter_shard, told_plan, PlacedRequest};
 use pitchstall_serving::scheduling::{
     Elsewhere, PlacementAnswer, PlacementQuestion, Progress, ProgressWord, Shard, ShardLoads,
@@ -124,8 +124,8 @@
     let mut fleet = node.fleet.borrow_mut();
     let now_us = node.now_us();
     let reservation = reservation(&fleet, question, prompt, plan, now_us);
-    let Reserved { runner, demand } = &reservation.reader;
-    fleet.on_placed(runner, demand.unread_tokens + demand.late_tokens, now_us);
+    let RunnerReservation { runner, demand } = &reservation.prefill;
+    fleet.on_placed(runner, demand.prefill_tokens + demand.overdue_tokens, now_us);
     node.scheduling.reservations.borrow_mut().reserve(&mut fleet, question.ticket, reservation);
 }
 
@@ -139,7 +139,7 @@
     }
     match &word.progress {
         Progress::Read(elapsed_ms) => {
-            let read = reservations.on_read(&mut node.fleet.borrow_mut(), word.ticket);
+            let read = reservations.on_prefilled(&mut node.fleet.borrow_mut(), word.ticket);
             drop(reservations);
             if let Some(read) = read {
                 on_read(node, read, *elapsed_ms);
@@ -152,21 +152,21 @@
 }
 
 fn on_read(node: &Node, read: Reservation, elapsed_ms: u64) {
-    let is_apart = read.writer.is_some();
-    node.on_progress(&read.reader.runner);
-    let tokens = read.reader.demand.unread_tokens + read.reader.demand.late_tokens;
+    let is_apart = read.decode.is_some();
+    node.on_progress(&read.prefill.runner);
+    let tokens = read.prefill.demand.prefill_tokens + read.prefill.demand.overdue_tokens;
     // What it held, or took over, is known where it was read.
-    if tokens >= read.shared_parts.iter().map(|part| part.tokens).sum() {
-        held_parts::on_read(node, &read.reader.runner, &read.shared_parts);
+    if tokens >= read.shared_prefixes.iter().map(|part| part.tokens).sum() {
+        held_parts::on_read(node, &read.prefill.runner, &read.shared_prefixes);
     }
-    node.on_parts_held(&read.reader.runner, &read.shared_parts);
-    if let Some(writer) = &read.writer {
-        node.on_parts_held(&writer.runner, &read.shared_parts);
+    node.on_parts_held(&read.prefill.runner, &read.shared_prefixes);
+    if let Some(writer) = &read.decode {
+        node.on_parts_held(&writer.runner, &read.shared_prefixes);
     }
     if is_apart {
-        let met_no_queue = read.met_no_queue;
-        let sample = ReadSample { tokens, elapsed_ms: elapsed_ms as f64, met_no_queue };
-        node.on_read_in(&read.service, &read.reader.runner, sample);
+        let was_unqueued = read.was_unqueued;
+        let sample = PrefillSample { tokens, elapsed_ms: elapsed_ms as f64, was_unqueued };
+        node.on_read_in(&read.service, &read.prefill.runner, sample);
     }
 }
 
--- a/crates/serving/src/failure_rate.rs
+++ b/crates/serving/src/failure_rate.rs
@@ -1,7 +1,7 @@
 //! How often a runner has lately answered with failures of its own.
 
 /// Weight of the newest answer in a runner's failure rate.
-const FAILURE_WEIGHT: f64 = 0.15;
+const NEWEST_RESPONSE_WEIGHT: f64 = 0.15;
 /// Time in which a failure rate fades by half, microseconds.
 const FAILURE_HALF_LIFE_US: f64 = 4_000_000.0;
 
@@ -20,10 +20,10 @@
     }
 
     /// An answer came; `failed` if it was a failure of the runner's own.
-    pub fn on_answer(&mut self, failed: bool, now_us: u64) {
+    pub fn on_response(&mut self, failed: bool, now_us: u64) {
         let newest = if failed { 1.0 } else { 0.0 };
         let before = self.at(now_us);
-        self.rate = before + FAILURE_WEIGHT * (newest - before);
+        self.rate = before + NEWEST_RESPONSE_WEIGHT * (newest - before);
         self.updated_at_us = now_us;
     }
 }
--- a/crates/serving/src/fleet/beliefs.rs
+++ b/crates/serving/src/fleet/beliefs.rs
@@ -5,10 +5,10 @@
 use crate::digest::ChangingRunner;
 use crate::ids::RunnerId;
 use crate::prefix::PromptPart;
-use crate::runner::{AttemptDemand, Load, LoadReport, Runner, Stage, ToldLoad};
+use crate::runner::{AttemptDemand, Load, LoadReport, ReportedLoad, Runner, Stage};
 use crate::runner_limit::{LimitChange, LimitWord, NamedLimit};
-use crate::runner_notice::{Learned, RunnerNotice};
-use crate::runner_speed::{RunnerReading, Spent};
+use crate::runner_notice::{AvailabilityChange, RunnerNotice};
+use crate::runner_speed::{PrefillDuration, PrefillTiming};
 use crate::scheduling::{RunnerLoad, Shard};
 use crate::suspicion::Suspicion;
 
@@ -24,9 +24,9 @@
         if let Some(runner) = self.runners.get_mut(id) {
             runner.in_flight += 1;
             runner.availability.on_sent();
-            runner.unread_requests += u32::from(demand.is_unread());
-            runner.unread_tokens += demand.unread_tokens;
-            runner.late_tokens += demand.late_tokens;
+            runner.pending_prefills += u32::from(demand.needs_prefill());
+            runner.prefill_tokens += demand.prefill_tokens;
+            runner.overdue_tokens += demand.overdue_tokens;
             runner.held_tokens += demand.held_tokens;
         }
     }
@@ -34,10 +34,10 @@
     /// A runner has read the prompt of an attempt.
     pub fn on_prompt_read(&mut self, id: &RunnerId, demand: AttemptDemand) {
         if let Some(runner) = self.runners.get_mut(id) {
-            let read = u32::from(demand.is_unread());
-            runner.unread_requests = runner.unread_requests.saturating_sub(read);
-            runner.unread_tokens = runner.unread_tokens.saturating_sub(demand.unread_tokens);
-            runner.late_tokens = runner.late_tokens.saturating_sub(demand.late_tokens);
+            let read = u32::from(demand.needs_prefill());
+            runner.pending_prefills = runner.pending_prefills.saturating_sub(read);
+            runner.prefill_tokens = runner.prefill_tokens.saturating_sub(demand.prefill_tokens);
+            runner.overdue_tokens = runner.overdue_tokens.saturating_sub(demand.overdue_tokens);
         }
     }
 
@@ -46,10 +46,10 @@
         if let Some(runner) = self.runners.get_mut(id) {
             runner.in_flight = runner.in_flight.saturating_sub(1);
             runner.availability.on_ended();
-            let unread = u32::from(demand.is_unread());
-            runner.unread_requests = runner.unread_requests.saturating_sub(unread);
-            runner.unread_tokens = runner.unread_tokens.saturating_sub(demand.unread_tokens);
-            runner.late_tokens = runner.late_tokens.saturating_sub(demand.late_tokens);
+            let unread = u32::from(demand.needs_prefill());
+            runner.pending_prefills = runner.pending_prefills.saturating_sub(unread);
+            runner.prefill_tokens = runner.prefill_tokens.saturating_sub(demand.prefill_tokens);
+            runner.overdue_tokens = runner.overdue_tokens.saturating_sub(demand.overdue_tokens);
             runner.held_tokens = runner.held_tokens.saturating_sub(demand.held_tokens);
         }
     }
@@ -64,7 +64,7 @@
     /// This node has placed a request at a runner, which has so many tokens to read for it.
     pub fn on_placed(&mut self, id: &RunnerId, tokens: u64, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.asked.on_asked(tokens, now_us);
+            runner.prefill_demand.add(tokens, now_us);
         }
     }
 
@@ -72,10 +72,10 @@
     pub fn on_paced(
         &mut self,
         id: &RunnerId,
-        reading: RunnerReading,
+        reading: PrefillTiming,
         now_us: u64,
-    ) -> Option<Spent> {
-        self.runners.get_mut(id)?.pace.on_read(reading, now_us)
+    ) -> Option<PrefillDuration> {
+        self.runners.get_mut(id)?.speed.on_prefilled(reading, now_us)
     }
 
     /// A scheduler sets a request's needs aside at a runner.
@@ -85,7 +85,7 @@
 
     /// The prompt of a request whose needs were set aside has been read.
     pub fn on_reserved_prompt_read(&mut self, id: &RunnerId, demand: AttemptDemand) {
-        self.update_reserved(id, |reserved| reserved.on_read(demand));
+        self.update_reserved(id, |reserved| reserved.on_prefilled(demand));
     }
 
     /// A request whose needs were set aside is over there.
@@ -95,13 +95,13 @@
 
     /// What is set aside there waits for another runner to read the prompt.
     pub fn on_awaiting_prompt(&mut self, id: &RunnerId) {
-        self.update_reserved(id, |reserved| reserved.unread_requests += 1);
+        self.update_reserved(id, |reserved| reserved.pending_prefills += 1);
     }
 
     /// That prompt has been read, or is not waited for any more.
     pub fn on_awaited_prompt(&mut self, id: &RunnerId) {
         self.update_reserved(id, |reserved| {
-            reserved.unread_requests = reserved.unread_requests.saturating_sub(1);
+            reserved.pending_prefills = reserved.pending_prefills.saturating_sub(1);
         });
     }
 
@@ -114,19 +114,20 @@
     /// A scheduler told the loads of a shard's runners; those it leaves out have none.
     pub fn on_shard_loads(&mut self, shard: &Shard, loads: &[RunnerLoad], now_us: u64) {
         for runner in self.runners.values_mut().filter(|runner| shard.has(runner)) {
-            runner.told = None;
+            runner.reported_load = None;
         }
         for load in loads {
             let Some(runner) = self.runners.get_mut(&load.runner) else { continue };
-            let told = Load {
+            let reported = Load {
                 in_flight: load.in_flight,
-                unread_requests: load.unread_requests,
-                unread_tokens: load.unread_tokens,
-                late_tokens: load.late_tokens,
+                pending_prefills: load.unread_requests,
+                prefill_tokens: load.unread_tokens,
+                overdue_tokens: load.late_tokens,
                 held_tokens: load.held_tokens,
             };
             let asked_a_second = load.asked_a_second;
-            runner.told = Some(ToldLoad { load: told, asked_a_second, told_at_us: now_us });
+            runner.reported_load =
+                Some(ReportedLoad { load: reported, asked_a_second, reported_at_us: now_us });
         }
     }
 
@@ -135,11 +136,11 @@
         let load = |runner: &Runner| RunnerLoad {
             runner: runner.record.id.clone(),
             in_flight: runner.in_flight + runner.reserved.in_flight,
-            unread_requests: runner.unread_requests + runner.reserved.unread_requests,
-            unread_tokens: runner.unread_tokens + runner.reserved.unread_tokens,
-            late_tokens: runner.late_tokens_of_all(),
+            unread_requests: runner.pending_prefills + runner.reserved.pending_prefills,
+            unread_tokens: runner.prefill_tokens + runner.reserved.prefill_tokens,
+            late_tokens: runner.local_overdue_tokens(),
             held_tokens: runner.held_tokens + runner.reserved.held_tokens,
-            asked_a_second: runner.asked.a_second(now_us) as u64,
+            asked_a_second: runner.prefill_demand.tokens_per_second(now_us) as u64,
         };
         let of_shard = self.runners.values().filter(|runner| shard.has(runner));
         of_shard.map(load).filter(|load| load.in_flight > 0).collect()
@@ -148,8 +149,9 @@
     /// A runner told its load.
     pub fn on_load(&mut self, id: &RunnerId, load: LoadReport, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.others = (load.running + load.waiting).saturating_sub(runner.in_flight);
-            runner.others_at_us = now_us;
+            runner.reported_peer_requests =
+                (load.running + load.waiting).saturating_sub(runner.in_flight);
+            runner.peer_requests_reported_at_us = now_us;
         }
     }
 
@@ -157,7 +159,7 @@
     pub fn on_answered(&mut self, id: &RunnerId, failed: bool, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.suspicion.on_progress(now_us);
-            runner.failures.on_answer(failed, now_us);
+            runner.failures.on_response(failed, now_us);
         }
     }
 
@@ -175,8 +177,8 @@
         let is_same_order = |(known, known_until_us): (Stage, u64)| {
             known == stage && until_us < known_until_us + NEW_ORDER_US
         };
-        if !runner.changing.is_some_and(is_same_order) {
-            runner.changing = Some((stage, until_us));
+        if !runner.role_change.is_some_and(is_same_order) {
+            runner.role_change = Some((stage, until_us));
         }
     }
 
@@ -190,9 +192,9 @@
 
     /// Runners that are changing their role.
     pub fn changing(&self, now_us: u64) -> Vec<ChangingRunner> {
-        let changing = self.runners.values().filter(|runner| runner.is_changing(now_us));
+        let changing = self.runners.values().filter(|runner| runner.is_changing_role(now_us));
         let word = |runner: &Runner| {
-            let (stage, until_us) = runner.changing?;
+            let (stage, until_us) = runner.role_change?;
             let left_ms = until_us.saturating_sub(now_us) / MICROS_PER_MILLI;
             Some(ChangingRunner { runner: runner.record.id.clone(), stage, left_ms })
         };
@@ -201,7 +203,12 @@
 
     /// A runner has said something of itself in an answer to this node. A life whose entry is gone is
     /// remembered: the entry may come back as it was.
-    pub fn on_notice(&mut self, id: &RunnerId, notice: RunnerNotice, now_us: u64) -> Learned {
+    pub fn on_notice(
+        &mut self,
+        id: &RunnerId,
+        notice: RunnerNotice,
+        now_us: u64,
+    ) -> AvailabilityChange {
         if let Some(runner) = self.runners.get_mut(id) {
             return runner.availability.on_notice(notice, now_us);
         }
@@ -277,7 +284,7 @@
     /// A runner broke an answer off, though it can be reached.
     pub fn on_broken_answer(&mut self, id: &RunnerId, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.failures.on_answer(true, now_us);
+            runner.failures.on_response(true, now_us);
         }
     }
 
--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -128,8 +128,8 @@
     /// Whether the sender may send to a runner now.
     fn may_be_sent_to(&self, runner: &Runner, now_us: u64) -> bool {
         match self.sender {
-            Sender::ThisNode => runner.is_open_to_plans(now_us),
-            Sender::AnotherNode => runner.takes_work(),
+            Sender::ThisNode => runner.is_available_for_placement(now_us),
+            Sender::AnotherNode => runner.accepts_work(),
         }
     }
 }
@@ -349,7 +349,7 @@
     pub fn candidates(&self, eligible: &Eligible<'_>, now_us: u64) -> Vec<&Runner> {
         let is_eligible = |runner: &&Runner| {
             let may_be_sent_to = eligible.may_be_sent_to(runner, now_us);
-            eligible.admits(runner) && may_be_sent_to && !runner.is_changing(now_us)
+            eligible.admits(runner) && may_be_sent_to && !runner.is_changing_role(now_us)
         };
         let all: Vec<&Runner> = self.runners.values().filter(is_eligible).collect();
         let sound: Vec<&Runner> =
@@ -364,7 +364,7 @@
     /// The first runner that takes requests of this node again, of those that get none because of a rest or a limit alone.
     pub fn first_opening(&self, eligible: &Eligible<'_>, now_us: u64) -> Option<Opening> {
         let is_only_withheld = |runner: &&Runner| {
-            eligible.admits(runner) && runner.takes_work() && !runner.is_changing(now_us)
+            eligible.admits(runner) && runner.accepts_work() && !runner.is_changing_role(now_us)
         };
         let withheld = self.runners.values().filter(is_only_withheld);
         let opening = |runner: &Runner| {
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RunnerId, ZoneId};
-use crate::prefill_speed::ReadPace;
+use crate::prefill_speed::PrefillSpeed;
 use crate::prefix::{rendezvous_weight, Prompt};
 use crate::runner::{AttemptDemand, Runner, Stage};
 
@@ -54,13 +54,13 @@
 impl Choice {
     /// The same, but its prompt is read after all that can still be in time.
     pub fn put_behind(mut self) -> Self {
-        self.demand.late_tokens += std::mem::take(&mut self.demand.unread_tokens);
+        self.demand.overdue_tokens += std::mem::take(&mut self.demand.prefill_tokens);
         self
     }
 
     /// Prompt tokens that the runner does not hold.
     pub fn tokens_to_read(&self) -> u64 {
-        self.demand.unread_tokens + self.demand.late_tokens
+        self.demand.prefill_tokens + self.demand.overdue_tokens
     }
 }
 
@@ -143,7 +143,11 @@
 }
 
 /// Chooses how the prompt is read. `None` if no runner takes work.
-pub fn plan_reading(fleet: &Fleet, pace: &ReadPace, demand: &Demand<'_>) -> Option<ReadingPlan> {
+pub fn plan_reading(
+    fleet: &Fleet,
+    pace: &PrefillSpeed,
+    demand: &Demand<'_>,
+) -> Option<ReadingPlan> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let (readers, writers) = by_stage(&candidates);
     let view = PromptView::new(fleet, &candidates, pace, demand);
@@ -167,7 +171,7 @@
 ) -> Option<Choice> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let (_, writers) = by_stage(&candidates);
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     let view = PromptView::new(fleet, &candidates, &pace, demand);
     let near = source.unwrap_or(demand.zone);
     cheapest(&writers, &view, |runner| view.writing_ms(runner, near))
@@ -188,8 +192,8 @@
     let choice = Choice {
         runner: best.record.id.clone(),
         demand: AttemptDemand {
-            unread_tokens: view.unread_tokens(best),
-            late_tokens: 0,
+            prefill_tokens: view.unread_tokens(best),
+            overdue_tokens: 0,
             held_tokens: view.held_tokens(),
         },
         fetch_from: source.map(|source| source.record.id.clone()),
@@ -202,7 +206,7 @@
 /// A prompt as the runners of its service see it.
 struct PromptView<'a> {
     fleet: &'a Fleet,
-    pace: &'a ReadPace,
+    pace: &'a PrefillSpeed,
     demand: &'a Demand<'a>,
     /// Where the shared parts gather, by stage.
     reading_home: Option<&'a RunnerId>,
@@ -217,7 +221,7 @@
     fn new(
         fleet: &'a Fleet,
         candidates: &[&'a Runner],
-        pace: &'a ReadPace,
+        pace: &'a PrefillSpeed,
         demand: &'a Demand<'a>,
     ) -> Self {
         let (readers, writers) = by_stage(candidates);
@@ -253,7 +257,7 @@
     fn is_worth_the_way(&self, source: &Runner, runner: &Runner) -> bool {
         let held = runner.cached_tokens(self.demand.prompt);
         let moved = source.cached_tokens(self.demand.prompt).saturating_sub(held) as f64;
-        self.region_fetch_ms(source, runner) <= self.pace.read_ms(moved) * READ_AGAIN_COST
+        self.region_fetch_ms(source, runner) <= self.pace.prefill_ms(moved) * READ_AGAIN_COST
     }
 
     /// Time in which parts are taken over from a runner of another region.
@@ -280,7 +284,7 @@
     /// What running with too little memory counts as: then requests wait, or are put back and
     /// read anew.
     fn memory_ms(&self, runner: &Runner) -> f64 {
-        let held = runner.held_by_all(self.demand.now_us) + self.held_tokens();
+        let held = runner.total_held_tokens(self.demand.now_us) + self.held_tokens();
         let share = held as f64 / self.demand.cache_tokens.max(1) as f64;
         (share - MEMORY_SHARE).max(0.0) * MEMORY_FULL_MS
     }
@@ -299,7 +303,7 @@
 
     /// Time that a runner spends on so many tokens.
     fn read_ms(&self, runner: &Runner, tokens: u64) -> f64 {
-        self.pace.read_ms_at(runner, tokens as f64, self.demand.now_us)
+        self.pace.prefill_ms_at(runner, tokens as f64, self.demand.now_us)
     }
 
     /// Time in which a prefill runner has read the prompt.
@@ -319,7 +323,7 @@
 
     fn prefill_ms(&self, runner: &Runner) -> f64 {
         let way = self.distance_ms(runner, self.demand.zone) + away_ms(runner, self.reading_home);
-        let late = self.read_ms(runner, runner.late_tokens_of_all()) * LATE_WORK;
+        let late = self.read_ms(runner, runner.local_overdue_tokens()) * LATE_WORK;
         self.prefill_time_ms(runner) + late + self.fetch_ms(runner) + way + self.failures_ms(runner)
     }
 
--- a/crates/serving/src/prefill_speed.rs
+++ b/crates/serving/src/prefill_speed.rs
@@ -6,94 +6,94 @@
 //! the line is a guess that a few of them outweigh.
 
 use crate::runner::Runner;
-use crate::runner_speed::{RunnerReading, Spent};
+use crate::runner_speed::{PrefillDuration, PrefillTiming};
 
 /// A reading that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadSample {
+pub struct PrefillSample {
     /// Tokens that the runner did not hold.
     pub tokens: u64,
     /// From the sending of the request to the end of the answer, milliseconds.
     pub elapsed_ms: f64,
     /// Whether the runner was believed to have nothing else to read when it was sent.
-    pub met_no_queue: bool,
+    pub was_unqueued: bool,
 }
 
 /// Measured pace of prefill of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadPace {
+pub struct PrefillSpeed {
     samples: LineFit,
     mean_tokens: f64,
     /// Time that readings took the runners, and what it would have been by the line: more or
     /// fewer tokens are read than a node believes.
-    spent_ms: f64,
+    actual_ms: f64,
     expected_ms: f64,
 }
 
-impl Default for ReadPace {
+impl Default for PrefillSpeed {
     fn default() -> Self {
-        const GUESSED_WEIGHT: f64 = 0.5;
-        const GUESSED_MS_PER_TOKEN: f64 = 1.0 / 30.0;
-        const GUESSED_FIXED_MS: f64 = 5.0;
+        const PRIOR_WEIGHT: f64 = 0.5;
+        const PRIOR_MS_PER_TOKEN: f64 = 1.0 / 30.0;
+        const PRIOR_FIXED_MS: f64 = 5.0;
         let mut samples = LineFit::default();
         for tokens in [0.0, 3_000.0, 12_000.0] {
-            let elapsed_ms = GUESSED_FIXED_MS + tokens * GUESSED_MS_PER_TOKEN;
-            samples.add(tokens, elapsed_ms, GUESSED_WEIGHT);
+            let elapsed_ms = PRIOR_FIXED_MS + tokens * PRIOR_MS_PER_TOKEN;
+            samples.add(tokens, elapsed_ms, PRIOR_WEIGHT);
         }
-        Self { samples, mean_tokens: 3_000.0, spent_ms: 0.0, expected_ms: 0.0 }
+        Self { samples, mean_tokens: 3_000.0, actual_ms: 0.0, expected_ms: 0.0 }
     }
 }
 
-impl ReadPace {
-    const MEAN_WEIGHT: f64 = 0.05;
-    const FASTEST_MS_PER_TOKEN: f64 = 1e-6;
+impl PrefillSpeed {
+    const MEAN_TOKENS_WEIGHT: f64 = 0.05;
+    const MIN_MS_PER_TOKEN: f64 = 1e-6;
 
     /// A runner has read a prompt.
-    pub fn on_read(&mut self, sample: ReadSample) {
+    pub fn on_prefilled(&mut self, sample: PrefillSample) {
         let tokens = sample.tokens as f64;
-        self.mean_tokens += Self::MEAN_WEIGHT * (tokens - self.mean_tokens);
-        let is_faster = sample.elapsed_ms < self.fixed_ms() + self.read_ms(tokens);
-        if sample.elapsed_ms > 0.0 && (sample.met_no_queue || is_faster) {
-            self.samples.fade();
+        self.mean_tokens += Self::MEAN_TOKENS_WEIGHT * (tokens - self.mean_tokens);
+        let is_faster = sample.elapsed_ms < self.fixed_ms() + self.prefill_ms(tokens);
+        if sample.elapsed_ms > 0.0 && (sample.was_unqueued || is_faster) {
+            self.samples.decay();
             self.samples.add(tokens, sample.elapsed_ms, 1.0);
         }
     }
 
     /// Time that a runner spends on so many tokens, milliseconds.
-    pub fn read_ms(&self, tokens: f64) -> f64 {
-        tokens * self.samples.slope().max(Self::FASTEST_MS_PER_TOKEN)
+    pub fn prefill_ms(&self, tokens: f64) -> f64 {
+        tokens * self.samples.slope().max(Self::MIN_MS_PER_TOKEN)
     }
 
     /// Time that one runner spends on so many tokens, milliseconds.
-    pub fn read_ms_at(&self, runner: &Runner, tokens: f64, now_us: u64) -> f64 {
-        self.read_ms(tokens) * runner.pace_factor(now_us)
+    pub fn prefill_ms_at(&self, runner: &Runner, tokens: f64, now_us: u64) -> f64 {
+        self.prefill_ms(tokens) * runner.slowdown_factor(now_us)
     }
 
-    /// A reading against what it takes at this pace; for `hears_of_all` see [`RunnerReading`].
-    pub fn compare(&self, sample: &ReadSample, hears_of_all: bool) -> RunnerReading {
-        RunnerReading {
-            expected_ms: self.read_ms(sample.tokens as f64) * self.spent_share(),
+    /// A reading against what it takes at this pace; for `hears_of_all` see [`PrefillTiming`].
+    pub fn timing_of(&self, sample: &PrefillSample, observes_all_prefills: bool) -> PrefillTiming {
+        PrefillTiming {
+            expected_ms: self.prefill_ms(sample.tokens as f64) * self.duration_ratio(),
             fixed_ms: self.fixed_ms(),
             elapsed_ms: sample.elapsed_ms,
-            met_no_queue: sample.met_no_queue,
-            hears_of_all,
+            was_unqueued: sample.was_unqueued,
+            observes_all_prefills,
         }
     }
 
     /// A runner has spent some time on a reading that was compared before.
-    pub fn on_spent(&mut self, spent: Spent) {
-        let expected_ms = f64::from(spent.expected_ms) / self.spent_share();
-        self.spent_ms = self.spent_ms * LineFit::KEPT + f64::from(spent.spent_ms);
-        self.expected_ms = self.expected_ms * LineFit::KEPT + expected_ms;
+    pub fn on_prefill_timed(&mut self, duration: PrefillDuration) {
+        let expected_ms = f64::from(duration.expected_ms) / self.duration_ratio();
+        self.actual_ms = self.actual_ms * LineFit::DECAY + f64::from(duration.actual_ms);
+        self.expected_ms = self.expected_ms * LineFit::DECAY + expected_ms;
     }
 
     /// Time that readings take the runners, as a share of what it would be by the line.
-    fn spent_share(&self) -> f64 {
-        const LEAST: f64 = 0.1;
-        const MOST: f64 = 10.0;
-        let share = self.spent_ms / self.expected_ms;
+    fn duration_ratio(&self) -> f64 {
+        const MIN_RATIO: f64 = 0.1;
+        const MAX_RATIO: f64 = 10.0;
+        let share = self.actual_ms / self.expected_ms;
         if share.is_finite() {
-            share.clamp(LEAST, MOST)
+            share.clamp(MIN_RATIO, MAX_RATIO)
         } else {
             1.0
         }
@@ -107,10 +107,10 @@
 
     /// Time until a runner has read what waits there, milliseconds.
     pub fn backlog_ms(&self, runner: &Runner, now_us: u64) -> f64 {
-        let told = runner.unread_for_peers(now_us) as f64;
-        let guessed = runner.others(now_us) * self.mean_tokens;
-        let others = if told > 0.0 { told } else { guessed };
-        self.read_ms_at(runner, runner.unread_tokens as f64 + others, now_us)
+        let reported = runner.peer_prefill_tokens(now_us) as f64;
+        let estimated = runner.peer_requests(now_us) * self.mean_tokens;
+        let others = if reported > 0.0 { reported } else { estimated };
+        self.prefill_ms_at(runner, runner.prefill_tokens as f64 + others, now_us)
     }
 }
 
@@ -126,11 +126,11 @@
 
 impl LineFit {
     /// Share of its weight that a point keeps when another comes.
-    const KEPT: f64 = 0.98;
+    const DECAY: f64 = 0.98;
 
-    fn fade(&mut self) {
+    fn decay(&mut self) {
         for sum in [&mut self.weight, &mut self.x, &mut self.y, &mut self.xx, &mut self.xy] {
-            *sum *= Self::KEPT;
+            *sum *= Self::DECAY;
         }
     }
 
@@ -144,9 +144,9 @@
 
     /// Rise of the line; where all points lie close together, that from the origin.
     fn slope(&self) -> f64 {
-        const LEAST_SPREAD: f64 = 0.01;
+        const MIN_SPREAD: f64 = 0.01;
         let spread = self.xx * self.weight - self.x * self.x;
-        if spread <= LEAST_SPREAD * self.xx * self.weight {
+        if spread <= MIN_SPREAD * self.xx * self.weight {
             return self.y / self.x.max(1.0);
         }
         (self.xy * self.weight - self.x * self.y) / spread
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, RunnerId, ServiceName, ZoneId};
 use crate::placement::Demand;
-use crate::prefill_speed::ReadPace;
+use crate::prefill_speed::PrefillSpeed;
 use crate::prefix::PromptPart;
 use crate::runner::{Runner, Stage};
 use serde::{Deserialize, Serialize};
@@ -90,7 +90,7 @@
 /// What the runners of a service in a region have to do; `None` without a prefill runner.
 pub fn service_load(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     service: &ServiceName,
     region: &RegionId,
     now_us: u64,
--- a/crates/serving/src/reservations.rs
+++ b/crates/serving/src/reservations.rs
@@ -14,11 +14,11 @@
 
 /// Time after a request's deadline for which its reservation is kept, microseconds: what is left
 /// of it at a runner ends with the deadline, and the word of that is on its way.
-const GRACE_US: u64 = 250_000;
+const EXPIRY_GRACE_US: u64 = 250_000;
 
 /// What is set aside for one request at one runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reserved {
+pub struct RunnerReservation {
     /// The runner.
     pub runner: RunnerId,
     /// What the request asks of it.
@@ -31,17 +31,17 @@
     /// The service.
     pub service: ServiceName,
     /// Who reads the prompt.
-    pub reader: Reserved,
+    pub prefill: RunnerReservation,
     /// Who writes the answer, if that is another one.
-    pub writer: Option<Reserved>,
+    pub decode: Option<RunnerReservation>,
     /// The shared parts of the prompt.
-    pub shared_parts: Vec<PromptPart>,
+    pub shared_prefixes: Vec<PromptPart>,
     /// Whether the reader was believed to have nothing else to read.
-    pub met_no_queue: bool,
+    pub was_unqueued: bool,
     /// When the request's time is up, microseconds.
     pub deadline_us: u64,
     /// Whether the prompt has been read.
-    pub is_read: bool,
+    pub is_prefilled: bool,
 }
 
 /// All reservations of a scheduler.
@@ -70,34 +70,35 @@
     pub fn reserve(&mut self, fleet: &mut Fleet, ticket: Ticket, reservation: Reservation) {
         self.end(fleet, ticket);
         for reserved in
-            [Some(&reservation.reader), reservation.writer.as_ref()].into_iter().flatten()
+            [Some(&reservation.prefill), reservation.decode.as_ref()].into_iter().flatten()
         {
             fleet.on_reserved(&reserved.runner, reserved.demand);
         }
-        if let Some(writer) = &reservation.writer {
-            fleet.on_awaiting_prompt(&writer.runner);
+        if let Some(decode) = &reservation.decode {
+            fleet.on_awaiting_prompt(&decode.runner);
         }
         self.open.insert(ticket, reservation);
     }
 
     /// The prompt has been read: what it took at the reader alone is free again. Returns the
     /// reservation as it was, unless it is not known or the prompt had been read before.
-    pub fn on_read(&mut self, fleet: &mut Fleet, ticket: Ticket) -> Option<Reservation> {
-        let reservation = self.open.get_mut(&ticket).filter(|reservation| !reservation.is_read)?;
+    pub fn on_prefilled(&mut self, fleet: &mut Fleet, ticket: Ticket) -> Option<Reservation> {
+        let reservation =
+            self.open.get_mut(&ticket).filter(|reservation| !reservation.is_prefilled)?;
         let before = reservation.clone();
-        reservation.is_read = true;
-        let reader = &mut reservation.reader;
-        match reservation.writer.take() {
+        reservation.is_prefilled = true;
+        let prefill = &mut reservation.prefill;
+        match reservation.decode.take() {
             // Only the writer is left.
-            Some(writer) => {
-                fleet.on_awaited_prompt(&writer.runner);
-                fleet.on_reservation_ended(&reader.runner, reader.demand);
-                *reader = writer;
+            Some(decode) => {
+                fleet.on_awaited_prompt(&decode.runner);
+                fleet.on_reservation_ended(&prefill.runner, prefill.demand);
+                *prefill = decode;
             }
             None => {
-                fleet.on_reserved_prompt_read(&reader.runner, reader.demand);
-                reader.demand.unread_tokens = 0;
-                reader.demand.late_tokens = 0;
+                fleet.on_reserved_prompt_read(&prefill.runner, prefill.demand);
+                prefill.demand.prefill_tokens = 0;
+                prefill.demand.overdue_tokens = 0;
             }
         }
         Some(before)
@@ -106,20 +107,21 @@
     /// The request is over.
     pub fn end(&mut self, fleet: &mut Fleet, ticket: Ticket) {
         let Some(reservation) = self.open.remove(&ticket) else { return };
-        if let Some(writer) = &reservation.writer {
-            fleet.on_awaited_prompt(&writer.runner);
+        if let Some(decode) = &reservation.decode {
+            fleet.on_awaited_prompt(&decode.runner);
         }
-        for reserved in [Some(reservation.reader), reservation.writer].into_iter().flatten() {
+        for reserved in [Some(reservation.prefill), reservation.decode].into_iter().flatten() {
             fleet.on_reservation_ended(&reserved.runner, reserved.demand);
         }
     }
 
     /// Ends reservations whose request is over though no word of it has come.
     pub fn expire(&mut self, fleet: &mut Fleet, now_us: u64) -> usize {
-        let is_over = |reservation: &Reservation| now_us > reservation.deadline_us + GRACE_US;
-        let over = self.open.iter().filter(|(_, reservation)| is_over(reservation));
-        let over: Vec<Ticket> = over.map(|(ticket, _)| *ticket).collect();
-        over.iter().for_each(|ticket| self.end(fleet, *ticket));
-        over.len()
+        let is_expired =
+            |reservation: &Reservation| now_us > reservation.deadline_us + EXPIRY_GRACE_US;
+        let expired = self.open.iter().filter(|(_, reservation)| is_expired(reservation));
+        let expired: Vec<Ticket> = expired.map(|(ticket, _)| *ticket).collect();
+        expired.iter().for_each(|ticket| self.end(fleet, *ticket));
+        expired.len()
     }
 }
--- a/crates/serving/src/role_view.rs
+++ b/crates/serving/src/role_view.rs
@@ -4,7 +4,7 @@
 use crate::configuration::EngineSpec;
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, RunnerId, ServiceName};
-use crate::prefill_speed::ReadPace;
+use crate::prefill_speed::PrefillSpeed;
 use crate::runner::{Runner, Stage};
 
 /// What is asked of a service's runners.
@@ -32,7 +32,7 @@
 
 /// What a look saw.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RolesSeen {
+pub struct RoleMetrics {
     /// Runners that read prompts and may get work.
     pub prefill: usize,
     /// Runners that write answers and may get work.
@@ -40,11 +40,11 @@
     /// Runners that are on their way to read prompts.
     pub becoming_prefill: usize,
     /// Runners that would be busy all the time with reading what is asked for.
-    pub readers_needed: f64,
+    pub prefill_needed: f64,
     /// Time that a prompt waits, as a share of its target, with what was put behind.
     pub wait: f64,
     /// The part of it of what was put behind all that can still be in time.
-    pub late: f64,
+    pub overdue_wait: f64,
     /// Share of the decode runners' slots in which answers are being written.
     pub occupancy: f64,
     /// Share of the decode runners' KV cache that these answers take.
@@ -54,57 +54,60 @@
 /// What work that was put behind counts as, against work that can still be in time. Each such
 /// prompt would have been in time with enough readers, and waits until there are some: it shows
 /// the same want of readers as what waits in turn.
-const LATE_WORK: f64 = 1.0;
-const MILLIS_A_SECOND: f64 = 1_000.0;
+const OVERDUE_WORK_WEIGHT: f64 = 1.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// The runners of one service at one time.
 pub(crate) struct RoleView<'a> {
     prefill: Vec<&'a Runner>,
     decode: Vec<&'a Runner>,
-    seen: RolesSeen,
+    metrics: RoleMetrics,
     now_us: u64,
 }
 
 impl<'a> RoleView<'a> {
     pub(crate) fn new(
         fleet: &'a Fleet,
-        pace: &ReadPace,
+        pace: &PrefillSpeed,
         demand: &RoleDemand<'_>,
         now_us: u64,
     ) -> Self {
-        let is_meant = |runner: &&Runner| demand.has(runner);
+        let is_of_service = |runner: &&Runner| demand.has(runner);
         let (prefill, decode): (Vec<&Runner>, Vec<&Runner>) = usable(fleet, demand, now_us)
             .into_iter()
             .partition(|runner| runner.record.stage == Some(Stage::Prefill));
-        let becomes_prefill = |runner: &&Runner| runner.becoming(now_us) == Some(Stage::Prefill);
-        let asked: f64 =
-            fleet.iter().filter(is_meant).map(|runner| runner.asked_a_second(now_us)).sum();
+        let becomes_prefill = |runner: &&Runner| runner.next_stage(now_us) == Some(Stage::Prefill);
+        let demanded: f64 = fleet
+            .iter()
+            .filter(is_of_service)
+            .map(|runner| runner.prefill_tokens_per_second(now_us))
+            .sum();
         // Decode runners read too, at half the pace, when prefill is busy.
-        let readers = prefill.len() as f64 + decode.len() as f64 / 2.0;
-        let target_ms = demand.target_ms.max(1.0) * readers.max(1.0);
-        let late_ms: f64 =
-            prefill.iter().chain(&decode).map(|runner| late_ms(runner, pace, now_us)).sum();
+        let prefill_capacity = prefill.len() as f64 + decode.len() as f64 / 2.0;
+        let target_ms = demand.target_ms.max(1.0) * prefill_capacity.max(1.0);
+        let overdue_ms: f64 =
+            prefill.iter().chain(&decode).map(|runner| overdue_ms(runner, pace, now_us)).sum();
         let at_prefill = prefill.iter().map(|runner| pace.backlog_ms(runner, now_us));
-        let at_decode = decode.iter().map(|runner| known_backlog_ms(runner, pace, now_us));
+        let at_decode = decode.iter().map(|runner| decode_backlog_ms(runner, pace, now_us));
         let backlog_ms: f64 = at_prefill.chain(at_decode).sum();
-        let writing: f64 = decode.iter().map(|runner| runner.writing(now_us)).sum();
-        let held: f64 = decode.iter().map(|runner| held_by_writing(runner, now_us)).sum();
-        let writers = decode.len().max(1) as f64;
-        let seen = RolesSeen {
+        let decoding: f64 = decode.iter().map(|runner| runner.decoding(now_us)).sum();
+        let held: f64 = decode.iter().map(|runner| held_by_decoding(runner, now_us)).sum();
+        let decode_runners = decode.len().max(1) as f64;
+        let metrics = RoleMetrics {
             prefill: prefill.len(),
             decode: decode.len(),
-            becoming_prefill: fleet.iter().filter(is_meant).filter(becomes_prefill).count(),
-            readers_needed: pace.read_ms(asked) / MILLIS_A_SECOND,
-            wait: (backlog_ms + late_ms * LATE_WORK) / target_ms,
-            late: late_ms / target_ms,
-            occupancy: writing / (f64::from(demand.engine.slots.max(1)) * writers),
-            memory: held / (demand.engine.kv_tokens.max(1) as f64 * writers),
+            becoming_prefill: fleet.iter().filter(is_of_service).filter(becomes_prefill).count(),
+            prefill_needed: pace.prefill_ms(demanded) / MILLIS_PER_SECOND,
+            wait: (backlog_ms + overdue_ms * OVERDUE_WORK_WEIGHT) / target_ms,
+            overdue_wait: overdue_ms / target_ms,
+            occupancy: decoding / (f64::from(demand.engine.slots.max(1)) * decode_runners),
+            memory: held / (demand.engine.kv_tokens.max(1) as f64 * decode_runners),
         };
-        Self { prefill, decode, seen, now_us }
+        Self { prefill, decode, metrics, now_us }
     }
 
-    pub(crate) fn seen(&self) -> RolesSeen {
-        self.seen
+    pub(crate) fn metrics(&self) -> RoleMetrics {
+        self.metrics
     }
 
     pub(crate) fn now_us(&self) -> u64 {
@@ -113,25 +116,25 @@
 
     /// Share in use with so many decode runners, of slots or of memory, whichever is fuller.
     pub(crate) fn occupancy_with(&self, decode_runners: usize) -> f64 {
-        let fuller = self.seen.occupancy.max(self.seen.memory);
-        fuller * self.seen.decode.max(1) as f64 / decode_runners.max(1) as f64
+        let fuller = self.metrics.occupancy.max(self.metrics.memory);
+        fuller * self.metrics.decode.max(1) as f64 / decode_runners.max(1) as f64
     }
 
     /// Runners that may get work, now or when they have changed their roles.
-    pub(crate) fn all(&self) -> f64 {
-        (self.prefill.len() + self.decode.len() + self.seen.becoming_prefill) as f64
+    pub(crate) fn runner_count(&self) -> f64 {
+        (self.prefill.len() + self.decode.len() + self.metrics.becoming_prefill) as f64
     }
 
     /// Runners that read, or will soon.
-    pub(crate) fn readers(&self) -> usize {
-        self.seen.prefill + self.seen.becoming_prefill
+    pub(crate) fn prefill_runners(&self) -> usize {
+        self.metrics.prefill + self.metrics.becoming_prefill
     }
 
     /// Runners of the other role, those that have least to do first.
     pub(crate) fn idlest(&self, wanted: Stage) -> Vec<RunnerId> {
         let others = if wanted == Stage::Prefill { &self.decode } else { &self.prefill };
         let load = |runner: &&Runner| {
-            (runner.occupancy(self.now_us) * 1_000.0) as u64 + runner.unread_tokens
+            (runner.occupancy(self.now_us) * 1_000.0) as u64 + runner.prefill_tokens
         };
         let mut others = others.clone();
         others.sort_by_key(load);
@@ -144,9 +147,9 @@
 /// serve. Those that can't be reached don't, unless there are no others.
 fn usable<'a>(fleet: &'a Fleet, demand: &RoleDemand<'_>, now_us: u64) -> Vec<&'a Runner> {
     let is_usable = |runner: &&Runner| {
-        let is_there = runner.takes_work() && !runner.is_suspected();
+        let is_there = runner.accepts_work() && !runner.is_suspected();
         let is_whole = runner.limit().is_none();
-        demand.has(runner) && is_there && is_whole && !runner.is_changing(now_us)
+        demand.has(runner) && is_there && is_whole && !runner.is_changing_role(now_us)
     };
     let usable: Vec<&Runner> = fleet.iter().filter(is_usable).collect();
     if usable.is_empty() {
@@ -158,19 +161,19 @@
     usable
 }
 
-fn late_ms(runner: &Runner, pace: &ReadPace, now_us: u64) -> f64 {
-    pace.read_ms((runner.late_tokens_of_all() + runner.late_for_peers(now_us)) as f64)
+fn overdue_ms(runner: &Runner, pace: &PrefillSpeed, now_us: u64) -> f64 {
+    pace.prefill_ms((runner.local_overdue_tokens() + runner.peer_overdue_tokens(now_us)) as f64)
 }
 
 /// What is known to wait at a decode runner. What else it has is being written: there is nothing
 /// to guess.
-fn known_backlog_ms(runner: &Runner, pace: &ReadPace, now_us: u64) -> f64 {
-    pace.read_ms((runner.unread_tokens + runner.unread_for_peers(now_us)) as f64)
+fn decode_backlog_ms(runner: &Runner, pace: &PrefillSpeed, now_us: u64) -> f64 {
+    pace.prefill_ms((runner.prefill_tokens + runner.peer_prefill_tokens(now_us)) as f64)
 }
 
 /// Tokens of KV cache that the requests take whose answers a runner is writing; what is set
 /// aside for prompts that nobody has read yet would come sooner or later with any split.
-fn held_by_writing(runner: &Runner, now_us: u64) -> f64 {
-    let share = runner.writing(now_us) / runner.occupancy(now_us).max(1.0);
-    runner.held_by_all(now_us) as f64 * share.min(1.0)
+fn held_by_decoding(runner: &Runner, now_us: u64) -> f64 {
+    let share = runner.decoding(now_us) / runner.occupancy(now_us).max(1.0);
+    runner.total_held_tokens(now_us) as f64 * share.min(1.0)
 }
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -2,11 +2,11 @@
 
 use crate::failure_rate::FailureRate;
 use crate::ids::{RegionId, RunnerId, ServiceName, ZoneId};
-use crate::prefill_demand::AskedRate;
+use crate::prefill_demand::PrefillDemand;
 use crate::prefix::Prompt;
 use crate::prefix_cache::PrefixCacheModel;
 use crate::runner_notice::{Availability, RequestRate};
-use crate::runner_speed::RunnerPace;
+use crate::runner_speed::RunnerSpeed;
 use crate::store_revision::StoreRevision;
 use crate::suspicion::Suspicion;
 use serde::{Deserialize, Serialize};
@@ -71,28 +71,28 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptDemand {
     /// Prompt tokens to read.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// Prompt tokens to read after all that can still be in time.
-    pub late_tokens: u64,
+    pub overdue_tokens: u64,
     /// Tokens of KV cache, prompt and output, while it runs.
     pub held_tokens: u64,
 }
 
 impl AttemptDemand {
     /// Whether a prompt has yet to be read for it there.
-    pub fn is_unread(&self) -> bool {
-        self.unread_tokens + self.late_tokens > 0
+    pub fn needs_prefill(&self) -> bool {
+        self.prefill_tokens + self.overdue_tokens > 0
     }
 }
 
 /// How long a load report counts, microseconds.
-const REPORT_LIFE_US: u64 = 1_500_000;
+const LOAD_REPORT_TTL_US: u64 = 1_500_000;
 /// How long a scheduler's word on memory in use counts, microseconds.
-const TOLD_LIFE_US: u64 = 2_500_000;
+const PEER_LOAD_TTL_US: u64 = 2_500_000;
 /// Time after which nothing is believed to be left of the work that a scheduler told of, and
 /// what is added for each token that had to be read.
-const PEER_LOAD_FADE_US: u64 = 700_000;
-const FADE_US_A_TOKEN: u64 = 30;
+const PEER_LOAD_FADE_BASE_US: u64 = 700_000;
+const PEER_LOAD_FADE_US_PER_TOKEN: u64 = 30;
 /// A runner as the node sees it.
 #[derive(Clone, Debug)]
 pub struct Runner {
@@ -103,35 +103,35 @@
     /// Attempts of this node that it has now.
     pub in_flight: u32,
     /// Those among them whose prompt it has yet to read.
-    pub unread_requests: u32,
+    pub pending_prefills: u32,
     /// Prompt tokens that it has yet to read for this node.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// Prompt tokens that it reads for this node when nothing else is left.
-    pub late_tokens: u64,
+    pub overdue_tokens: u64,
     /// Tokens of KV cache that this node's attempts take there.
     pub held_tokens: u64,
     pub(crate) failures: FailureRate,
-    pub(crate) others: u32,
-    pub(crate) others_at_us: u64,
+    pub(crate) reported_peer_requests: u32,
+    pub(crate) peer_requests_reported_at_us: u64,
     /// What this node has set aside there for requests of other nodes, as their scheduler.
     pub(crate) reserved: Load,
     /// What this node has placed there, as a scheduler or for its own requests.
-    pub(crate) asked: AskedRate,
+    pub(crate) prefill_demand: PrefillDemand,
     /// What another node told that schedules it.
-    pub(crate) told: Option<ToldLoad>,
+    pub(crate) reported_load: Option<ReportedLoad>,
     pub(crate) suspicion: Suspicion,
     /// What it has said of itself in answers to this node.
     pub(crate) availability: Availability,
     pub(crate) full_until_us: u64,
     /// The role that it was ordered to take, and until when it is left alone for that.
-    pub(crate) changing: Option<(Stage, u64)>,
+    pub(crate) role_change: Option<(Stage, u64)>,
     /// The address answered that it is another runner, or has another role, than this entry
     /// says. A newer entry is believed again.
     pub(crate) misdirected: bool,
     /// Its entry is gone, but may only have lapsed.
     pub(crate) lapsed: Option<Lapsed>,
     pub(crate) cache: PrefixCacheModel,
-    pub(crate) pace: RunnerPace,
+    pub(crate) speed: RunnerSpeed,
 }
 
 /// An entry that may have lapsed while the store was away, though its runner lives.
@@ -149,24 +149,24 @@
             record,
             region,
             in_flight: 0,
-            unread_requests: 0,
-            unread_tokens: 0,
-            late_tokens: 0,
+            pending_prefills: 0,
+            prefill_tokens: 0,
+            overdue_tokens: 0,
             held_tokens: 0,
             failures: FailureRate::default(),
-            others: 0,
-            others_at_us: 0,
+            reported_peer_requests: 0,
+            peer_requests_reported_at_us: 0,
             reserved: Load::default(),
-            asked: AskedRate::default(),
-            told: None,
+            prefill_demand: PrefillDemand::default(),
+            reported_load: None,
             suspicion: Suspicion::default(),
             availability,
             full_until_us: 0,
-            changing: None,
+            role_change: None,
             misdirected: false,
             lapsed: None,
             cache: PrefixCacheModel::default(),
-            pace: RunnerPace::default(),
+            speed: RunnerSpeed::default(),
         }
     }
 
@@ -177,19 +177,19 @@
     }
 
     /// Whether new requests may go to it, from some node.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         !self.is_leaving() && !self.misdirected
     }
 
     /// Whether this node may send it a request now.
-    pub fn takes_work_from_here(&self, now_us: u64) -> bool {
-        self.takes_work() && !self.availability.is_resting(now_us)
+    pub fn accepts_work_from_this_node(&self, now_us: u64) -> bool {
+        self.accepts_work() && !self.availability.is_resting(now_us)
     }
 
     /// Whether this node may plan with it now: it takes work from here, and what it takes from all nodes together is
     /// not used up as far as is known.
-    pub fn is_open_to_plans(&self, now_us: u64) -> bool {
-        self.takes_work_from_here(now_us)
+    pub fn is_available_for_placement(&self, now_us: u64) -> bool {
+        self.accepts_work_from_this_node(now_us)
             && self.availability.limit.short_until_us(now_us).is_none()
     }
 
@@ -219,19 +219,19 @@
     }
 
     /// Time that it takes for its work as a share of what its service's runners take on the mean.
-    pub fn pace_factor(&self, now_us: u64) -> f64 {
-        self.pace.factor(now_us)
+    pub fn slowdown_factor(&self, now_us: u64) -> f64 {
+        self.speed.slowdown_factor(now_us)
     }
 
     /// Whether it is changing its role.
-    pub fn is_changing(&self, now_us: u64) -> bool {
+    pub fn is_changing_role(&self, now_us: u64) -> bool {
         let has_role = |stage: Stage| self.record.stage == Some(stage);
-        self.changing.is_some_and(|(stage, until_us)| now_us < until_us && !has_role(stage))
+        self.role_change.is_some_and(|(stage, until_us)| now_us < until_us && !has_role(stage))
     }
 
     /// The role that it is on its way to.
-    pub fn becoming(&self, now_us: u64) -> Option<Stage> {
-        self.changing.filter(|_| self.is_changing(now_us)).map(|(stage, _)| stage)
+    pub fn next_stage(&self, now_us: u64) -> Option<Stage> {
+        self.role_change.filter(|_| self.is_changing_role(now_us)).map(|(stage, _)| stage)
     }
 
     /// Whether it could not be reached and has not answered since.
@@ -241,73 +241,81 @@
 
     /// Requests that other nodes are believed to have at it: by what is set aside for them, by
     /// its scheduler's word, or by the runner's last report, which fades with its age.
-    pub fn others(&self, now_us: u64) -> f64 {
+    pub fn peer_requests(&self, now_us: u64) -> f64 {
         if self.reserved.in_flight > 0 {
             return f64::from(self.reserved.in_flight);
         }
-        let told =
-            self.told.map_or(0.0, |told| f64::from(told.load.in_flight) * told.share_left(now_us));
-        if told > 0.0 {
-            return told;
+        let reported = self.reported_load.map_or(0.0, |reported| {
+            f64::from(reported.load.in_flight) * reported.remaining_share(now_us)
+        });
+        if reported > 0.0 {
+            return reported;
         }
-        let age = now_us.saturating_sub(self.others_at_us);
-        let left = REPORT_LIFE_US.saturating_sub(age);
-        f64::from(self.others) * left as f64 / REPORT_LIFE_US as f64
+        let age = now_us.saturating_sub(self.peer_requests_reported_at_us);
+        let left = LOAD_REPORT_TTL_US.saturating_sub(age);
+        f64::from(self.reported_peer_requests) * left as f64 / LOAD_REPORT_TTL_US as f64
     }
 
     /// Prompt tokens that it has yet to read for other nodes.
-    pub fn unread_for_peers(&self, now_us: u64) -> u64 {
-        let left = |told: ToldLoad| told.load.unread_tokens as f64 * told.share_left(now_us);
-        self.reserved.unread_tokens + self.told.map_or(0.0, left) as u64
+    pub fn peer_prefill_tokens(&self, now_us: u64) -> u64 {
+        let left = |reported: ReportedLoad| {
+            reported.load.prefill_tokens as f64 * reported.remaining_share(now_us)
+        };
+        self.reserved.prefill_tokens + self.reported_load.map_or(0.0, left) as u64
     }
 
     /// Prompt tokens that it reads for other nodes when nothing else is left, by the word of
     /// its scheduler.
-    pub fn late_for_peers(&self, now_us: u64) -> u64 {
-        let left = |told: ToldLoad| told.load.late_tokens as f64 * told.share_left(now_us);
-        self.told.map_or(0.0, left) as u64
+    pub fn peer_overdue_tokens(&self, now_us: u64) -> u64 {
+        let left = |reported: ReportedLoad| {
+            reported.load.overdue_tokens as f64 * reported.remaining_share(now_us)
+        };
+        self.reported_load.map_or(0.0, left) as u64
     }
 
     /// Requests whose answer it is believed to be writing: those that wait for their prompt to
     /// be read, here or elsewhere, are not among them.
-    pub fn writing(&self, now_us: u64) -> f64 {
-        let told = |told: ToldLoad| f64::from(told.load.unread_requests) * told.share_left(now_us);
+    pub fn decoding(&self, now_us: u64) -> f64 {
+        let reported = |reported: ReportedLoad| {
+            f64::from(reported.load.pending_prefills) * reported.remaining_share(now_us)
+        };
         let others = match self.reserved.in_flight {
-            0 => self.told.map_or(0.0, told),
-            _ => f64::from(self.reserved.unread_requests),
+            0 => self.reported_load.map_or(0.0, reported),
+            _ => f64::from(self.reserved.pending_prefills),
         };
-        let unread = f64::from(self.unread_requests) + others;
+        let unread = f64::from(self.pending_prefills) + others;
         (self.occupancy(now_us) - unread).max(0.0)
     }
 
     /// Prompt tokens that it reads for this node when nothing else is left, and for those whose
     /// scheduler this node is.
-    pub fn late_tokens_of_all(&self) -> u64 {
-        self.late_tokens + self.reserved.late_tokens
+    pub fn local_overdue_tokens(&self) -> u64 {
+        self.overdue_tokens + self.reserved.overdue_tokens
     }
 
     /// Prompt tokens a second that it was lately asked to read, as far as is known.
-    pub fn asked_a_second(&self, now_us: u64) -> f64 {
-        let told = self.told.filter(|told| told.is_fresh(now_us));
-        self.asked.a_second(now_us) + told.map_or(0.0, |told| told.asked_a_second as f64)
+    pub fn prefill_tokens_per_second(&self, now_us: u64) -> f64 {
+        let reported = self.reported_load.filter(|reported| reported.is_fresh(now_us));
+        self.prefill_demand.tokens_per_second(now_us)
+            + reported.map_or(0.0, |reported| reported.asked_a_second as f64)
     }
 
     /// Tokens of KV cache that the attempts of all nodes take there.
-    pub fn held_by_all(&self, now_us: u64) -> u64 {
+    pub fn total_held_tokens(&self, now_us: u64) -> u64 {
         // Memory is let go when the run ends, not bit by bit.
-        let told = self.told.filter(|told| told.is_fresh(now_us));
-        let told = told.map_or(0, |told| told.load.held_tokens);
-        self.held_tokens + self.reserved.held_tokens + told
+        let reported = self.reported_load.filter(|reported| reported.is_fresh(now_us));
+        let reported = reported.map_or(0, |reported| reported.load.held_tokens);
+        self.held_tokens + self.reserved.held_tokens + reported
     }
 
     /// Requests that it is believed to have.
     pub fn occupancy(&self, now_us: u64) -> f64 {
-        f64::from(self.in_flight) + self.others(now_us)
+        f64::from(self.in_flight) + self.peer_requests(now_us)
     }
 
     /// Whether it is believed to have nothing to do.
     pub fn is_idle(&self, now_us: u64) -> bool {
-        self.unread_tokens == 0 && self.occupancy(now_us) < 1.0
+        self.prefill_tokens == 0 && self.occupancy(now_us) < 1.0
     }
 
     /// Shared tokens of a prompt that this node believes to be in its KV cache.
@@ -321,30 +329,30 @@
 pub(crate) struct Load {
     pub(crate) in_flight: u32,
     /// Those among them whose prompt has not been read, here or by another runner for this one.
-    pub(crate) unread_requests: u32,
-    pub(crate) unread_tokens: u64,
-    pub(crate) late_tokens: u64,
+    pub(crate) pending_prefills: u32,
+    pub(crate) prefill_tokens: u64,
+    pub(crate) overdue_tokens: u64,
     pub(crate) held_tokens: u64,
 }
 
 impl Load {
     pub(crate) fn add(&mut self, demand: AttemptDemand) {
         self.in_flight += 1;
-        self.unread_requests += u32::from(demand.is_unread());
-        self.unread_tokens += demand.unread_tokens;
-        self.late_tokens += demand.late_tokens;
+        self.pending_prefills += u32::from(demand.needs_prefill());
+        self.prefill_tokens += demand.prefill_tokens;
+        self.overdue_tokens += demand.overdue_tokens;
         self.held_tokens += demand.held_tokens;
     }
 
-    pub(crate) fn on_read(&mut self, demand: AttemptDemand) {
-        let read = u32::from(demand.is_unread());
-        self.unread_requests = self.unread_requests.saturating_sub(read);
-        self.unread_tokens = self.unread_tokens.saturating_sub(demand.unread_tokens);
-        self.late_tokens = self.late_tokens.saturating_sub(demand.late_tokens);
+    pub(crate) fn on_prefilled(&mut self, demand: AttemptDemand) {
+        let read = u32::from(demand.needs_prefill());
+        self.pending_prefills = self.pending_prefills.saturating_sub(read);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(demand.prefill_tokens);
+        self.overdue_tokens = self.overdue_tokens.saturating_sub(demand.overdue_tokens);
     }
 
     pub(crate) fn remove(&mut self, demand: AttemptDemand) {
-        self.on_read(demand);
+        self.on_prefilled(demand);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.held_tokens = self.held_tokens.saturating_sub(demand.held_tokens);
     }
@@ -352,23 +360,23 @@
 
 /// What a scheduler told of a runner's load.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ToldLoad {
+pub(crate) struct ReportedLoad {
     pub(crate) load: Load,
     pub(crate) asked_a_second: u64,
-    pub(crate) told_at_us: u64,
+    pub(crate) reported_at_us: u64,
 }
 
-impl ToldLoad {
+impl ReportedLoad {
     fn is_fresh(&self, now_us: u64) -> bool {
-        now_us < self.told_at_us + TOLD_LIFE_US
+        now_us < self.reported_at_us + PEER_LOAD_TTL_US
     }
 
     /// Share of it that is believed to be left, should no later word come: most requests are
     /// over within a second. Long prompts take longer.
-    fn share_left(&self, now_us: u64) -> f64 {
-        let age_us = now_us.saturating_sub(self.told_at_us);
-        let tokens = self.load.unread_tokens + self.load.late_tokens;
-        let fade_us = PEER_LOAD_FADE_US + tokens * FADE_US_A_TOKEN;
+    fn remaining_share(&self, now_us: u64) -> f64 {
+        let age_us = now_us.saturating_sub(self.reported_at_us);
+        let tokens = self.load.prefill_tokens + self.load.overdue_tokens;
+        let fade_us = PEER_LOAD_FADE_BASE_US + tokens * PEER_LOAD_FADE_US_PER_TOKEN;
         1.0 - (age_us as f64 / fade_us as f64).min(1.0)
     }
 }
--- a/crates/serving/src/runner_notice.rs
+++ b/crates/serving/src/runner_notice.rs
@@ -11,7 +11,7 @@
 
 /// Longest rest that is believed, microseconds. It bounds what one wrong word costs: after it one request
 /// tries the runner.
-pub const LONGEST_REST_US: u64 = 600_000_000;
+pub const MAX_REST_US: u64 = 600_000_000;
 
 /// A rate of requests, millionths of a request a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
 
 impl RequestRate {
     /// A rate in requests a second; one too large to count is the largest. `None`: it is no rate.
-    pub fn from_requests_a_second(requests: f64) -> Option<Self> {
+    pub fn from_requests_per_second(requests: f64) -> Option<Self> {
         const MICRO: f64 = 1_000_000.0;
         let is_rate = requests.is_finite() && requests >= 0.0;
         is_rate.then_some(Self((requests * MICRO) as u64))
@@ -55,7 +55,7 @@
 
 /// What has become known by a notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Learned {
+pub struct AvailabilityChange {
     /// The runner leaves, which its answers had not said before.
     pub leaving: bool,
     /// The runner wants rest for so long, microseconds, though it was not known to rest.
@@ -68,43 +68,43 @@
     leaving: bool,
     rest_until_us: u64,
     /// It has asked for rest, and has not taken up anything of this node since.
-    is_returning: bool,
+    awaits_trial: bool,
     /// A request has been sent to it since the end of the rest, and has not ended. What it had taken up before is
     /// no try: a stream may go on for many seconds.
-    is_tried: bool,
+    is_trial_in_flight: bool,
     /// What it takes from all nodes together.
     pub(crate) limit: NamedLimit,
 }
 
 impl Availability {
     /// Takes in what an answer said.
-    pub fn on_notice(&mut self, notice: RunnerNotice, now_us: u64) -> Learned {
-        let begins_to_leave = notice.leaving && !self.leaving;
+    pub fn on_notice(&mut self, notice: RunnerNotice, now_us: u64) -> AvailabilityChange {
+        let starts_leaving = notice.leaving && !self.leaving;
         self.leaving |= notice.leaving;
         let was_resting = self.is_resting(now_us);
-        let rest_us = notice.rest_us.min(LONGEST_REST_US);
+        let rest_us = notice.rest_us.min(MAX_REST_US);
         if rest_us > 0 {
             self.rest_until_us = self.rest_until_us.max(now_us.saturating_add(rest_us));
-            self.is_returning = true;
-            self.is_tried = false;
+            self.awaits_trial = true;
+            self.is_trial_in_flight = false;
         }
-        let begins_to_rest = rest_us > 0 && !was_resting;
-        Learned { leaving: begins_to_leave, rest_us: begins_to_rest.then_some(rest_us) }
+        let starts_resting = rest_us > 0 && !was_resting;
+        AvailabilityChange { leaving: starts_leaving, rest_us: starts_resting.then_some(rest_us) }
     }
 
     /// A request is sent to the runner.
     pub fn on_sent(&mut self) {
-        self.is_tried = self.is_returning;
+        self.is_trial_in_flight = self.awaits_trial;
     }
 
     /// The runner has taken a request up.
     pub fn on_accepted(&mut self) {
-        self.is_returning = false;
+        self.awaits_trial = false;
     }
 
     /// A request has ended there, perhaps the one that tries it: another one may.
     pub fn on_ended(&mut self) {
-        self.is_tried = false;
+        self.is_trial_in_flight = false;
     }
 
     /// Whether it has said that it leaves.
@@ -125,37 +125,37 @@
     /// Whether requests rather go elsewhere: while it rests, and after that while one request tries it, so that
     /// not all that would go to it arrive at once at the end of the rest.
     pub fn is_avoided(&self, now_us: u64) -> bool {
-        self.is_resting(now_us) || (self.is_returning && self.is_tried)
+        self.is_resting(now_us) || (self.awaits_trial && self.is_trial_in_flight)
     }
 }
 
 /// Lives whose entries are gone for which availability is remembered. An entry that lapses while the store is
 /// away comes back; the aim's 1,300 runners may lapse at once.
-const MOST_REMEMBERED: usize = 2_048;
+const MAX_REMEMBERED_INCARNATIONS: usize = 2_048;
 
 /// What lives have said of themselves whose entries are gone, the latest last.
 #[derive(Clone, Debug, Default)]
 pub struct DepartedAvailability {
-    lives: VecDeque<(RunnerId, Availability)>,
+    incarnations: VecDeque<(RunnerId, Availability)>,
 }
 
 impl DepartedAvailability {
     /// The entry of a life is gone.
-    pub fn remember(&mut self, life: &RunnerId, availability: Availability) {
-        self.take(life);
+    pub fn remember(&mut self, runner: &RunnerId, availability: Availability) {
+        self.take(runner);
         if availability == Availability::default() {
             return;
         }
-        if self.lives.len() >= MOST_REMEMBERED {
-            self.lives.pop_front();
+        if self.incarnations.len() >= MAX_REMEMBERED_INCARNATIONS {
+            self.incarnations.pop_front();
         }
-        self.lives.push_back((life.clone(), availability));
+        self.incarnations.push_back((runner.clone(), availability));
     }
 
     /// The entry of a life is there, perhaps again.
-    pub fn take(&mut self, life: &RunnerId) -> Availability {
-        let index = self.lives.iter().position(|(known, _)| known == life);
-        let known = index.and_then(|index| self.lives.remove(index));
+    pub fn take(&mut self, runner: &RunnerId) -> Availability {
+        let index = self.incarnations.iter().position(|(known, _)| known == runner);
+        let known = index.and_then(|index| self.incarnations.remove(index));
         known.map_or_else(Availability::default, |(_, availability)| availability)
     }
 }
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -4,10 +4,10 @@
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, ZoneId};
 use crate::placement::{choose_writer, plan_reading, Choice, Demand, ReadingPlan};
-use crate::prefill_speed::ReadPace;
+use crate::prefill_speed::PrefillSpeed;
 use crate::prefix::Prompt;
 use crate::regions::{regions_in_order, Placed, RegionBacklogs};
-use crate::reservations::{Reservation, Reserved};
+use crate::reservations::{Reservation, RunnerReservation};
 use crate::runner::Stage;
 use crate::scheduling::{Elsewhere, LeavingReason, PlacementQuestion, Shard, ToldChoice, ToldPlan};
 use crate::urgency::put_behind_if_late;
@@ -49,7 +49,7 @@
 /// of the other regions. `None`: the region of the zone from which the request comes.
 pub fn choose(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     demand: &Demand<'_>,
     shard: Option<&Shard>,
     due: Due,
@@ -71,7 +71,7 @@
 /// moved to another.
 fn choose_within(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     demand: &Demand<'_>,
     scope: Scope<'_>,
 ) -> Option<PlacedRequest> {
@@ -124,21 +124,21 @@
     const MICROS: u64 = 1_000;
     let reserved = |told: &ToldChoice| {
         let choice = Choice::from(told.clone());
-        Reserved { runner: choice.runner, demand: choice.demand }
+        RunnerReservation { runner: choice.runner, demand: choice.demand }
     };
-    let (reader, writer) = match plan {
+    let (prefill, decode) = match plan {
         ToldPlan::Split(reader, writer) => (reserved(reader), Some(reserved(writer))),
         ToldPlan::Direct(choice) => (reserved(choice), None),
     };
-    let is_idle = fleet.get(&reader.runner).is_some_and(|runner| runner.is_idle(now_us));
+    let is_idle = fleet.get(&prefill.runner).is_some_and(|runner| runner.is_idle(now_us));
     Reservation {
         service: question.service.clone(),
-        met_no_queue: is_idle,
-        reader,
-        writer,
-        shared_parts: prompt.shared_parts().to_vec(),
+        was_unqueued: is_idle,
+        prefill,
+        decode,
+        shared_prefixes: prompt.shared_parts().to_vec(),
         deadline_us: now_us + question.left_ms * MICROS,
-        is_read: false,
+        is_prefilled: false,
     }
 }
 
@@ -146,7 +146,7 @@
 /// placed. What has been handed on once stays where it is.
 pub fn shorter_shard(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     question: &PlacementQuestion,
     placed: &PlacedRequest,
     now_us: u64,
@@ -206,7 +206,7 @@
 /// What a prompt waits for at the prefill runners, on the mean; `None` if there are none.
 fn mean_wait_ms(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     eligible: &Eligible<'_>,
     now_us: u64,
 ) -> Option<f64> {
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -181,8 +181,8 @@
     fn from(choice: &Choice) -> Self {
         Self {
             runner: choice.runner.clone(),
-            unread_tokens: choice.demand.unread_tokens,
-            late_tokens: choice.demand.late_tokens,
+            unread_tokens: choice.demand.prefill_tokens,
+            late_tokens: choice.demand.overdue_tokens,
             held_tokens: choice.demand.held_tokens,
             fetch_from: choice.fetch_from.clone(),
             expected_us: choice.expected_us,
@@ -196,8 +196,8 @@
         Self {
             runner: told.runner,
             demand: AttemptDemand {
-                unread_tokens: told.unread_tokens,
-                late_tokens: told.late_tokens,
+                prefill_tokens: told.unread_tokens,
+                overdue_tokens: told.late_tokens,
                 held_tokens: told.held_tokens,
             },
             fetch_from: told.fetch_from,
--- a/crates/serving/src/urgency.rs
+++ b/crates/serving/src/urgency.rs
@@ -36,7 +36,7 @@
 /// reading, which holds up fewer others; what was put behind comes last.
 pub fn rank(priority: u8, choice: &Choice, target_ms: f64) -> u8 {
     let priority = priority.min(LEAST_URGENT);
-    if choice.demand.late_tokens > 0 {
+    if choice.demand.overdue_tokens > 0 {
         return FIRST_BEHIND + priority;
     }
     let is_longer = |size: &&f64| choice.reading_ms > **size * target_ms;
--- a/crates/serving/tests/capacity_planner.rs
+++ b/crates/serving/tests/capacity_planner.rs
@@ -128,7 +128,7 @@
             if platform.order(&order) {
                 planner.on_ordered(&order);
             } else {
-                planner.on_none_to_be_had(&order, platform.now_us);
+                planner.on_unavailable(&order, platform.now_us);
             }
         }
         fewest = fewest.min(platform.serving());
--- a/crates/serving/tests/lapsed_entries.rs
+++ b/crates/serving/tests/lapsed_entries.rs
@@ -19,8 +19,8 @@
     RunnerRecord { draining, revision: at(revision), ..runner_record(RunnerId::new(id)) }
 }
 
-fn takes_work(fleet: &Fleet, id: &str) -> bool {
-    fleet.get(&RunnerId::new(id)).is_some_and(|runner| runner.takes_work())
+fn accepts_work(fleet: &Fleet, id: &str) -> bool {
+    fleet.get(&RunnerId::new(id)).is_some_and(|runner| runner.accepts_work())
 }
 
 #[test]
@@ -28,11 +28,11 @@
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, 1));
     assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(UNTIL_US)), FleetChange::Lapsed);
-    assert!(takes_work(&fleet, "a"));
+    assert!(accepts_work(&fleet, "a"));
     assert_eq!(fleet.put(record("a", false, 4)), FleetChange::None, "older than its lapse");
     fleet.put(record("a", false, 6));
     assert!(fleet.remove_lapsed(UNTIL_US).is_empty());
-    assert!(takes_work(&fleet, "a"));
+    assert!(accepts_work(&fleet, "a"));
 }
 
 #[test]
--- a/crates/serving/tests/limit_keeper.rs
+++ b/crates/serving/tests/limit_keeper.rs
@@ -22,7 +22,7 @@
 }
 
 fn rate(requests_a_second: f64) -> RequestRate {
-    RequestRate::from_requests_a_second(requests_a_second).unwrap()
+    RequestRate::from_requests_per_second(requests_a_second).unwrap()
 }
 
 fn word(rate: Option<RequestRate>, heard_ago_us: u64) -> LimitWord {
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -13,7 +13,7 @@
 use pitchstall_serving::placement::{
     choose_worker, choose_writer, plan_reading, Demand, ReadingPlan,
 };
-use pitchstall_serving::prefill_speed::ReadPace;
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
 use pitchstall_serving::routing::TrafficSplitter;
 use pitchstall_serving::runner::{AttemptDemand, LoadReport, RunnerRecord, Stage};
@@ -118,7 +118,7 @@
     assert_eq!(fleet.put(record("a", "north", None, 5)), FleetChange::Joined);
     assert_eq!(fleet.put(draining), FleetChange::Draining);
     assert_eq!(fleet.put(record("a", "north", None, 6)), FleetChange::None);
-    assert!(!fleet.get(&RunnerId::new("a")).unwrap().takes_work());
+    assert!(!fleet.get(&RunnerId::new("a")).unwrap().accepts_work());
     assert_eq!(fleet.remove(&RunnerId::new("a"), at(6), None), FleetChange::None, "a late removal");
     assert_eq!(fleet.remove(&RunnerId::new("a"), at(8), None), FleetChange::Left);
 }
@@ -194,7 +194,7 @@
 fn all_nodes_find_the_same_home_and_leave_it_when_it_is_busy() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     let home = reader(plan_reading(&fleet, &pace, &case.demand()));
     assert_eq!(reader(plan_reading(&engines(), &pace, &case.demand())), home);
     // Its scheduler has told that it has much to read.
@@ -218,7 +218,7 @@
 fn shared_parts_are_taken_over_from_the_runner_that_holds_them() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     let home = reader(plan_reading(&fleet, &pace, &case.demand()));
     let other = ["p1", "p2", "p3"].into_iter().find(|id| *id != home).unwrap();
     let held = case.prompt.shared_parts();
@@ -226,7 +226,7 @@
     let Some(ReadingPlan::Split(choice)) = plan_reading(&fleet, &pace, &case.demand()) else {
         unreachable!("prefill runners are free")
     };
-    assert_eq!(choice.demand.unread_tokens, 3_000);
+    assert_eq!(choice.demand.prefill_tokens, 3_000);
     if choice.runner.as_str() != other {
         assert_eq!(choice.fetch_from, Some(RunnerId::new(other)));
     }
@@ -239,10 +239,10 @@
     for id in ["p1", "p2", "p3"] {
         fleet.on_sent(
             &RunnerId::new(id),
-            AttemptDemand { unread_tokens: 200_000, late_tokens: 0, held_tokens: 200_000 },
+            AttemptDemand { prefill_tokens: 200_000, overdue_tokens: 0, held_tokens: 200_000 },
         );
     }
-    let plan = reader(plan_reading(&fleet, &ReadPace::default(), &case.demand()));
+    let plan = reader(plan_reading(&fleet, &PrefillSpeed::default(), &case.demand()));
     assert!(plan.starts_with("direct d"), "{plan}");
 }
 
@@ -251,7 +251,7 @@
     let mut fleet = one_region();
     fleet.put(record("p1", "north", Some(Stage::Prefill), 1));
     let case = Case::new(0, 1_000);
-    assert_eq!(plan_reading(&fleet, &ReadPace::default(), &case.demand()), None);
+    assert_eq!(plan_reading(&fleet, &PrefillSpeed::default(), &case.demand()), None);
 }
 
 #[test]
@@ -344,7 +344,7 @@
     let case = Case::new(0, 10_000);
     let chosen = |fleet: &Fleet| choose_writer(fleet, &case.demand(), None).unwrap().runner;
     assert_eq!(chosen(&fleet), RunnerId::new("d1"));
-    let demand = AttemptDemand { unread_tokens: 0, late_tokens: 0, held_tokens: CACHE_TOKENS };
+    let demand = AttemptDemand { prefill_tokens: 0, overdue_tokens: 0, held_tokens: CACHE_TOKENS };
     fleet.on_sent(&RunnerId::new("d1"), demand);
     assert_eq!(chosen(&fleet), RunnerId::new("d2"));
     fleet.on_ended(&RunnerId::new("d1"), demand);
@@ -355,7 +355,7 @@
 fn a_runner_that_answers_with_failures_is_left_and_tried_again_later() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     let home = reader(plan_reading(&fleet, &pace, &case.demand()));
     for _ in 0..5 {
         fleet.on_answered(&RunnerId::new(&home), true, 1_000);
@@ -397,10 +397,10 @@
     };
     fleet.on_shard_loads(&only_shard(), &[load], 0);
     let runner = fleet.get(&id).unwrap();
-    assert_eq!((runner.occupancy(0), runner.unread_for_peers(0)), (4.0, 1_000));
-    assert!(runner.occupancy(400_000) < 3.0 && runner.unread_for_peers(400_000) < 600);
-    assert_eq!((runner.occupancy(1_000_000), runner.unread_for_peers(1_000_000)), (0.0, 0));
-    assert_eq!(runner.held_by_all(1_000_000), 50, "memory is let go with the run alone");
+    assert_eq!((runner.occupancy(0), runner.peer_prefill_tokens(0)), (4.0, 1_000));
+    assert!(runner.occupancy(400_000) < 3.0 && runner.peer_prefill_tokens(400_000) < 600);
+    assert_eq!((runner.occupancy(1_000_000), runner.peer_prefill_tokens(1_000_000)), (0.0, 0));
+    assert_eq!(runner.total_held_tokens(1_000_000), 50, "memory is let go with the run alone");
 }
 
 /// Once a runner that had changed its role while the list was late got no work for a whole day.
@@ -411,7 +411,7 @@
     fleet.put(record("a", "north", Some(Stage::Decode), 3));
     fleet.on_misdirected(&id);
     assert_eq!(fleet.put(record("a", "north", Some(Stage::Decode), 3)), FleetChange::None);
-    assert!(!fleet.get(&id).unwrap().takes_work(), "the same entry again");
+    assert!(!fleet.get(&id).unwrap().accepts_work(), "the same entry again");
     fleet.replace_all(vec![record("a", "north", Some(Stage::Prefill), 5)], at(6), None);
-    assert!(fleet.get(&id).unwrap().takes_work());
+    assert!(fleet.get(&id).unwrap().accepts_work());
 }
--- a/crates/serving/tests/region_fetch.rs
+++ b/crates/serving/tests/region_fetch.rs
@@ -7,7 +7,7 @@
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::placement::{plan_reading, Choice, Demand, ReadingPlan};
-use pitchstall_serving::prefill_speed::ReadPace;
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
 use pitchstall_serving::regions::PartsRead;
 use pitchstall_serving::runner::{RunnerRecord, Stage};
@@ -61,7 +61,7 @@
         region_move_ms,
         now_us: 1_000_000,
     };
-    match plan_reading(fleet, &ReadPace::default(), &demand).unwrap() {
+    match plan_reading(fleet, &PrefillSpeed::default(), &demand).unwrap() {
         ReadingPlan::Split(choice) | ReadingPlan::Direct(choice) => choice,
     }
 }
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -8,7 +8,7 @@
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
 use pitchstall_serving::placement::{choose_worker, Choice, Demand, ReadingPlan};
-use pitchstall_serving::prefill_speed::ReadPace;
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{rendezvous_weight, Prompt, PromptPart};
 use pitchstall_serving::regions::{service_load, Placed, RegionBacklogs, RegionLoads, ServiceLoad};
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord, Stage};
@@ -85,7 +85,7 @@
     }
 
     fn placed(&self, fleet: &Fleet, shard: Option<&Shard>) -> PlacedRequest {
-        choose(fleet, &ReadPace::default(), &self.demand(), shard, DUE)
+        choose(fleet, &PrefillSpeed::default(), &self.demand(), shard, DUE)
     }
 }
 
@@ -94,7 +94,7 @@
 }
 
 fn read_load(tokens: u64) -> AttemptDemand {
-    AttemptDemand { unread_tokens: tokens, late_tokens: 0, held_tokens: 0 }
+    AttemptDemand { prefill_tokens: tokens, overdue_tokens: 0, held_tokens: 0 }
 }
 
 #[test]
@@ -443,7 +443,7 @@
 fn a_regions_load_is_what_its_own_runners_have_to_do() {
     let mut fleet = fleet(&two_regions());
     let service = ServiceName::new("llm");
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     for id in ["p-w-1-0", "p-w-1-1", "p-w-2-0", "p-w-2-1"] {
         fleet.on_sent(&RunnerId::new(id), read_load(20_000));
     }
@@ -451,7 +451,7 @@
         service_load(&fleet, &pace, &service, &RegionId::new(region), SECOND).unwrap()
     };
     assert_eq!((load("w").readers, load("e").readers), (4, 4));
-    let expected_us = (pace.read_ms(20_000.0) * 1_000.0) as u64;
+    let expected_us = (pace.prefill_ms(20_000.0) * 1_000.0) as u64;
     assert_eq!((load("w").wait_us, load("e").wait_us), (expected_us, 0));
     assert_eq!(service_load(&fleet, &pace, &service, &RegionId::new("n"), SECOND), None);
 }
--- a/crates/serving/tests/reservations.rs
+++ b/crates/serving/tests/reservations.rs
@@ -5,7 +5,7 @@
 
 use pitchstall_serving::fleet::Fleet;
 use pitchstall_serving::ids::{RegionId, RunnerId, ServiceName};
-use pitchstall_serving::reservations::{Reservation, Reservations, Reserved};
+use pitchstall_serving::reservations::{Reservation, Reservations, RunnerReservation};
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord, Stage};
 use pitchstall_serving::scheduling::{Shard, Ticket};
 use proptest::prelude::*;
@@ -33,25 +33,25 @@
     Ticket { incarnation: 7, number }
 }
 
-fn reserved(runner: &str, unread_tokens: u64) -> Reserved {
-    let demand = AttemptDemand { unread_tokens, late_tokens: 0, held_tokens: 500 };
-    Reserved { runner: RunnerId::new(runner), demand }
+fn reserved(runner: &str, prefill_tokens: u64) -> RunnerReservation {
+    let demand = AttemptDemand { prefill_tokens, overdue_tokens: 0, held_tokens: 500 };
+    RunnerReservation { runner: RunnerId::new(runner), demand }
 }
 
 fn split(deadline_us: u64) -> Reservation {
     Reservation {
         service: ServiceName::new("s"),
-        reader: reserved("p", 400),
-        writer: Some(reserved("d", 0)),
-        shared_parts: Vec::new(),
-        met_no_queue: true,
+        prefill: reserved("p", 400),
+        decode: Some(reserved("d", 0)),
+        shared_prefixes: Vec::new(),
+        was_unqueued: true,
         deadline_us,
-        is_read: false,
+        is_prefilled: false,
     }
 }
 
 fn direct(deadline_us: u64) -> Reservation {
-    Reservation { reader: reserved("d", 400), writer: None, ..split(deadline_us) }
+    Reservation { prefill: reserved("d", 400), decode: None, ..split(deadline_us) }
 }
 
 /// Requests and unread tokens at the prefill and at the decode runner.
@@ -69,9 +69,9 @@
     let (mut fleet, mut reservations) = (fleet(), Reservations::default());
     reservations.reserve(&mut fleet, ticket(1), split(SECOND));
     assert_eq!(load(&fleet), [(1, 400), (1, 0)]);
-    assert!(reservations.on_read(&mut fleet, ticket(1)).is_some());
+    assert!(reservations.on_prefilled(&mut fleet, ticket(1)).is_some());
     assert_eq!(load(&fleet), [(0, 0), (1, 0)]);
-    assert!(reservations.on_read(&mut fleet, ticket(1)).is_none(), "a doubled word");
+    assert!(reservations.on_prefilled(&mut fleet, ticket(1)).is_none(), "a doubled word");
     reservations.end(&mut fleet, ticket(1));
     assert_eq!(load(&fleet), [(0, 0), (0, 0)]);
 }
@@ -81,7 +81,7 @@
     let (mut fleet, mut reservations) = (fleet(), Reservations::default());
     reservations.reserve(&mut fleet, ticket(1), direct(SECOND));
     assert_eq!(load(&fleet), [(0, 0), (1, 400)]);
-    reservations.on_read(&mut fleet, ticket(1)).unwrap();
+    reservations.on_prefilled(&mut fleet, ticket(1)).unwrap();
     assert_eq!(load(&fleet), [(0, 0), (1, 0)]);
 }
 
@@ -129,7 +129,7 @@
                     reservations.reserve(&mut fleet, ticket(number), direct(now_us + SECOND));
                 }
                 Word::Read(number) => {
-                    reservations.on_read(&mut fleet, ticket(number));
+                    reservations.on_prefilled(&mut fleet, ticket(number));
                 }
                 Word::Ended(number) => reservations.end(&mut fleet, ticket(number)),
                 Word::Pause(pause_us) => now_us += pause_us,
--- a/crates/serving/tests/role_view.rs
+++ b/crates/serving/tests/role_view.rs
@@ -6,10 +6,10 @@
 use pitchstall_serving::configuration::EngineSpec;
 use pitchstall_serving::fleet::Fleet;
 use pitchstall_serving::ids::{RegionId, RunnerId, ServiceName, ZoneId};
-use pitchstall_serving::prefill_speed::ReadPace;
-use pitchstall_serving::reservations::{Reservation, Reservations, Reserved};
+use pitchstall_serving::prefill_speed::PrefillSpeed;
+use pitchstall_serving::reservations::{Reservation, Reservations, RunnerReservation};
 use pitchstall_serving::role_planner::{
-    NothingOrdered, RoleDemand, RolePlan, RolePlanner, RolePolicy,
+    NoChangeReason, RoleDemand, RolePlan, RolePlanner, RolePolicy,
 };
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord, Stage};
 use pitchstall_serving::runner_notice::{RequestRate, RunnerNotice};
@@ -44,28 +44,28 @@
         EngineSpec { slots: SLOTS, kv_tokens: 100_000, handle_ttl_s: 5.0, ..EngineSpec::default() };
     let service = ServiceName::new("llm");
     let demand = RoleDemand { service: &service, engine: &engine, target_ms: 500.0, region: None };
-    planner.plan(fleet, &ReadPace::default(), &demand, now_us)
+    planner.plan(fleet, &PrefillSpeed::default(), &demand, now_us)
 }
 
 fn planner() -> RolePlanner {
     RolePlanner::new(RolePolicy::default())
 }
 
-fn reserved(runner: &str, unread_tokens: u64) -> Reserved {
-    let demand = AttemptDemand { unread_tokens, late_tokens: 0, held_tokens: 100 };
-    Reserved { runner: RunnerId::new(runner), demand }
+fn reserved(runner: &str, prefill_tokens: u64) -> RunnerReservation {
+    let demand = AttemptDemand { prefill_tokens, overdue_tokens: 0, held_tokens: 100 };
+    RunnerReservation { runner: RunnerId::new(runner), demand }
 }
 
 /// A place at a writer is set aside before the prompt is read elsewhere.
 fn reserve(fleet: &mut Fleet, reservations: &mut Reservations, number: u64, writer: &str) {
     let reservation = Reservation {
         service: ServiceName::new("llm"),
-        reader: reserved("p0", 3_000),
-        writer: Some(reserved(writer, 0)),
-        shared_parts: Vec::new(),
-        met_no_queue: false,
+        prefill: reserved("p0", 3_000),
+        decode: Some(reserved(writer, 0)),
+        shared_prefixes: Vec::new(),
+        was_unqueued: false,
         deadline_us: 9 * SECOND,
-        is_read: false,
+        is_prefilled: false,
     };
     reservations.reserve(fleet, Ticket { incarnation: 1, number }, reservation);
 }
@@ -85,14 +85,18 @@
     for fleet in [&scheduler, &holder] {
         let mut planner = planner();
         let first = look(&mut planner, fleet, SECOND);
-        assert_eq!(first.decision, Err(NothingOrdered::NotLasting));
-        assert!(first.seen.occupancy < 0.01 && first.seen.memory < 0.01, "{:?}", first.seen);
+        assert_eq!(first.decision, Err(NoChangeReason::PressureTooRecent));
+        assert!(
+            first.metrics.occupancy < 0.01 && first.metrics.memory < 0.01,
+            "{:?}",
+            first.metrics
+        );
     }
     // Once they are read, they take their writers' places.
     for number in 0..24 {
-        reservations.on_read(&mut scheduler, Ticket { incarnation: 1, number });
+        reservations.on_prefilled(&mut scheduler, Ticket { incarnation: 1, number });
     }
-    let read = look(&mut planner(), &scheduler, SECOND).seen;
+    let read = look(&mut planner(), &scheduler, SECOND).metrics;
     assert!(read.occupancy > 0.99 && read.wait < 0.01, "{read:?}");
 }
 
@@ -105,7 +109,7 @@
     reservations.end(&mut fleet, Ticket { incarnation: 1, number: 1 });
     let loads = fleet.shard_loads(&only_shard(), SECOND);
     assert!(loads.iter().all(|load| (load.in_flight, load.unread_requests) == (1, 1)));
-    reservations.on_read(&mut fleet, Ticket { incarnation: 1, number: 2 });
+    reservations.on_prefilled(&mut fleet, Ticket { incarnation: 1, number: 2 });
     reservations.end(&mut fleet, Ticket { incarnation: 1, number: 2 });
     assert!(fleet.shard_loads(&only_shard(), SECOND).is_empty());
 }
@@ -123,8 +127,8 @@
         asked_a_second: 0,
     };
     holder.on_shard_loads(&only_shard(), &[load], SECOND);
-    let seen = look(&mut planner(), &holder, SECOND).seen;
-    assert!(seen.late > 1.0 && seen.wait >= seen.late, "{seen:?}");
+    let seen = look(&mut planner(), &holder, SECOND).metrics;
+    assert!(seen.overdue_wait > 1.0 && seen.wait >= seen.overdue_wait, "{seen:?}");
 }
 
 #[test]
@@ -135,8 +139,8 @@
     let mut holder = self::fleet(1, 3);
     holder.on_shard_loads(&only_shard(), &fleet.shard_loads(&only_shard(), SECOND), SECOND);
     let plan = look(&mut planner(), &holder, SECOND);
-    assert_eq!(plan.decision, Err(NothingOrdered::NoPressure));
-    assert!(plan.seen.wait < 0.01, "{:?}", plan.seen);
+    assert_eq!(plan.decision, Err(NoChangeReason::NoPressure));
+    assert!(plan.metrics.wait < 0.01, "{:?}", plan.metrics);
 }
 
 #[test]
@@ -146,14 +150,14 @@
     for number in 0..4 {
         let id = RunnerId::new(format!("p{number}"));
         fleet.on_placed(&id, 50_000, SECOND);
-        let unread = AttemptDemand { unread_tokens: 20_000, ..AttemptDemand::default() };
+        let unread = AttemptDemand { prefill_tokens: 20_000, ..AttemptDemand::default() };
         fleet.on_sent(&id, unread);
     }
     let mut planner = planner();
-    assert_eq!(look(&mut planner, &fleet, SECOND).decision, Err(NothingOrdered::NotLasting));
+    assert_eq!(look(&mut planner, &fleet, SECOND).decision, Err(NoChangeReason::PressureTooRecent));
     fleet.on_placed(&RunnerId::new("p0"), 126_000, 2 * SECOND);
     let plan = look(&mut planner, &fleet, 2 * SECOND);
-    assert!((6.0..7.5).contains(&plan.seen.readers_needed), "{:?}", plan.seen);
+    assert!((6.0..7.5).contains(&plan.metrics.prefill_needed), "{:?}", plan.metrics);
     assert_eq!(plan.changes().len(), 6, "10 readers are busy for 7 tenths of their time");
 }
 
@@ -165,7 +169,7 @@
     for number in 0..3 {
         let id = RunnerId::new(format!("p{number}"));
         replaced.on_placed(&id, 60_000, 2 * SECOND);
-        let unread = AttemptDemand { unread_tokens: 60_000, ..AttemptDemand::default() };
+        let unread = AttemptDemand { prefill_tokens: 60_000, ..AttemptDemand::default() };
         replaced.on_sent(&id, unread);
     }
     assert!(!look(&mut planner, &replaced, 2 * SECOND).changes().is_empty());
@@ -175,24 +179,24 @@
 fn each_reason_for_no_order_has_its_name() {
     let mut planner = planner();
     let mut busy = fleet(1, 2);
-    let unread = AttemptDemand { unread_tokens: 60_000, ..AttemptDemand::default() };
+    let unread = AttemptDemand { prefill_tokens: 60_000, ..AttemptDemand::default() };
     let write = AttemptDemand { held_tokens: 100, ..AttemptDemand::default() };
     busy.on_sent(&RunnerId::new("p0"), unread);
     let reason = |plan: RolePlan| plan.decision.unwrap_err();
-    assert_eq!(reason(look(&mut planner, &fleet(1, 2), 0)), NothingOrdered::NoPressure);
-    assert_eq!(reason(look(&mut planner, &busy, SECOND)), NothingOrdered::NotLasting);
+    assert_eq!(reason(look(&mut planner, &fleet(1, 2), 0)), NoChangeReason::NoPressure);
+    assert_eq!(reason(look(&mut planner, &busy, SECOND)), NoChangeReason::PressureTooRecent);
     planner.on_ordered(2 * SECOND);
-    assert_eq!(reason(look(&mut planner, &busy, 3 * SECOND)), NothingOrdered::Paused);
+    assert_eq!(reason(look(&mut planner, &busy, 3 * SECOND)), NoChangeReason::Paused);
     ["d0", "d1"].iter().for_each(|id| {
         (0..5).for_each(|_| busy.on_sent(&RunnerId::new(*id), write));
     });
-    assert_eq!(reason(look(&mut planner, &busy, 9 * SECOND)), NothingOrdered::NobodyToSpare);
+    assert_eq!(reason(look(&mut planner, &busy, 9 * SECOND)), NoChangeReason::NoSpareDecode);
     let mut last = fleet(1, 1);
     last.on_sent(&RunnerId::new("p0"), unread);
-    assert_eq!(reason(look(&mut planner, &last, 9 * SECOND)), NothingOrdered::LeastDecode);
+    assert_eq!(reason(look(&mut planner, &last, 9 * SECOND)), NoChangeReason::MinDecodeReached);
     let mut full = fleet(1, 1);
     (0..SLOTS).for_each(|_| full.on_sent(&RunnerId::new("d0"), write));
-    assert_eq!(reason(look(&mut planner, &full, 9 * SECOND)), NothingOrdered::PrefillBusy);
+    assert_eq!(reason(look(&mut planner, &full, 9 * SECOND)), NoChangeReason::PrefillBusy);
 }
 
 #[test]
@@ -216,8 +220,8 @@
     let service = ServiceName::new("llm");
     let region = Some(&here);
     let demand = RoleDemand { service: &service, engine: &engine, target_ms: 500.0, region };
-    let plan = planner().plan(&fleet, &ReadPace::default(), &demand, SECOND);
-    assert_eq!((plan.seen.prefill, plan.seen.decode), (2, 0));
+    let plan = planner().plan(&fleet, &PrefillSpeed::default(), &demand, SECOND);
+    assert_eq!((plan.metrics.prefill, plan.metrics.decode), (2, 0));
     let changes = plan.changes();
     assert_eq!(changes.len(), 1, "a region without writers gets one of its own");
     assert!(["i-0", "i-1"].contains(&changes[0].runner.as_str()));
@@ -235,7 +239,7 @@
     }
     for number in 0..22 {
         let id = RunnerId::new(format!("p{number}"));
-        let unread = AttemptDemand { unread_tokens: 5_000, ..AttemptDemand::default() };
+        let unread = AttemptDemand { prefill_tokens: 5_000, ..AttemptDemand::default() };
         busy.on_sent(&id, unread);
         // At 30 tokens a millisecond half of the readers' time.
         busy.on_placed(&id, 15_000, SECOND);
@@ -243,8 +247,8 @@
     }
     let mut planner = planner();
     let first = look(&mut planner, &busy, SECOND);
-    assert!(first.seen.wait > RolePolicy::default().long_wait, "{:?}", first.seen);
-    assert_eq!(first.decision, Err(NothingOrdered::NotLasting));
+    assert!(first.metrics.wait > RolePolicy::default().high_wait, "{:?}", first.metrics);
+    assert_eq!(first.decision, Err(NoChangeReason::PressureTooRecent));
     let changes = look(&mut planner, &busy, 2 * SECOND).changes();
     assert!((2..=5).contains(&changes.len()), "{changes:?}");
     assert!(changes.iter().all(|change| change.stage == Stage::Decode));
@@ -261,7 +265,7 @@
     }
     let mut planner = planner();
     let first = look(&mut planner, &fleet, SECOND);
-    assert_eq!((first.seen.prefill, first.seen.decode), (5, 1));
+    assert_eq!((first.metrics.prefill, first.metrics.decode), (5, 1));
     let changes = look(&mut planner, &fleet, 3 * SECOND).decision.unwrap();
     assert!(!changes.is_empty(), "one decode runner is too few");
     for change in &changes {
@@ -277,6 +281,6 @@
     for name in ["p0", "p1", "d0", "d1"] {
         fleet.on_limit_in_head(&RunnerId::new(name), notice, 1, 2);
     }
-    let seen = look(&mut planner(), &fleet, SECOND).seen;
+    let seen = look(&mut planner(), &fleet, SECOND).metrics;
     assert_eq!((seen.prefill, seen.decode), (2, 2));
 }
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -7,7 +7,7 @@
 use pitchstall_serving::configuration::EngineSpec;
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{RunnerId, ServiceName};
-use pitchstall_serving::prefill_speed::ReadPace;
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::role_planner::{RoleChange, RoleDemand, RolePlanner, RolePolicy};
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord, Stage};
 use proptest::prelude::*;
@@ -107,8 +107,8 @@
     fleet
 }
 
-fn load(fleet: &mut Fleet, runner: &str, requests: usize, unread_tokens: u64) {
-    let demand = AttemptDemand { unread_tokens, late_tokens: 0, held_tokens: 1_000 };
+fn load(fleet: &mut Fleet, runner: &str, requests: usize, prefill_tokens: u64) {
+    let demand = AttemptDemand { prefill_tokens, overdue_tokens: 0, held_tokens: 1_000 };
     (0..requests).for_each(|_| fleet.on_sent(&RunnerId::new(runner), demand));
 }
 
@@ -117,7 +117,7 @@
         EngineSpec { slots: 8, kv_tokens: 100_000, handle_ttl_s: 5.0, ..EngineSpec::default() };
     let service = ServiceName::new("llm");
     let demand = RoleDemand { service: &service, engine: &engine, target_ms: 500.0, region: None };
-    planner.plan(fleet, &ReadPace::default(), &demand, now_us).changes()
+    planner.plan(fleet, &PrefillSpeed::default(), &demand, now_us).changes()
 }
 
 fn plan(planner: &mut RolePlanner, fleet: &Fleet, now_us: u64) -> Option<RoleChange> {
@@ -246,7 +246,7 @@
         }
     }
     for node in &nodes {
-        assert!(!node.get(&id).unwrap().is_changing(3 * SECOND));
+        assert!(!node.get(&id).unwrap().is_changing_role(3 * SECOND));
     }
 }
 
@@ -257,5 +257,5 @@
     let record = fleet.get(&id).unwrap().record.clone();
     fleet.put(RunnerRecord { stage: Some(Stage::Prefill), revision: at(2), ..record });
     fleet.on_changing(&id, Stage::Prefill, 10 * SECOND);
-    assert!(!fleet.get(&id).unwrap().is_changing(SECOND));
+    assert!(!fleet.get(&id).unwrap().is_changing_role(SECOND));
 }
--- a/crates/serving/tests/roles_world/mod.rs
+++ b/crates/serving/tests/roles_world/mod.rs
@@ -5,7 +5,7 @@
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::placement::Demand;
-use pitchstall_serving::prefill_speed::ReadPace;
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
 use pitchstall_serving::reservations::Reservations;
 use pitchstall_serving::role_planner::{RoleDemand, RolePlanner, RolePolicy};
@@ -241,7 +241,7 @@
             now_us: self.now_us,
         };
         let due = Due { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
-        let pace = ReadPace::default();
+        let pace = PrefillSpeed::default();
         let placed = choose(&scheduler.fleet, &pace, &demand, Some(&scheduler.shard), due);
         let question =
             PlacementQuestion { handed_on, ..question(ticket, &prompt, scheduler.shard.clone()) };
@@ -305,7 +305,7 @@
         over.iter().for_each(|waiting| self.end(waiting, false));
         for waiting in read {
             let scheduler = &mut self.schedulers[waiting.scheduler];
-            scheduler.reservations.on_read(&mut scheduler.fleet, waiting.ticket);
+            scheduler.reservations.on_prefilled(&mut scheduler.fleet, waiting.ticket);
             self.writing.push_back((now_us + WRITING_US, waiting));
         }
     }
@@ -341,7 +341,7 @@
             target_ms: TARGET_MS as f64,
             region: None,
         };
-        let plan = self.planner.plan(&self.holder, &ReadPace::default(), &demand, now_us);
+        let plan = self.planner.plan(&self.holder, &PrefillSpeed::default(), &demand, now_us);
         let changes = plan.changes();
         if !changes.is_empty() {
             self.planner.on_ordered(now_us);
--- a/crates/serving/tests/runner_incarnations.rs
+++ b/crates/serving/tests/runner_incarnations.rs
@@ -21,7 +21,7 @@
 
 const SECOND: u64 = 1_000_000;
 const DEMAND: AttemptDemand =
-    AttemptDemand { unread_tokens: 500, late_tokens: 200, held_tokens: 900 };
+    AttemptDemand { prefill_tokens: 500, overdue_tokens: 200, held_tokens: 900 };
 
 fn life(born_ms: u64) -> RunnerId {
     RunnerId::of_life(&RunnerName::new("i-1"), Some(born_ms))
@@ -99,18 +99,18 @@
     let candidates = fleet.candidates(&Eligible::all_of(&service), now_us).len();
     format!(
         "{} {} {} {} {} {} {} {} {:?} {} {} {loads:?} {candidates} {} {:?}",
-        runner.takes_work(),
+        runner.accepts_work(),
         runner.is_avoided(now_us),
         runner.failure_rate(now_us),
-        runner.is_changing(now_us),
+        runner.is_changing_role(now_us),
         runner.is_suspected(),
         runner.occupancy(now_us),
-        runner.unread_for_peers(now_us),
-        runner.asked_a_second(now_us),
-        runner.becoming(now_us),
-        runner.held_by_all(now_us),
+        runner.peer_prefill_tokens(now_us),
+        runner.prefill_tokens_per_second(now_us),
+        runner.next_stage(now_us),
+        runner.total_held_tokens(now_us),
         runner.cached_tokens(&prompt()),
-        runner.pace_factor(now_us),
+        runner.slowdown_factor(now_us),
         fleet.changing(now_us),
     )
 }
--- a/crates/serving/tests/runner_notices.rs
+++ b/crates/serving/tests/runner_notices.rs
@@ -6,7 +6,9 @@
 use pitchstall_serving::fleet::{Eligible, Fleet, Sender};
 use pitchstall_serving::ids::{RunnerId, RunnerName, ServiceName};
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord};
-use pitchstall_serving::runner_notice::{Availability, Learned, RunnerNotice, LONGEST_REST_US};
+use pitchstall_serving::runner_notice::{
+    Availability, AvailabilityChange, RunnerNotice, MAX_REST_US,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use support::{at, runner_record};
@@ -38,9 +40,9 @@
 fn a_rest_ends_by_its_time_alone() {
     let mut availability = Availability::default();
     let learned = availability.on_notice(rest(3 * SECOND), SECOND);
-    assert_eq!(learned, Learned { leaving: false, rest_us: Some(3 * SECOND) });
+    assert_eq!(learned, AvailabilityChange { leaving: false, rest_us: Some(3 * SECOND) });
     // A shorter one that is asked for later, and an answer that says nothing, take nothing back.
-    assert_eq!(availability.on_notice(rest(SECOND), 2 * SECOND), Learned::default());
+    assert_eq!(availability.on_notice(rest(SECOND), 2 * SECOND), AvailabilityChange::default());
     availability.on_notice(RunnerNotice::default(), 2 * SECOND);
     availability.on_accepted();
     assert_eq!(availability.rests_until_us(4 * SECOND - 1), Some(4 * SECOND));
@@ -73,8 +75,8 @@
 fn no_word_costs_a_runner_more_than_the_longest_rest() {
     let mut availability = Availability::default();
     let learned = availability.on_notice(rest(u64::MAX), SECOND);
-    assert_eq!(learned.rest_us, Some(LONGEST_REST_US));
-    assert!(!availability.is_resting(SECOND + LONGEST_REST_US));
+    assert_eq!(learned.rest_us, Some(MAX_REST_US));
+    assert!(!availability.is_resting(SECOND + MAX_REST_US));
 }
 
 /// The scheduler that chooses for another node was asked for rest itself; the other node was not.
--- a/crates/serving/tests/runner_speed.rs
+++ b/crates/serving/tests/runner_speed.rs
@@ -6,10 +6,10 @@
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::placement::{plan_reading, Demand, ReadingPlan};
-use pitchstall_serving::prefill_speed::{ReadPace, ReadSample};
+use pitchstall_serving::prefill_speed::{PrefillSample, PrefillSpeed};
 use pitchstall_serving::prefix::Prompt;
 use pitchstall_serving::runner::{AttemptDemand, RunnerRecord, Stage};
-use pitchstall_serving::runner_speed::{RunnerPace, RunnerReading};
+use pitchstall_serving::runner_speed::{PrefillTiming, RunnerSpeed};
 use proptest::prelude::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -21,13 +21,13 @@
 const FIXED_MS: f64 = 5.0;
 const TOKENS_A_MS: f64 = 100.0;
 
-fn alone(expected_ms: f64, factor: f64) -> RunnerReading {
-    RunnerReading {
+fn unqueued(expected_ms: f64, factor: f64) -> PrefillTiming {
+    PrefillTiming {
         expected_ms,
         fixed_ms: FIXED_MS,
         elapsed_ms: FIXED_MS + expected_ms * factor,
-        met_no_queue: true,
-        hears_of_all: false,
+        was_unqueued: true,
+        observes_all_prefills: false,
     }
 }
 
@@ -35,60 +35,64 @@
 #[test_case(0.77; "a faster kind")]
 #[test_case(5.0; "turned slow")]
 fn the_pace_of_a_runner_is_found_within_a_few_readings(factor: f64) {
-    let mut pace = RunnerPace::default();
+    let mut speed = RunnerSpeed::default();
     (1..=12).for_each(|number| {
-        pace.on_read(alone(40.0, 1.0), number * 100_000);
+        speed.on_prefilled(unqueued(40.0, 1.0), number * 100_000);
     });
     (13..=22).for_each(|number| {
-        pace.on_read(alone(40.0, factor), number * 100_000);
+        speed.on_prefilled(unqueued(40.0, factor), number * 100_000);
     });
-    let found = pace.factor(2_200_000);
+    let found = speed.slowdown_factor(2_200_000);
     assert!((found / factor - 1.0).abs() < 0.2, "found {found}");
 }
 
 #[test]
 fn a_runner_of_which_little_is_known_counts_as_the_others() {
-    let mut pace = RunnerPace::default();
-    assert!((pace.factor(0) - 1.0).abs() < f64::EPSILON);
-    pace.on_read(alone(40.0, 3.0), 100_000);
-    assert!(pace.factor(100_000) <= 2.0);
+    let mut speed = RunnerSpeed::default();
+    assert!((speed.slowdown_factor(0) - 1.0).abs() < f64::EPSILON);
+    speed.on_prefilled(unqueued(40.0, 3.0), 100_000);
+    assert!(speed.slowdown_factor(100_000) <= 2.0);
 }
 
 #[test]
 fn a_slow_runner_that_reads_nothing_is_trusted_again() {
-    let mut pace = RunnerPace::default();
+    let mut speed = RunnerSpeed::default();
     (1..=6).for_each(|number| {
-        pace.on_read(alone(40.0, 5.0), number * 100_000);
+        speed.on_prefilled(unqueued(40.0, 5.0), number * 100_000);
     });
-    assert!(pace.factor(600_000) > 3.0);
-    assert!(pace.factor(13 * SECOND_US) < 1.1);
+    assert!(speed.slowdown_factor(600_000) > 3.0);
+    assert!(speed.slowdown_factor(13 * SECOND_US) < 1.1);
 }
 
 #[test]
 fn waits_behind_others_are_no_slowness_to_one_who_hears_of_all() {
-    let mut pace = RunnerPace::default();
+    let mut speed = RunnerSpeed::default();
     // Sent at once, read one after the other, 40 ms each.
     for number in 1..=20_u64 {
         let read_ms = 40.0 * number as f64;
-        let queued = RunnerReading {
+        let queued = PrefillTiming {
             elapsed_ms: FIXED_MS + read_ms,
-            met_no_queue: number == 1,
-            hears_of_all: true,
-            ..alone(40.0, 1.0)
+            was_unqueued: number == 1,
+            observes_all_prefills: true,
+            ..unqueued(40.0, 1.0)
         };
-        pace.on_read(queued, (read_ms * MICROS_PER_MILLI) as u64);
+        speed.on_prefilled(queued, (read_ms * MICROS_PER_MILLI) as u64);
     }
-    assert!((pace.factor(SECOND_US) - 1.0).abs() < 0.05, "found {}", pace.factor(SECOND_US));
+    assert!(
+        (speed.slowdown_factor(SECOND_US) - 1.0).abs() < 0.05,
+        "found {}",
+        speed.slowdown_factor(SECOND_US)
+    );
 }
 
 #[test]
 fn waits_behind_others_are_passed_over_by_one_who_hears_of_few() {
-    let mut pace = RunnerPace::default();
-    let queued = RunnerReading { met_no_queue: false, ..alone(40.0, 9.0) };
+    let mut speed = RunnerSpeed::default();
+    let queued = PrefillTiming { was_unqueued: false, ..unqueued(40.0, 9.0) };
     (1..=20).for_each(|number| {
-        pace.on_read(queued, number * 100_000);
+        speed.on_prefilled(queued, number * 100_000);
     });
-    assert!((pace.factor(2 * SECOND_US) - 1.0).abs() < f64::EPSILON);
+    assert!((speed.slowdown_factor(2 * SECOND_US) - 1.0).abs() < f64::EPSILON);
 }
 
 fn any_time() -> impl Strategy<Value = f64> {
@@ -102,13 +106,13 @@
             (any_time(), any_time(), any_time(), any::<bool>(), any::<bool>(), any::<u64>()), 0..60),
         asked_us in any::<u64>(),
     ) {
-        let mut pace = RunnerPace::default();
-        for (expected_ms, fixed_ms, elapsed_ms, met_no_queue, hears_of_all, now_us) in readings {
+        let mut speed = RunnerSpeed::default();
+        for (expected_ms, fixed_ms, elapsed_ms, was_unqueued, observes_all_prefills, now_us) in readings {
             let reading =
-                RunnerReading { expected_ms, fixed_ms, elapsed_ms, met_no_queue, hears_of_all };
-            pace.on_read(reading, now_us);
+                PrefillTiming { expected_ms, fixed_ms, elapsed_ms, was_unqueued, observes_all_prefills };
+            speed.on_prefilled(reading, now_us);
             for at_us in [now_us, asked_us] {
-                let factor = pace.factor(at_us);
+                let factor = speed.slowdown_factor(at_us);
                 prop_assert!(factor.is_finite() && factor > 0.0, "{factor}");
             }
         }
@@ -122,7 +126,7 @@
 /// Readers of given speeds, the last of which is slower by a factor for some time.
 struct Play {
     fleet: Fleet,
-    pace: ReadPace,
+    speed: PrefillSpeed,
     speeds: BTreeMap<RunnerId, f64>,
     slow: (RunnerId, f64, std::ops::Range<u64>),
     free_at_us: BTreeMap<RunnerId, u64>,
@@ -163,7 +167,7 @@
         fleet.put(record(SPEEDS.len(), Stage::Decode));
         Self {
             fleet,
-            pace: ReadPace::default(),
+            speed: PrefillSpeed::default(),
             speeds: SPEEDS
                 .into_iter()
                 .chain([WRITER_SPEED])
@@ -187,16 +191,16 @@
 
     fn end_readings(&mut self, now_us: u64) {
         while self.reading.peek().is_some_and(|Reverse((at_us, ..))| *at_us <= now_us) {
-            let Reverse((at_us, sent_us, runner, tokens, met_no_queue)) =
+            let Reverse((at_us, sent_us, runner, tokens, was_unqueued)) =
                 self.reading.pop().unwrap();
             self.fleet.on_ended(&runner, demand_of(tokens));
             let elapsed_ms = (at_us - sent_us) as f64 / MICROS_PER_MILLI;
-            let sample = ReadSample { tokens, elapsed_ms, met_no_queue };
+            let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
             if runner != id(SPEEDS.len()) {
-                self.pace.on_read(sample);
-                let reading = self.pace.compare(&sample, true);
+                self.speed.on_prefilled(sample);
+                let reading = self.speed.timing_of(&sample, true);
                 let spent = self.fleet.on_paced(&runner, reading, at_us);
-                spent.into_iter().for_each(|spent| self.pace.on_spent(spent));
+                spent.into_iter().for_each(|spent| self.speed.on_prefill_timed(spent));
             }
         }
     }
@@ -212,10 +216,10 @@
             region_move_ms: None,
             now_us,
         };
-        let plan = plan_reading(&self.fleet, &self.pace, &demand).unwrap();
+        let plan = plan_reading(&self.fleet, &self.speed, &demand).unwrap();
         let (ReadingPlan::Split(choice) | ReadingPlan::Direct(choice)) = plan;
         let runner = choice.runner;
-        let met_no_queue = self.fleet.get(&runner).unwrap().is_idle(now_us);
+        let was_unqueued = self.fleet.get(&runner).unwrap().is_idle(now_us);
         self.fleet.on_sent(&runner, demand_of(tokens));
         let (slow_runner, by, when) = &self.slow;
         let slowed = if *slow_runner == runner && when.contains(&now_us) { *by } else { 1.0 };
@@ -224,7 +228,7 @@
         *free_at_us = now_us.max(*free_at_us) + (reading_ms * MICROS_PER_MILLI) as u64;
         let read_at_us = *free_at_us + (FIXED_MS * MICROS_PER_MILLI) as u64;
         *self.given.entry((runner.clone(), now_us / SECOND_US)).or_default() += tokens;
-        self.reading.push(Reverse((read_at_us, now_us, runner, tokens, met_no_queue)));
+        self.reading.push(Reverse((read_at_us, now_us, runner, tokens, was_unqueued)));
     }
 
     fn given(&self, number: usize, seconds: std::ops::Range<u64>) -> f64 {
@@ -234,7 +238,7 @@
 }
 
 fn demand_of(tokens: u64) -> AttemptDemand {
-    AttemptDemand { unread_tokens: tokens, late_tokens: 0, held_tokens: tokens }
+    AttemptDemand { prefill_tokens: tokens, overdue_tokens: 0, held_tokens: tokens }
 }
 
 #[test]
@@ -261,13 +265,13 @@
     let mut fleet = Fleet::default();
     fleet.put(record(0, Stage::Prefill));
     (1..=6).for_each(|number| {
-        fleet.on_paced(&id(0), alone(40.0, 5.0), number * 100_000);
+        fleet.on_paced(&id(0), unqueued(40.0, 5.0), number * 100_000);
     });
-    assert!(fleet.get(&id(0)).unwrap().pace_factor(600_000) > 3.0);
+    assert!(fleet.get(&id(0)).unwrap().slowdown_factor(600_000) > 3.0);
     fleet.remove(&id(0), at(5), None);
-    fleet.on_paced(&id(0), alone(40.0, 5.0), 700_000);
+    fleet.on_paced(&id(0), unqueued(40.0, 5.0), 700_000);
     assert!(fleet.get(&id(0)).is_none());
     fleet.put(RunnerRecord { revision: at(9), ..record(0, Stage::Prefill) });
-    let factor = fleet.get(&id(0)).unwrap().pace_factor(800_000);
+    let factor = fleet.get(&id(0)).unwrap().slowdown_factor(800_000);
     assert!((factor - 1.0).abs() < f64::EPSILON);
 }
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -8,7 +8,7 @@
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
 use pitchstall_serving::placement::{reading_home, Demand, ReadingPlan};
-use pitchstall_serving::prefill_speed::ReadPace;
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
 use pitchstall_serving::reservations::Reservations;
 use pitchstall_serving::runner::{RunnerRecord, Stage};
@@ -142,7 +142,7 @@
             };
             let Mind { fleet, reservations } = &mut self.minds[mind];
             if !lost {
-                reservations.on_read(fleet, ticket);
+                reservations.on_prefilled(fleet, ticket);
                 reservations.end(fleet, ticket);
             }
         }
@@ -196,7 +196,7 @@
             Placer::Schedulers { .. } => shard.number,
             Placer::EachNode => numbers.below(NODES as u64) as usize,
         };
-        let pace = ReadPace::default();
+        let pace = PrefillSpeed::default();
         let mut placed = self.decide(mind, &demand, &question.shard, &pace);
         let told: Vec<_> = self
             .minds
@@ -229,7 +229,7 @@
         reservations.reserve(fleet, question.ticket, reservation);
         let (ToldPlan::Split(reader, _) | ToldPlan::Direct(reader)) = &plan;
         let slower = if matches!(plan, ToldPlan::Direct(_)) { 2.0 } else { 1.0 };
-        let reading_us = (pace.read_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
+        let reading_us = (pace.prefill_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
         let (wait_us, read_at_us) = self.queues.add(&reader.runner, now_us, reading_us);
         self.waits_us.push(wait_us);
         self.read.push(Reverse((read_at_us, mind, question.ticket)));
@@ -240,7 +240,7 @@
         mind: usize,
         demand: &Demand<'_>,
         shard: &Shard,
-        pace: &ReadPace,
+        pace: &PrefillSpeed,
     ) -> PlacedRequest {
         let due = Due { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
         let shard = matches!(self.placer, Placer::Schedulers { .. }).then_some(shard);
@@ -330,9 +330,9 @@
         now_us: 0,
     };
     let due = Due { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
-    let placed = choose(&fleet, &ReadPace::default(), &demand, Some(&question.shard), due);
+    let placed = choose(&fleet, &PrefillSpeed::default(), &demand, Some(&question.shard), due);
     let reading = placed.reading.as_ref().unwrap();
     let (ReadingPlan::Split(choice) | ReadingPlan::Direct(choice)) = reading;
     assert!(question.shard.has(fleet.get(&choice.runner).unwrap()));
-    assert_eq!(shorter_shard(&fleet, &ReadPace::default(), &question, &placed, 0), None);
+    assert_eq!(shorter_shard(&fleet, &PrefillSpeed::default(), &question, &placed, 0), None);
 }
--- a/crates/serving/tests/store_revision.rs
+++ b/crates/serving/tests/store_revision.rs
@@ -122,8 +122,8 @@
     RunnerRecord { draining, revision, ..runner_record(RunnerId::new(id)) }
 }
 
-fn takes_work(fleet: &Fleet, id: &str) -> bool {
-    fleet.get(&RunnerId::new(id)).is_some_and(|runner| runner.takes_work())
+fn accepts_work(fleet: &Fleet, id: &str) -> bool {
+    fleet.get(&RunnerId::new(id)).is_some_and(|runner| runner.accepts_work())
 }
 
 #[test]
@@ -140,11 +140,11 @@
     let mut fleet = Fleet::default();
     fleet.put(record("a", true, at(1, 50)));
     fleet.replace_all(vec![record("a", false, at(2, 7))], at(2, 40), Some(SECOND));
-    assert!(!takes_work(&fleet, "a"));
+    assert!(!accepts_work(&fleet, "a"));
     // Its entry is not in the copy at all, and comes back as it was before.
     fleet.replace_all(Vec::new(), at(3, 5), Some(SECOND));
     fleet.put(record("a", false, at(3, 9)));
-    assert!(!takes_work(&fleet, "a"));
+    assert!(!accepts_work(&fleet, "a"));
 }
 
 #[test]
@@ -155,7 +155,7 @@
     fleet.replace_all(vec![record("a", false, at(2, 50))], at(2, 55), None);
     assert!(fleet.get(&RunnerId::new("a")).is_none());
     fleet.put(record("a", false, at(2, 56)));
-    assert!(takes_work(&fleet, "a"), "it has written its entry again");
+    assert!(accepts_work(&fleet, "a"), "it has written its entry again");
 }
 
 #[test]
--- a/crates/serving/tests/urgency.rs
+++ b/crates/serving/tests/urgency.rs
@@ -12,7 +12,7 @@
 fn choice(wait_ms: f64, reading_ms: f64) -> Choice {
     Choice {
         runner: RunnerId::new("p"),
-        demand: AttemptDemand { unread_tokens: 1_000, late_tokens: 0, held_tokens: 1_000 },
+        demand: AttemptDemand { prefill_tokens: 1_000, overdue_tokens: 0, held_tokens: 1_000 },
         fetch_from: None,
         expected_us: ((wait_ms + reading_ms) * 1_000.0) as u64,
         reading_ms,
@@ -23,7 +23,7 @@
     let plan = ReadingPlan::Split(choice(wait_ms, reading_ms));
     let planned = put_behind_if_late(plan, TARGET_MS, elapsed_ms);
     let ReadingPlan::Split(choice) = planned else { unreachable!("the way of reading stays") };
-    choice.demand.late_tokens > 0
+    choice.demand.overdue_tokens > 0
 }
 
 #[test_case(0.0, 30.0, 0.0, false; "an idle runner")]
@@ -40,7 +40,7 @@
 fn what_was_put_behind_is_still_counted_and_comes_after_all_others() {
     let behind = choice(900.0, 30.0).put_behind();
     assert_eq!(behind.tokens_to_read(), 1_000);
-    assert_eq!(behind.demand.unread_tokens, 0, "it holds nobody up");
+    assert_eq!(behind.demand.prefill_tokens, 0, "it holds nobody up");
     let last_in_time = rank(u8::MAX, &choice(0.0, 190.0), TARGET_MS);
     assert!(rank(0, &behind, TARGET_MS) > last_in_time);
     assert!(rank(1, &behind, TARGET_MS) > rank(0, &behind, TARGET_MS));
