--- a/crates/serving/src/capacity_planner.rs
+++ b/crates/serving/src/capacity_planner.rs
@@ -1,15 +1,16 @@
-//! How many runners a service has, of which kind, in which zone.
+//! Plans how many runners a service has, of which kind and in which zone.
 //!
-//! Runners are paid by the second. Some cost a part of the others but may be taken away, all of a
-//! zone at once, at a few seconds' notice; for a time there are none to be had there, or nowhere.
-//! The plan keeps what is needed although any one zone loses all of these: `need` runners are left
-//! when the zone with most of them goes. Beside them stands a share that nobody takes away. If
-//! that costs more than runners that stay, the plan has no others.
+//! Runners are billed by the second. Preemptible runners cost a fraction of the price of reserved
+//! ones, but the platform may reclaim all of them in a zone at once, at a few seconds' notice. For
+//! a while none are then available in that zone, or in any zone. The plan tolerates the loss of all
+//! preemptible runners of any one zone: `need` runners remain when the zone with most of them loses
+//! them. A fixed share of the runners is reserved in any case. If this redundancy costs more than
+//! reserved runners, the plan uses no preemptible ones.
 //!
-//! Runners that stay are given up only when their replacements serve, and ordered at once when too
-//! few are left. A zone in which there are none to be had is asked again after a pause; until then
-//! the other zones make up for it. What others order, operators for instance, is left as it is:
-//! an order is repeated only when the plan changes.
+//! Reserved runners are given up only when their replacements serve, and are ordered at once when
+//! too few runners are left. A zone without available preemptible runners is asked again after a
+//! pause; until then the other zones make up for it. Changes by others, for instance by operators,
+//! are left alone: an order is repeated only when the plan changes.
 
 use crate::ids::ZoneId;
 use serde::{Deserialize, Serialize};
@@ -17,50 +18,51 @@
 
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// What operators say of a service whose runners can be ordered.
+/// Scaling settings of a service whose runners can be ordered, as configured by operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ScalingSpec {
-    /// Fewest runners of a zone, of both kinds together.
+    /// Minimum number of runners in a zone, of both kinds together.
     pub min_runners: u32,
-    /// Most runners of a zone, of both kinds together.
+    /// Maximum number of runners in a zone, of both kinds together.
     pub max_runners: u32,
     /// Time from an order until a runner serves, seconds.
     pub boot_s: f64,
-    /// Price of a runner that may be taken away, as a share of that of others; `None`: there are
-    /// none.
+    /// Price of a preemptible runner as a fraction of the price of a reserved one; `None` if there
+    /// are no preemptible runners.
     pub preemptible_price: Option<f64>,
-    /// Price of a runner by zone, for a second.
+    /// Price of a runner per second, by zone.
     pub zone_prices: BTreeMap<ZoneId, f64>,
 }
 
-/// Kinds of runners.
+/// Kinds of runners that can be ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunnerKind {
-    /// It stays until it is given up.
+    /// Runs until the service gives it up.
     Reserved,
-    /// It costs less and may be taken away.
+    /// Costs less and may be reclaimed by the platform.
     Preemptible,
 }
 
-/// What a plan is bound by besides what is needed.
+/// Parameters of the plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityPolicy {
-    /// Share of the need that stands on runners that stay.
+    /// Minimum share of the need that reserved runners cover.
     pub min_reserved_share: f64,
-    /// Runners that may be taken away that are kept beyond the need, as a share of it.
+    /// Preemptible runners beyond the need, as a share of the need.
     pub headroom: f64,
-    /// Whether runners that may be taken away are ordered at all.
+    /// Whether preemptible runners are ordered at all.
     pub uses_preemptible: bool,
-    /// Difference from what is wanted that is let stand, as a share of the need.
+    /// Deviation from the planned number of reserved runners that is left uncorrected, as a share
+    /// of the need.
     pub tolerance: f64,
-    /// Time for which more runners than are needed are kept, microseconds.
+    /// Time for which surplus preemptible runners are kept, microseconds.
     pub surplus_retention_us: u64,
-    /// Runners that may be added or given up in a second, over all zones: every node hears of each
-    /// of them several times.
+    /// Maximum number of runners added or given up per second, over all zones: every node receives
+    /// several messages about each change.
     pub max_changes_per_second: f64,
-    /// Most of them that may come at once.
+    /// Maximum number of runners added or given up at once.
     pub max_change_burst: f64,
-    /// Pause until a zone that had no runners to be had is asked again, microseconds.
+    /// Time until a zone without available preemptible runners is asked again, microseconds.
     pub unavailable_pause_us: u64,
 }
 
@@ -72,9 +74,10 @@
             uses_preemptible: true,
             tolerance: 0.1,
             surplus_retention_us: 15_000_000,
-            // Joining, leaving and being gone are some 300 bytes each to every node: 90 KB a second,
-            // a tenth of the users' narrowest links (10 Mbit/s). Without a limit a fleet of 3,000
-            // runners and 300 nodes broke rules while it was being exchanged.
+            // A runner that joins, leaves and disappears costs about 300 bytes each time to every
+            // node: 90 KB a second in total, a tenth of the narrowest supported links (10 Mbit/s).
+            // Without a limit, a fleet of 3,000 runners and 300 nodes violated its guarantees while
+            // its runners were exchanged.
             max_changes_per_second: 100.0,
             max_change_burst: 200.0,
             unavailable_pause_us: 3_000_000,
@@ -82,59 +85,59 @@
     }
 }
 
-/// What must outlast the node that plans: without it a successor would take what it happens to
-/// find for what is needed.
+/// State that must outlive the planning node. Without it, a successor would take the number of
+/// runners that it happens to find for the need.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacityRecord {
-    /// Runners that serve what is asked.
+    /// Number of runners that the workload needs.
     pub need: u32,
     /// Zones in which the service runs.
     pub zones: Vec<ZoneId>,
 }
 
-/// Runners that a zone has and that are not about to leave.
+/// Runners of a zone that are not about to leave.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneSupply {
-    /// Runners that stay.
+    /// Number of reserved runners.
     pub reserved: u32,
-    /// Runners that may be taken away.
+    /// Number of preemptible runners.
     pub preemptible: u32,
 }
 
-/// How many runners of a kind a zone is to have.
+/// Order for the number of runners of one kind in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityOrder {
     /// The zone.
     pub zone: ZoneId,
-    /// The kind.
+    /// Kind of the runners.
     pub kind: RunnerKind,
-    /// How many.
+    /// Number of runners that the zone is to have.
     pub runners: u32,
 }
 
-/// Plans the runners of one service.
+/// Capacity planner of one service.
 #[derive(Clone, Debug)]
 pub struct CapacityPlanner {
     policy: CapacityPolicy,
-    /// Runners that serve what is asked.
+    /// Number of runners that the workload needs.
     need: u32,
     zones: Vec<ZoneId>,
-    /// Zones that have none that may be taken away, and when they are asked again.
+    /// Zones without available preemptible runners, and when each is asked again, microseconds.
     unavailable_until_us: BTreeMap<ZoneId, u64>,
-    /// What was ordered last.
+    /// Latest order for each zone and kind.
     ordered: BTreeMap<(ZoneId, RunnerKind), u32>,
-    /// Zones that had runners that may be taken away when the plan last looked.
+    /// Zones that had preemptible runners in the previous planning round.
     had_preemptible: BTreeSet<ZoneId>,
-    /// Since when fewer runners that may be taken away would do.
+    /// Time since when there are surplus preemptible runners, microseconds.
     surplus_since_us: Option<u64>,
-    /// Whether the last look found that the number of runners that stay has to change.
+    /// Whether the latest planning round found that the number of reserved runners has to change.
     is_changing_reserved: bool,
-    /// Runners that may be added or given up now, and when that was worked out.
+    /// Number of changes allowed now, and the time for which it was computed, microseconds.
     allowance: Option<(f64, u64)>,
 }
 
 impl CapacityPlanner {
-    /// A planner that goes on by a record.
+    /// Creates a planner that continues from a record.
     pub fn new(policy: CapacityPolicy, record: CapacityRecord) -> Self {
         let CapacityRecord { need, zones } = record;
         Self {
@@ -150,13 +153,13 @@
         }
     }
 
-    /// Runners were counted anew before the need was recorded.
+    /// Replaces need and zones after a recount that took place before the need was recorded.
     pub fn on_recounted(&mut self, record: CapacityRecord) {
         self.need = record.need;
         self.zones = record.zones;
     }
 
-    /// The orders that are due while not all runners may be listed yet: nothing is given up.
+    /// Orders to place while the registry may still be incomplete. Nothing is given up.
     pub fn plan_additions(
         &mut self,
         supply: &BTreeMap<ZoneId, ZoneSupply>,
@@ -170,7 +173,7 @@
         self.rate_limit(orders, supply, now_us)
     }
 
-    /// The orders that are due.
+    /// Orders to place now.
     pub fn plan(
         &mut self,
         supply: &BTreeMap<ZoneId, ZoneSupply>,
@@ -179,12 +182,12 @@
     ) -> Vec<CapacityOrder> {
         let mut orders = self.pending_orders(supply, spec, now_us);
         self.retain_surplus(&mut orders, supply, now_us);
-        // What is added is ordered before anything is given up.
+        // Additions are ordered before anything is given up.
         orders.sort_by_key(|order| self.is_reduction(order, supply));
         self.rate_limit(orders, supply, now_us)
     }
 
-    /// What differs from what was ordered.
+    /// Target orders that differ from the orders in force.
     fn pending_orders(
         &mut self,
         supply: &BTreeMap<ZoneId, ZoneSupply>,
@@ -199,7 +202,7 @@
         orders
     }
 
-    /// Cuts orders down to what may change now; the rest follows later.
+    /// Reduces orders to the number of changes allowed now; later rounds order the rest.
     fn rate_limit(
         &mut self,
         orders: Vec<CapacityOrder>,
@@ -229,12 +232,12 @@
         allowed
     }
 
-    /// An order was taken, or may have been.
+    /// Records that an order was accepted, or may have been.
     pub fn on_ordered(&mut self, order: &CapacityOrder) {
         self.ordered.insert((order.zone.clone(), order.kind), order.runners);
     }
 
-    /// There are no runners of this kind to be had in the zone.
+    /// Records that no runners of the ordered kind are available in the zone.
     pub fn on_unavailable(&mut self, order: &CapacityOrder, now_us: u64) {
         self.mark_unavailable(&order.zone, now_us);
     }
@@ -244,8 +247,8 @@
         self.ordered.remove(&(zone.clone(), RunnerKind::Preemptible));
     }
 
-    /// A zone that had some that may be taken away and has none any more has lost them: all of a
-    /// zone go at once.
+    /// Marks a zone as unavailable if all its preemptible runners are gone without an order: the
+    /// platform reclaims all of a zone at once.
     fn detect_reclaims(&mut self, supply: &BTreeMap<ZoneId, ZoneSupply>, now_us: u64) {
         let has_some = supply.iter().filter(|(_, zone)| zone.preemptible > 0);
         let have_some: BTreeSet<ZoneId> = has_some.map(|(zone, _)| zone.clone()).collect();
@@ -259,8 +262,8 @@
         }
     }
 
-    /// Runners that may be taken away are given up only some time after fewer would do: what was
-    /// lost once may be lost again soon, and new ones have read nothing.
+    /// Keeps surplus preemptible runners for some time: a zone that lost its runners may lose them
+    /// again soon, and new runners have empty caches.
     fn retain_surplus(
         &mut self,
         orders: &mut Vec<CapacityOrder>,
@@ -285,8 +288,8 @@
         self.unavailable_until_us.get(zone).is_some_and(|until_us| now_us < *until_us)
     }
 
-    /// Whether an order is in force already: it was given, or nothing was ordered yet and the zone
-    /// has just so many.
+    /// Whether an order is in force: it was placed before, or nothing was ordered yet and the zone
+    /// has exactly this number.
     fn is_in_force(&self, order: &CapacityOrder, supply: &BTreeMap<ZoneId, ZoneSupply>) -> bool {
         self.current_count(order, supply) == order.runners
     }
@@ -299,7 +302,8 @@
         self.current_count_of(&order.zone, order.kind, supply)
     }
 
-    /// Runners that a zone has by the last order, or by itself.
+    /// Number of runners of a kind by the latest order for the zone, or as present if there was no
+    /// order.
     fn current_count_of(
         &self,
         zone: &ZoneId,
@@ -314,7 +318,7 @@
         self.ordered.get(&(zone.clone(), kind)).copied().unwrap_or(present_count)
     }
 
-    /// What each zone is to have.
+    /// Orders that describe the planned state of each zone.
     fn target_orders(
         &self,
         supply: &BTreeMap<ZoneId, ZoneSupply>,
@@ -328,11 +332,11 @@
         }
         let total = |count: fn(&ZoneSupply) -> u32| -> u32 { supply.values().map(count).sum() };
         if total(|zone| zone.preemptible) == 0 {
-            // Without cheaper runners the fleet stays as operators have set it up.
+            // Without preemptible runners the fleet stays as operators have set it up.
             return Vec::new();
         }
         let mut orders = self.reserved_orders(Some(self.need), spec, supply);
-        // They make room for those that stay as these come.
+        // Preemptible runners are given up as the reserved ones that replace them begin to serve.
         let missing = self.need.saturating_sub(total(|zone| zone.reserved));
         let zones = u32::try_from(self.zones.len()).unwrap_or(u32::MAX).max(1);
         let per_zone = missing.div_ceil(zones);
@@ -357,7 +361,8 @@
         orders
     }
 
-    /// Runners that stay, spread anew if their number changes.
+    /// Orders for reserved runners, redistributed over the zones; none if their number does not
+    /// change.
     fn reserved_orders(
         &self,
         change: Option<u32>,
@@ -370,7 +375,7 @@
         self.spread(total, spec, supply).into_iter().map(order).collect()
     }
 
-    /// So many runners that may be taken away in each zone that has some to be had.
+    /// Orders for a number of preemptible runners in each zone where they are available.
     fn preemptible_orders(
         &self,
         per_zone: u32,
@@ -380,7 +385,7 @@
     ) -> Vec<CapacityOrder> {
         let kind = RunnerKind::Preemptible;
         let order = |zone: &ZoneId| {
-            // Those that are still to be given up count, too.
+            // Reserved runners that are still to be given up take up room, too.
             let other_kind = self.current_count_of(zone, RunnerKind::Reserved, supply);
             let runners = per_zone.min(spec.max_runners.saturating_sub(other_kind));
             CapacityOrder { zone: zone.clone(), kind, runners }
@@ -388,7 +393,7 @@
         self.zones.iter().filter(|zone| !self.is_unavailable(zone, now_us)).map(order).collect()
     }
 
-    /// Spreads runners that stay over the zones, as far as these have room beside the others.
+    /// Distributes reserved runners over the zones within the room that preemptible runners leave.
     fn spread(
         &self,
         reserved: u32,
@@ -401,7 +406,7 @@
         };
         let mut zones: Vec<(ZoneId, u32)> =
             self.zones.iter().map(|zone| (zone.clone(), room(zone))).collect();
-        // Zones with little room first: what they cannot take goes to the others.
+        // Zones with little room come first, so that the others take what does not fit there.
         zones.sort_by_key(|(_, room)| *room);
         let mut left = reserved;
         let count = zones.len();
@@ -413,8 +418,8 @@
         zones
     }
 
-    /// Whether runners that may be taken away cost less, with those that stand in for a zone that
-    /// loses them.
+    /// Whether preemptible runners cost less than reserved ones, including the redundancy for the
+    /// loss of one zone.
     fn is_preemptible_cheaper(&self, spec: &ScalingSpec) -> bool {
         let zones = self.zones.len() as f64;
         let Some(price) = spec.preemptible_price.filter(|_| self.policy.uses_preemptible) else {
@@ -423,11 +428,12 @@
         self.zones.len() > 1 && price * zones / (zones - 1.0) < 1.0
     }
 
-    /// How many runners are to stay, if that changes: the least, and those that make up for what is
-    /// missing now. They are given up when what serves beside them would also do without the zone
-    /// that has most; they are added when what serves does not do, and not already when it would
-    /// not without one more zone: to stand in for a second loss costs more than the seconds that
-    /// pass until they serve.
+    /// Planned number of reserved runners; `None` if it stays. It is the minimum share or what the
+    /// preemptible runners leave uncovered, whichever is larger. Reserved runners are given up when
+    /// the need is covered even without the zone that has the most preemptible runners. They are
+    /// added only when the need is uncovered now, and not already when the loss of one more zone
+    /// would leave it uncovered: cover for a second loss costs more than the seconds until new
+    /// runners serve.
     fn reserved_change(
         &self,
         min_reserved: u32,
@@ -438,8 +444,8 @@
         let min_to_keep = self.need.saturating_sub(total - largest).max(min_reserved);
         let min_to_have = self.need.saturating_sub(total).max(min_reserved);
         let current = self.current_reserved(supply);
-        // Each order is paid for, and a runner that crashed may be back before another has begun. A
-        // change that has begun is carried through.
+        // Each order is billed, and a crashed runner may be back before a new one has started. So
+        // small deviations are tolerated, but a change that has begun is completed.
         let share = if self.is_changing_reserved { 0.0 } else { self.policy.tolerance };
         let tolerance = (f64::from(self.need) * share).floor() as u32;
         if min_to_keep + tolerance < current {
@@ -454,7 +460,7 @@
     }
 }
 
-/// Runners for each zone that has some to be had, so that enough are left when one loses them.
+/// Number of runners for each available zone such that enough remain when one zone loses them.
 fn runners_per_available_zone(needed: u32, available_zones: usize) -> u32 {
     let others = u32::try_from(available_zones.saturating_sub(1)).unwrap_or(u32::MAX).max(1);
     needed.div_ceil(others)
--- a/crates/serving/src/failure_rate.rs
+++ b/crates/serving/src/failure_rate.rs
@@ -1,11 +1,11 @@
-//! How often a runner has lately answered with failures of its own.
+//! Rate of a runner's own failures among its recent responses.
 
-/// Weight of the newest answer in a runner's failure rate.
+/// Weight of the newest response in the moving average.
 const NEWEST_RESPONSE_WEIGHT: f64 = 0.15;
-/// Time in which a failure rate fades by half, microseconds.
+/// Time in which the rate decays by half, microseconds.
 const FAILURE_HALF_LIFE_US: f64 = 4_000_000.0;
 
-/// A moving average of failures that fades with time.
+/// Moving average of failures that also decays with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureRate {
     rate: f64,
@@ -13,13 +13,13 @@
 }
 
 impl FailureRate {
-    /// The rate now.
+    /// Failure rate at a time, 0 to 1.
     pub fn at(self, now_us: u64) -> f64 {
         let age_us = now_us.saturating_sub(self.updated_at_us) as f64;
         self.rate * 0.5_f64.powf(age_us / FAILURE_HALF_LIFE_US)
     }
 
-    /// An answer came; `failed` if it was a failure of the runner's own.
+    /// Records a response; `failed` is set if it was a failure of the runner's own.
     pub fn on_response(&mut self, failed: bool, now_us: u64) {
         let newest = if failed { 1.0 } else { 0.0 };
         let before = self.at(now_us);
--- a/crates/serving/src/prefill_demand.rs
+++ b/crates/serving/src/prefill_demand.rs
@@ -1,11 +1,12 @@
-//! How many prompt tokens are asked for a second.
+//! Rate at which prefill work is requested.
 
-/// Time in which what was asked for counts to a third less, microseconds: some tens of requests
-/// of a runner, and no longer than a pressure has to last.
+/// Time in which the weight of a request falls to 1/e, microseconds. It covers some tens of
+/// requests of a runner, and it is no longer than the time for which a pressure must last before
+/// roles change.
 const TIME_CONSTANT_US: f64 = 1_000_000.0;
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// Tokens asked for a second; older ones fade.
+/// Requested prompt tokens per second, an exponentially decaying average.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct PrefillDemand {
     tokens: f64,
@@ -13,13 +14,13 @@
 }
 
 impl PrefillDemand {
-    /// So many tokens are to be read.
+    /// Adds the tokens of a requested prefill.
     pub(crate) fn add(&mut self, tokens: u64, now_us: u64) {
         self.tokens = self.remaining_tokens(now_us) + tokens as f64;
         self.at_us = now_us;
     }
 
-    /// Tokens a second.
+    /// Requested tokens per second at a time.
     pub(crate) fn tokens_per_second(&self, now_us: u64) -> f64 {
         self.remaining_tokens(now_us) * MICROS_PER_SECOND / TIME_CONSTANT_US
     }
--- a/crates/serving/src/prefill_speed.rs
+++ b/crates/serving/src/prefill_speed.rs
@@ -1,31 +1,31 @@
-//! How fast prompts are read, as measured.
+//! Prefill speed of a service as measured.
 //!
-//! Reading takes a fixed time and a time for each token. Both are found by a least-squares line
-//! through the readings that met no queue, the older ones fading; a reading that was faster
-//! than the line says met none either, whatever was believed. Until there are such readings
-//! the line is a guess that a few of them outweigh.
+//! A prefill takes a fixed time and a time for each token. Both come from a least-squares line
+//! through the prefills that met no queue, with exponentially decaying weights. A prefill that was
+//! faster than the line predicts met no queue either, whatever was estimated. Until there are such
+//! samples, the line is a prior that a few samples outweigh.
 
 use crate::runner::Runner;
 use crate::runner_speed::{PrefillDuration, PrefillTiming};
 
-/// A reading that has ended.
+/// A completed prefill.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillSample {
-    /// Tokens that the runner did not hold.
+    /// Number of prompt tokens that were not in the runner's cache.
     pub tokens: u64,
-    /// From the sending of the request to the end of the answer, milliseconds.
+    /// Time from sending the request to the end of the response, milliseconds.
     pub elapsed_ms: f64,
-    /// Whether the runner was believed to have nothing else to read when it was sent.
+    /// Whether the runner was estimated to have no other prefill when the request was sent.
     pub was_unqueued: bool,
 }
 
-/// Measured pace of prefill of one service.
+/// Measured prefill speed of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillSpeed {
     samples: LineFit,
     mean_tokens: f64,
-    /// Time that readings took the runners, and what it would have been by the line: more or
-    /// fewer tokens are read than a node believes.
+    /// Decaying sums of measured and of predicted prefill times, milliseconds. They differ because
+    /// the runners prefill more or fewer tokens than a node estimates.
     actual_ms: f64,
     expected_ms: f64,
 }
@@ -48,7 +48,7 @@
     const MEAN_TOKENS_WEIGHT: f64 = 0.05;
     const MIN_MS_PER_TOKEN: f64 = 1e-6;
 
-    /// A runner has read a prompt.
+    /// Records a completed prefill.
     pub fn on_prefilled(&mut self, sample: PrefillSample) {
         let tokens = sample.tokens as f64;
         self.mean_tokens += Self::MEAN_TOKENS_WEIGHT * (tokens - self.mean_tokens);
@@ -59,17 +59,19 @@
         }
     }
 
-    /// Time that a runner spends on so many tokens, milliseconds.
+    /// Mean prefill time of the service's runners for a number of tokens, without the fixed time,
+    /// milliseconds.
     pub fn prefill_ms(&self, tokens: f64) -> f64 {
         tokens * self.samples.slope().max(Self::MIN_MS_PER_TOKEN)
     }
 
-    /// Time that one runner spends on so many tokens, milliseconds.
+    /// Prefill time of one runner for a number of tokens, without the fixed time, milliseconds.
     pub fn prefill_ms_at(&self, runner: &Runner, tokens: f64, now_us: u64) -> f64 {
         self.prefill_ms(tokens) * runner.slowdown_factor(now_us)
     }
 
-    /// A reading against what it takes at this pace; for `hears_of_all` see [`PrefillTiming`].
+    /// Compares a sample with the prediction of this speed; for `observes_all_prefills` see
+    /// [`PrefillTiming`].
     pub fn timing_of(&self, sample: &PrefillSample, observes_all_prefills: bool) -> PrefillTiming {
         PrefillTiming {
             expected_ms: self.prefill_ms(sample.tokens as f64) * self.duration_ratio(),
@@ -80,14 +82,14 @@
         }
     }
 
-    /// A runner has spent some time on a reading that was compared before.
+    /// Records the duration of a prefill that [`Self::timing_of`] compared before.
     pub fn on_prefill_timed(&mut self, duration: PrefillDuration) {
         let expected_ms = f64::from(duration.expected_ms) / self.duration_ratio();
         self.actual_ms = self.actual_ms * LineFit::DECAY + f64::from(duration.actual_ms);
         self.expected_ms = self.expected_ms * LineFit::DECAY + expected_ms;
     }
 
-    /// Time that readings take the runners, as a share of what it would be by the line.
+    /// Ratio of measured to predicted prefill time; 1 without samples.
     fn duration_ratio(&self) -> f64 {
         const MIN_RATIO: f64 = 0.1;
         const MAX_RATIO: f64 = 10.0;
@@ -99,13 +101,13 @@
         }
     }
 
-    /// Time that each reading takes besides, milliseconds: the way there and back, and what the
-    /// runner does once for each request.
+    /// Fixed time of each prefill, milliseconds: the network round trip, and what the runner does
+    /// once per request.
     pub fn fixed_ms(&self) -> f64 {
         self.samples.intercept().max(0.0)
     }
 
-    /// Time until a runner has read what waits there, milliseconds.
+    /// Estimated time until a runner has prefilled all queued prompts, milliseconds.
     pub fn backlog_ms(&self, runner: &Runner, now_us: u64) -> f64 {
         let reported = runner.peer_prefill_tokens(now_us) as f64;
         let estimated = runner.peer_requests(now_us) * self.mean_tokens;
@@ -114,7 +116,7 @@
     }
 }
 
-/// A line fitted to points whose weight fades.
+/// A least-squares line through points with decaying weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct LineFit {
     weight: f64,
@@ -125,7 +127,7 @@
 }
 
 impl LineFit {
-    /// Share of its weight that a point keeps when another comes.
+    /// Factor by which the weight of a point shrinks with each new point.
     const DECAY: f64 = 0.98;
 
     fn decay(&mut self) {
@@ -142,7 +144,7 @@
         self.xy += weight * x * y;
     }
 
-    /// Rise of the line; where all points lie close together, that from the origin.
+    /// Slope of the line; if all points lie close together, slope of the line through the origin.
     fn slope(&self) -> f64 {
         const MIN_SPREAD: f64 = 0.01;
         let spread = self.xx * self.weight - self.x * self.x;
--- a/crates/serving/src/reservations.rs
+++ b/crates/serving/src/reservations.rs
@@ -1,9 +1,9 @@
-//! What a scheduler has set aside at its runners for requests of other nodes.
+//! Capacity that a scheduler has reserved at its runners for requests of other nodes.
 //!
-//! A reservation is made with the answer to a question and ends with the word that the request
-//! is over. Words may be lost, come twice or late, and nodes die: each reservation ends by
-//! itself a little after the request's deadline, and a word on one that is not known changes
-//! nothing.
+//! The scheduler makes a reservation when it answers a placement query and ends it when the
+//! requesting node reports the end of the request. Such messages may be lost, duplicated or late,
+//! and nodes may crash. Each reservation therefore expires a little after the request's deadline,
+//! and a message about an unknown reservation has no effect.
 
 use crate::fleet::Fleet;
 use crate::ids::{RunnerId, ServiceName};
@@ -12,61 +12,62 @@
 use crate::scheduling::Ticket;
 use std::collections::HashMap;
 
-/// Time after a request's deadline for which its reservation is kept, microseconds: what is left
-/// of it at a runner ends with the deadline, and the word of that is on its way.
+/// Time for which a reservation is kept after the request's deadline, microseconds. The request's
+/// work at the runner ends with the deadline, and the message about it is still under way.
 const EXPIRY_GRACE_US: u64 = 250_000;
 
-/// What is set aside for one request at one runner.
+/// Capacity reserved at one runner for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerReservation {
     /// The runner.
     pub runner: RunnerId,
-    /// What the request asks of it.
+    /// Resources that the request needs at the runner.
     pub demand: AttemptDemand,
 }
 
-/// What is set aside for one request.
+/// Capacity reserved for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// The service.
+    /// Service of the request.
     pub service: ServiceName,
-    /// Who reads the prompt.
+    /// Reservation at the runner that prefills the prompt.
     pub prefill: RunnerReservation,
-    /// Who writes the answer, if that is another one.
+    /// Reservation at the decode runner; `None` if the same runner prefills and decodes.
     pub decode: Option<RunnerReservation>,
-    /// The shared parts of the prompt.
+    /// Shared prefixes of the prompt.
     pub shared_prefixes: Vec<PromptPart>,
-    /// Whether the reader was believed to have nothing else to read.
+    /// Whether the prefill runner was estimated to have no other prefill.
     pub was_unqueued: bool,
-    /// When the request's time is up, microseconds.
+    /// Deadline of the request, microseconds.
     pub deadline_us: u64,
-    /// Whether the prompt has been read.
+    /// Whether the prompt has been prefilled.
     pub is_prefilled: bool,
 }
 
-/// All reservations of a scheduler.
+/// All open reservations of a scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct Reservations {
     open: HashMap<Ticket, Reservation>,
 }
 
 impl Reservations {
-    /// How many there are.
+    /// Number of open reservations.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether there is none.
+    /// Whether no reservation is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Whether a request's needs are set aside.
+    /// Whether a reservation is open for a request.
     pub fn is_open(&self, ticket: Ticket) -> bool {
         self.open.contains_key(&ticket)
     }
 
-    /// Sets a request's needs aside. One that is made twice replaces the first.
+    /// Reserves capacity for a request. A second reservation for the same request replaces the
+    /// first.
     pub fn reserve(&mut self, fleet: &mut Fleet, ticket: Ticket, reservation: Reservation) {
         self.end(fleet, ticket);
         for reserved in
@@ -80,8 +81,8 @@
         self.open.insert(ticket, reservation);
     }
 
-    /// The prompt has been read: what it took at the reader alone is free again. Returns the
-    /// reservation as it was, unless it is not known or the prompt had been read before.
+    /// Releases the capacity that only the prefill needed. Returns the reservation as it was
+    /// before, or `None` if it is unknown or its prompt had been prefilled already.
     pub fn on_prefilled(&mut self, fleet: &mut Fleet, ticket: Ticket) -> Option<Reservation> {
         let reservation =
             self.open.get_mut(&ticket).filter(|reservation| !reservation.is_prefilled)?;
@@ -89,7 +90,7 @@
         reservation.is_prefilled = true;
         let prefill = &mut reservation.prefill;
         match reservation.decode.take() {
-            // Only the writer is left.
+            // Only the decode reservation remains.
             Some(decode) => {
                 fleet.on_awaited_prompt(&decode.runner);
                 fleet.on_reservation_ended(&prefill.runner, prefill.demand);
@@ -104,7 +105,7 @@
         Some(before)
     }
 
-    /// The request is over.
+    /// Releases all capacity of a request that has ended.
     pub fn end(&mut self, fleet: &mut Fleet, ticket: Ticket) {
         let Some(reservation) = self.open.remove(&ticket) else { return };
         if let Some(decode) = &reservation.decode {
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Ends reservations whose request is over though no word of it has come.
+    /// Ends reservations whose request is past its deadline though no message about its end has
+    /// arrived; returns their number.
     pub fn expire(&mut self, fleet: &mut Fleet, now_us: u64) -> usize {
         let is_expired =
             |reservation: &Reservation| now_us > reservation.deadline_us + EXPIRY_GRACE_US;
--- a/crates/serving/src/role_planner.rs
+++ b/crates/serving/src/role_planner.rs
@@ -1,12 +1,13 @@
-//! When runners of a language model change their roles.
+//! Decides when runners of a language model change their roles.
 //!
-//! A change takes a runner away for seconds, so it needs a pressure that lasts and a side that
-//! can spare runners. Pressure on prefill is the time that a prompt waits before it is read,
-//! against the time in which its answer is due; pressure on decode is the share of slots or of
-//! memory that answers in writing take. Prompts that wait to be read take none, wherever a place
-//! is set aside for them: a want of readers must not make decode look full. Idle decode runners
-//! that change cost nearly nothing, so as many change at once as are missing: by the tokens that
-//! are asked for a second and the pace of reading, and else by how long prompts wait.
+//! A role change makes a runner unavailable for seconds, so it requires a lasting pressure on one
+//! role and spare runners in the other. The pressure on prefill is the queueing time of prompts
+//! relative to their latency target. The pressure on decode is the share of slots or of KV cache
+//! that requests in decode occupy. Requests that wait for prefill do not count there, even if a
+//! slot is reserved for them: otherwise a shortage of prefill runners would make decode look full.
+//! A role change of an idle decode runner costs almost nothing, so all missing prefill runners
+//! change at once. Their number comes from the requested tokens per second and the prefill speed,
+//! or else from the queueing time.
 
 use crate::fleet::Fleet;
 use crate::ids::RunnerId;
@@ -15,33 +16,34 @@
 pub use crate::role_view::{RoleDemand, RoleMetrics};
 use crate::runner::Stage;
 
-/// When roles change.
+/// Thresholds and bounds for role changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolePolicy {
-    /// Prefill is short of runners if prompts wait longer than this share of their target.
+    /// Prefill is short of runners if prompts wait longer than this share of their latency target.
     pub high_wait: f64,
-    /// Prefill can spare a runner if they wait shorter than this share.
+    /// Prefill can spare a runner if prompts wait for less than this share of their latency target.
     pub low_wait: f64,
-    /// Decode is short of runners above this share of slots or memory.
+    /// Decode is short of runners if more than this share of its slots or KV cache is occupied.
     pub high_occupancy: f64,
-    /// Decode can spare runners if the others stay below this share.
+    /// Decode can spare runners if the remaining ones stay below this share.
     pub low_occupancy: f64,
-    /// Share of the runners that write answers whatever prefill needs: they bear crashes, and
-    /// the first seconds of a swing of the mix.
+    /// Share of the runners that always decode, whatever prefill needs. They absorb crashes and the
+    /// first seconds of a change in the workload.
     pub min_decode_share: f64,
-    /// Most of a service's runners that change at once because of what waits, as a share.
+    /// Upper bound of simultaneous role changes due to queueing time, as a share of the service's
+    /// runners.
     pub max_change_share: f64,
-    /// The same if it is measured how many readers are missing.
+    /// The same bound if the number of missing prefill runners is measured.
     pub max_measured_change_share: f64,
-    /// Share of its time that a reader is to be busy with what is asked for. Reading is a queue
-    /// with deadlines: at this share the mean wait is about two readings.
+    /// Target utilization of prefill runners by the requested work. Prefill is a queue with
+    /// deadlines: at 0.7 the mean wait is about two prefills.
     pub target_prefill_load: f64,
-    /// Readers that have gone without an order since the last one, as a share of all runners,
-    /// from which on they are replaced at once.
+    /// Share of all runners: if more prefill runners than this are lost since the last order
+    /// without an order, they are replaced at once.
     pub lost_prefill_share: f64,
-    /// How long a pressure must last, microseconds.
+    /// Time for which a pressure must last before roles change, microseconds.
     pub min_pressure_us: u64,
-    /// Pause after a change, microseconds.
+    /// Time after an order in which no further change is ordered, microseconds.
     pub change_pause_us: u64,
 }
 
@@ -63,25 +65,25 @@
     }
 }
 
-/// Why a look ordered nothing.
+/// Reason why the planner ordered no role change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NoChangeReason {
     /// Neither role is short of runners.
     NoPressure,
-    /// Prompts wait, but decode would be too full without one of its runners.
+    /// Prompts wait, but decode would be too full with one runner fewer.
     NoSpareDecode,
-    /// Prompts wait, but no more decode runners are left than always write.
+    /// Prompts wait, but decode is down to its minimum of runners.
     MinDecodeReached,
-    /// Decode is full, but prefill has a single runner or waits itself.
+    /// Decode is full, but prefill has a single runner or is short of runners itself.
     PrefillBusy,
-    /// The pressure has not lasted yet.
+    /// The pressure has not lasted long enough yet.
     PressureTooRecent,
-    /// A change was ordered a moment ago.
+    /// A change was ordered recently.
     Paused,
 }
 
 impl NoChangeReason {
-    /// Name in logs.
+    /// Name of the reason in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoPressure => "no pressure",
@@ -94,53 +96,53 @@
     }
 }
 
-/// What a look came to.
+/// Result of one planning round.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolePlan {
-    /// What is to be ordered, or why nothing.
+    /// Role changes to order, or the reason why there are none.
     pub decision: Result<Vec<RoleChange>, NoChangeReason>,
-    /// What it saw.
+    /// Metrics on which the decision is based.
     pub metrics: RoleMetrics,
 }
 
 impl RolePlan {
-    /// The changes that are due.
+    /// Role changes to order; empty if there are none.
     pub fn changes(self) -> Vec<RoleChange> {
         self.decision.unwrap_or_default()
     }
 }
 
-/// A runner is to change its role.
+/// Order for a runner to change its role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleChange {
     /// The runner.
     pub runner: RunnerId,
-    /// Its new role.
+    /// New role of the runner.
     pub stage: Stage,
 }
 
-/// Wait of a prompt, in targets, above which readers are short, however full decode is: as soon as
-/// a whole target is waited, nothing is read in time.
+/// Queueing time, in latency targets, above which prefill keeps its runners however full decode is:
+/// at a wait of one whole target, no prompt is prefilled in time.
 const MAX_WAIT_FOR_DECODE_CHANGE: f64 = 1.0;
 
-/// The planner of one service.
+/// Role planner of one service.
 #[derive(Clone, Debug)]
 pub struct RolePlanner {
     policy: RolePolicy,
-    /// The role that is short of runners, and since when.
+    /// The role that is short of runners, and since when, microseconds.
     pressure: Option<(Stage, u64)>,
     paused_until_us: u64,
-    /// Share of the runners that read after the last order, or the largest seen since.
+    /// Largest share of prefill runners, pending ones included, since the last order.
     peak_prefill_share: f64,
 }
 
 impl RolePlanner {
-    /// A planner that has seen nothing.
+    /// Creates a planner without any observations.
     pub fn new(policy: RolePolicy) -> Self {
         Self { policy, pressure: None, paused_until_us: 0, peak_prefill_share: 0.0 }
     }
 
-    /// Looks at the fleet and returns the changes that are due, or why there are none.
+    /// Inspects the fleet and returns the role changes to order, or the reason why there are none.
     pub fn plan(
         &mut self,
         fleet: &Fleet,
@@ -163,15 +165,15 @@
         let has_lost_prefill = self.has_lost_prefill_runners(view);
         let stage = short?;
         let since = self.pressure.map_or(now_us, |(_, since)| since);
-        // How many readers are missing is known by what is asked for: there is no need to see
-        // first what the last order has brought.
+        // The requested work shows how many prefill runners are missing, so the effect of the last
+        // order need not be awaited.
         let is_measured =
             stage == Stage::Prefill && missing_prefill_runners(view, &self.policy) > 0;
         if now_us < self.paused_until_us && !is_measured {
             return Err(NoChangeReason::Paused);
         }
-        // Without any decode runner nothing is served: no reason to wait. Neither is there for
-        // readers that came back as writers.
+        // Without a decode runner no request is served, so there is no reason to wait. Prefill
+        // runners that came back as decode runners are replaced at once, too.
         let is_urgent = view.metrics().decode == 0 || (is_measured && has_lost_prefill);
         let min_pressure_us = if is_urgent { 0 } else { self.policy.min_pressure_us };
         if now_us < since + min_pressure_us {
@@ -182,14 +184,15 @@
         Ok(idlest.map(|runner| RoleChange { runner, stage }).collect())
     }
 
-    /// Whether many of the readers have gone since the last order, without one.
+    /// Updates the largest share of prefill runners, and returns whether many of them have gone
+    /// since the last order without an order.
     fn has_lost_prefill_runners(&mut self, view: &RoleView<'_>) -> bool {
         let share = view.prefill_runners() as f64 / view.runner_count().max(1.0);
         self.peak_prefill_share = self.peak_prefill_share.max(share);
         share < self.peak_prefill_share - self.policy.lost_prefill_share
     }
 
-    /// A change was ordered, or might have been.
+    /// Records that a change was ordered, or may have been.
     pub fn on_ordered(&mut self, now_us: u64) {
         self.pressure = None;
         self.paused_until_us = now_us + self.policy.change_pause_us;
@@ -202,7 +205,7 @@
     if decode == 0 && prefill > 0 {
         return Ok(Stage::Decode);
     }
-    // Runners that left or crashed have taken the share that always writes.
+    // Runners that left or crashed were part of the minimum share of decode runners.
     if decode < min_decode_runners(view, policy) && prefill > 1 {
         return Ok(Stage::Decode);
     }
@@ -225,15 +228,17 @@
     })
 }
 
-/// Rounded down: in a small fleet prefill needs the odd one more. But streams that two runners
-/// write at ease are too many for one: each of them is slower there, so more run.
+/// Rounded down, since in a small fleet prefill needs the odd runner more. At least two runners
+/// decode in a fleet of five or more: streams that two runners handle with ease overload one,
+/// because each stream is slower there and so more of them run at a time.
 fn min_decode_runners(view: &RoleView<'_>, policy: &RolePolicy) -> usize {
     const MIN_RUNNERS_FOR_TWO_DECODE: f64 = 5.0;
     let min: f64 = if view.runner_count() >= MIN_RUNNERS_FOR_TWO_DECODE { 2.0 } else { 1.0 };
     (view.runner_count() * policy.min_decode_share).floor().max(min) as usize
 }
 
-/// Decode runners without which the others stay below the low share.
+/// Number of decode runners that can leave while the occupancy of the others stays below the low
+/// threshold.
 fn spare_decode_runners(view: &RoleView<'_>, policy: &RolePolicy) -> usize {
     let (min, decode) = (min_decode_runners(view, policy), view.metrics().decode);
     let enough = |count: &usize| view.occupancy_with(*count) < policy.low_occupancy;
@@ -241,7 +246,7 @@
     needed.map_or(0, |needed| decode - needed)
 }
 
-/// Readers that what is asked for takes, with room for its swings.
+/// Number of prefill runners that the requested work needs at the target utilization.
 fn wanted_prefill_runners(view: &RoleView<'_>, policy: &RolePolicy) -> usize {
     (view.metrics().prefill_needed / policy.target_prefill_load).ceil() as usize
 }
@@ -250,9 +255,8 @@
     wanted_prefill_runners(view, policy).saturating_sub(view.prefill_runners())
 }
 
-/// Whether the readers, one fewer, would have less of their time taken by what is asked for than
-/// decode has of its slots or memory: however long prompts wait for a moment, answers in writing
-/// are what lacks runners.
+/// Whether prefill with one runner fewer would be less utilized than decode is. Then decode is the
+/// role that lacks runners, even if prompts wait for a moment.
 fn is_decode_fuller(view: &RoleView<'_>) -> bool {
     let RoleMetrics { prefill, decode, prefill_needed, wait, .. } = view.metrics();
     let others = prefill.saturating_sub(1).max(1) as f64;
@@ -273,8 +277,8 @@
             .min(max(policy.max_measured_change_share))
             .min(spare_decode_runners(view, policy));
     }
-    // What waits says that there are too few, whatever was measured. A queue shortens faster
-    // than in proportion to its servers.
+    // The queue shows a shortage whatever was measured. The wait shrinks faster than in proportion
+    // to the number of runners.
     let excess = metrics.wait / policy.high_wait - 1.0;
     let wanted = (metrics.prefill as f64 * excess / 2.0).ceil().max(1.0) as usize;
     wanted.min(max(policy.max_change_share)).min(spare_decode_runners(view, policy))
--- a/crates/serving/src/role_view.rs
+++ b/crates/serving/src/role_view.rs
@@ -1,5 +1,5 @@
-//! What the planner of roles sees of a service's runners: how many have which role, what waits
-//! to be read, how many readers what is asked for takes, and what answers in writing take.
+//! The role planner's view of a service's runners: their roles, queued prefill work, the number of
+//! prefill runners that the requested work needs, and the occupancy of decode.
 
 use crate::configuration::EngineSpec;
 use crate::fleet::{Eligible, Fleet, Scope};
@@ -7,16 +7,16 @@
 use crate::prefill_speed::PrefillSpeed;
 use crate::runner::{Runner, Stage};
 
-/// What is asked of a service's runners.
+/// Service whose roles are planned, and its targets.
 #[derive(Clone, Copy, Debug)]
 pub struct RoleDemand<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// Its runners.
+    /// Specification of the service's runners.
     pub engine: &'a EngineSpec,
-    /// The shortest time in which an answer is due, milliseconds.
+    /// Shortest latency target of the service, milliseconds.
     pub target_ms: f64,
-    /// The region whose runners are looked at; `None`: all.
+    /// Region whose runners are considered; `None` for all regions.
     pub region: Option<&'a RegionId>,
 }
 
@@ -30,30 +30,29 @@
     }
 }
 
-/// What a look saw.
+/// Metrics of a service's runners in one planning round.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RoleMetrics {
-    /// Runners that read prompts and may get work.
+    /// Number of prefill runners that may get work.
     pub prefill: usize,
-    /// Runners that write answers and may get work.
+    /// Number of decode runners that may get work.
     pub decode: usize,
-    /// Runners that are on their way to read prompts.
+    /// Number of runners that are changing to prefill.
     pub becoming_prefill: usize,
-    /// Runners that would be busy all the time with reading what is asked for.
+    /// Number of fully utilized prefill runners that the requested work needs.
     pub prefill_needed: f64,
-    /// Time that a prompt waits, as a share of its target, with what was put behind.
+    /// Queueing time of a prompt in latency targets, overdue work included.
     pub wait: f64,
-    /// The part of it of what was put behind all that can still be in time.
+    /// Part of `wait` that is due to overdue work.
     pub overdue_wait: f64,
-    /// Share of the decode runners' slots in which answers are being written.
+    /// Share of the decode runners' slots that requests in decode occupy.
     pub occupancy: f64,
-    /// Share of the decode runners' KV cache that these answers take.
+    /// Share of the decode runners' KV cache that requests in decode occupy.
     pub memory: f64,
 }
 
-/// What work that was put behind counts as, against work that can still be in time. Each such
-/// prompt would have been in time with enough readers, and waits until there are some: it shows
-/// the same want of readers as what waits in turn.
+/// Weight of overdue work relative to work that can still be in time. An overdue prompt would have
+/// been in time with enough prefill runners, so it shows the same shortage as work in the queue.
 const OVERDUE_WORK_WEIGHT: f64 = 1.0;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
@@ -82,7 +81,7 @@
             .filter(is_of_service)
             .map(|runner| runner.prefill_tokens_per_second(now_us))
             .sum();
-        // Decode runners read too, at half the pace, when prefill is busy.
+        // Decode runners prefill too when the prefill runners are busy, at half the speed.
         let prefill_capacity = prefill.len() as f64 + decode.len() as f64 / 2.0;
         let target_ms = demand.target_ms.max(1.0) * prefill_capacity.max(1.0);
         let overdue_ms: f64 =
@@ -114,23 +113,24 @@
         self.now_us
     }
 
-    /// Share in use with so many decode runners, of slots or of memory, whichever is fuller.
+    /// Occupancy with a given number of decode runners, of slots or of KV cache, whichever is
+    /// higher.
     pub(crate) fn occupancy_with(&self, decode_runners: usize) -> f64 {
         let fuller = self.metrics.occupancy.max(self.metrics.memory);
         fuller * self.metrics.decode.max(1) as f64 / decode_runners.max(1) as f64
     }
 
-    /// Runners that may get work, now or when they have changed their roles.
+    /// Number of runners that may get work, now or after a pending role change.
     pub(crate) fn runner_count(&self) -> f64 {
         (self.prefill.len() + self.decode.len() + self.metrics.becoming_prefill) as f64
     }
 
-    /// Runners that read, or will soon.
+    /// Number of prefill runners, those with a pending change to prefill included.
     pub(crate) fn prefill_runners(&self) -> usize {
         self.metrics.prefill + self.metrics.becoming_prefill
     }
 
-    /// Runners of the other role, those that have least to do first.
+    /// Runners of the other role, the least loaded first.
     pub(crate) fn idlest(&self, wanted: Stage) -> Vec<RunnerId> {
         let others = if wanted == Stage::Prefill { &self.decode } else { &self.prefill };
         let load = |runner: &&Runner| {
@@ -142,9 +142,9 @@
     }
 }
 
-/// Runners that may get work. Those that name a limit take a part of what others do, and get no orders: they don't count,
-/// unless there are no others. Those that refused something a moment ago as full count: they
-/// serve. Those that can't be reached don't, unless there are no others.
+/// Runners that may get work. Runners with a limit take only a part of the usual work and get no
+/// role orders, so they count only if there are no others. Runners that have just refused a request
+/// as full count, because they are serving. Unreachable runners count only if there are no others.
 fn usable<'a>(fleet: &'a Fleet, demand: &RoleDemand<'_>, now_us: u64) -> Vec<&'a Runner> {
     let is_usable = |runner: &&Runner| {
         let is_there = runner.accepts_work() && !runner.is_suspected();
@@ -165,14 +165,14 @@
     pace.prefill_ms((runner.local_overdue_tokens() + runner.peer_overdue_tokens(now_us)) as f64)
 }
 
-/// What is known to wait at a decode runner. What else it has is being written: there is nothing
-/// to guess.
+/// Prefill time of the work that is known to be queued at a decode runner. Other requests there are
+/// in decode, so unlike at prefill runners nothing is estimated for them.
 fn decode_backlog_ms(runner: &Runner, pace: &PrefillSpeed, now_us: u64) -> f64 {
     pace.prefill_ms((runner.prefill_tokens + runner.peer_prefill_tokens(now_us)) as f64)
 }
 
-/// Tokens of KV cache that the requests take whose answers a runner is writing; what is set
-/// aside for prompts that nobody has read yet would come sooner or later with any split.
+/// Tokens of KV cache of the requests in decode at a runner. Memory reserved for prompts that are
+/// not prefilled yet is left out: it will be needed with any split of roles.
 fn held_by_decoding(runner: &Runner, now_us: u64) -> f64 {
     let share = runner.decoding(now_us) / runner.occupancy(now_us).max(1.0);
     runner.total_held_tokens(now_us) as f64 * share.min(1.0)
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -1,4 +1,4 @@
-//! One runner as a node sees it: its entry in the list, its load, its health and its cache.
+//! A node's view of one runner: its registry entry, load, health and prefix cache.
 
 use crate::failure_rate::FailureRate;
 use crate::ids::{RegionId, RunnerId, ServiceName, ZoneId};
@@ -12,19 +12,19 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a runner of a language model does.
+/// Stage of inference that a runner of a language model serves, its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// Reads prompts.
+    /// Processes prompts and hands the KV cache to a decode runner.
     #[serde(rename = "p")]
     Prefill,
-    /// Writes answers.
+    /// Generates output tokens; it can also prefill prompts itself.
     #[serde(rename = "d")]
     Decode,
 }
 
 impl Stage {
-    /// Name in logs and metrics.
+    /// Name of the stage in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Prefill => "prefill",
@@ -33,113 +33,119 @@
     }
 }
 
-/// What the platform's list says of a runner.
+/// A runner's entry in the platform's registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerRecord {
-    /// The life of the runner.
+    /// Id of this incarnation of the runner.
     pub id: RunnerId,
-    /// The service that it offers.
+    /// Service that the runner serves.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address on which the runner listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the runner is placed.
     pub zone: ZoneId,
-    /// Requests that it works on at a time.
+    /// Number of requests that the runner processes concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether the runner is draining and about to leave.
     pub draining: bool,
-    /// Whether it may be taken away at short notice.
+    /// Whether the platform may preempt the runner at short notice.
     pub preemptible: bool,
-    /// Milliseconds from the entry's change until it is taken away, if it is.
+    /// Milliseconds from the change of the entry until the runner is taken away; `None` if no end
+    /// is announced.
     pub leaves_ms: Option<u64>,
-    /// What it does, if it runs a language model.
+    /// Role of the runner; `None` if it does not run a language model.
     pub stage: Option<Stage>,
-    /// Revision of the entry in the store.
+    /// Revision of the store at which the entry was written.
     pub revision: StoreRevision,
 }
 
-/// Load that a runner tells in an answer.
+/// Load that a runner reports in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of requests that are queued.
     pub waiting: u32,
 }
 
-/// What an attempt asks of a runner of a language model.
+/// Resources that an attempt needs at a runner of a language model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptDemand {
-    /// Prompt tokens to read.
+    /// Prompt tokens to prefill within the deadline.
     pub prefill_tokens: u64,
-    /// Prompt tokens to read after all that can still be in time.
+    /// Prompt tokens to prefill with overdue priority, behind all work that can still be in time.
     pub overdue_tokens: u64,
-    /// Tokens of KV cache, prompt and output, while it runs.
+    /// Tokens of KV cache, prompt and output, that the attempt occupies while it runs.
     pub held_tokens: u64,
 }
 
 impl AttemptDemand {
-    /// Whether a prompt has yet to be read for it there.
+    /// Whether the runner still has to prefill a prompt for the attempt.
     pub fn needs_prefill(&self) -> bool {
         self.prefill_tokens + self.overdue_tokens > 0
     }
 }
 
-/// How long a load report counts, microseconds.
+/// Time for which a runner's load report counts, microseconds. Its weight falls linearly to 0 over
+/// this time.
 const LOAD_REPORT_TTL_US: u64 = 1_500_000;
-/// How long a scheduler's word on memory in use counts, microseconds.
+/// Time for which a scheduler's report of memory in use and of prefill demand counts, microseconds.
 const PEER_LOAD_TTL_US: u64 = 2_500_000;
-/// Time after which nothing is believed to be left of the work that a scheduler told of, and
-/// what is added for each token that had to be read.
+/// Time after which the queued work that a scheduler reported is taken to be finished,
+/// microseconds: a base, and an addition for each prompt token that was still to be prefilled.
 const PEER_LOAD_FADE_BASE_US: u64 = 700_000;
 const PEER_LOAD_FADE_US_PER_TOKEN: u64 = 30;
-/// A runner as the node sees it.
+
+/// A runner as this node sees it.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// What the list says.
+    /// The runner's registry entry.
     pub record: RunnerRecord,
-    /// The region of its zone.
+    /// Region of the runner's zone.
     pub region: RegionId,
-    /// Attempts of this node that it has now.
+    /// Number of this node's attempts that are in flight at the runner.
     pub in_flight: u32,
-    /// Those among them whose prompt it has yet to read.
+    /// Number of those attempts whose prompt is not prefilled yet.
     pub pending_prefills: u32,
-    /// Prompt tokens that it has yet to read for this node.
+    /// Prompt tokens that the runner still has to prefill for this node.
     pub prefill_tokens: u64,
-    /// Prompt tokens that it reads for this node when nothing else is left.
+    /// Overdue prompt tokens of this node, which the runner prefills when it has no other work.
     pub overdue_tokens: u64,
-    /// Tokens of KV cache that this node's attempts take there.
+    /// Tokens of KV cache that this node's attempts occupy.
     pub held_tokens: u64,
     pub(crate) failures: FailureRate,
     pub(crate) reported_peer_requests: u32,
     pub(crate) peer_requests_reported_at_us: u64,
-    /// What this node has set aside there for requests of other nodes, as their scheduler.
+    /// Load that this node, as the runner's scheduler, has reserved for requests of other nodes.
     pub(crate) reserved: Load,
-    /// What this node has placed there, as a scheduler or for its own requests.
+    /// Rate of prompt tokens that this node has placed at the runner, as its scheduler or for its
+    /// own requests.
     pub(crate) prefill_demand: PrefillDemand,
-    /// What another node told that schedules it.
+    /// Load that the runner's scheduler, another node, reported last.
     pub(crate) reported_load: Option<ReportedLoad>,
     pub(crate) suspicion: Suspicion,
-    /// What it has said of itself in answers to this node.
+    /// Availability that the runner has reported in responses to this node.
     pub(crate) availability: Availability,
     pub(crate) full_until_us: u64,
-    /// The role that it was ordered to take, and until when it is left alone for that.
+    /// Role that the runner was ordered to take, and the time until which the order counts as
+    /// pending, microseconds.
     pub(crate) role_change: Option<(Stage, u64)>,
-    /// The address answered that it is another runner, or has another role, than this entry
-    /// says. A newer entry is believed again.
+    /// Whether the address answered as another runner, or in another role, than this entry says. A
+    /// newer entry resets it.
     pub(crate) misdirected: bool,
-    /// Its entry is gone, but may only have lapsed.
+    /// Set when the entry is gone from the registry but may only have lapsed.
     pub(crate) lapsed: Option<Lapsed>,
     pub(crate) cache: PrefixCacheModel,
     pub(crate) speed: RunnerSpeed,
 }
 
-/// An entry that may have lapsed while the store was away, though its runner lives.
+/// State of an entry that may have lapsed while the store was unavailable, though its runner is
+/// alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Lapsed {
-    /// The runner is taken to be gone if the entry is not back by then, microseconds.
+    /// Time at which the runner is removed if its entry has not come back, microseconds.
     pub(crate) until_us: u64,
-    /// Revision of the store at which the entry was gone.
+    /// Revision of the store at which the entry was found missing.
     pub(crate) revision: StoreRevision,
 }
 
@@ -170,77 +176,81 @@
         }
     }
 
-    /// Whether it is about to leave: its entry says so, or it has said so itself. The store may hear of it
-    /// many seconds later, so neither source takes back what the other has said.
+    /// Whether the runner is about to leave, by its registry entry or by its own responses. The
+    /// store may learn of this many seconds later, so neither source overrides the other.
     pub fn is_leaving(&self) -> bool {
         self.record.draining || self.availability.is_leaving()
     }
 
-    /// Whether new requests may go to it, from some node.
+    /// Whether new requests may be sent to the runner by at least some node.
     pub fn accepts_work(&self) -> bool {
         !self.is_leaving() && !self.misdirected
     }
 
-    /// Whether this node may send it a request now.
+    /// Whether this node may send a request to the runner now.
     pub fn accepts_work_from_this_node(&self, now_us: u64) -> bool {
         self.accepts_work() && !self.availability.is_resting(now_us)
     }
 
-    /// Whether this node may plan with it now: it takes work from here, and what it takes from all nodes together is
-    /// not used up as far as is known.
+    /// Whether this node may place requests at the runner now: it accepts work from this node, and
+    /// its limit for all nodes together is not known to be used up.
     pub fn is_available_for_placement(&self, now_us: u64) -> bool {
         self.accepts_work_from_this_node(now_us)
             && self.availability.limit.short_until_us(now_us).is_none()
     }
 
-    /// Until when this node gets nothing there because of a rest or a limit, microseconds; `None`: it may.
+    /// Time until which this node may not send requests to the runner because of a requested rest
+    /// or a limit, microseconds; `None` if it may send now.
     pub fn withheld_until_us(&self, now_us: u64) -> Option<u64> {
         let rests_until_us = self.availability.rests_until_us(now_us);
         rests_until_us.max(self.availability.limit.short_until_us(now_us))
     }
 
-    /// What it takes from all nodes together, by its own word; `None`: as much as comes.
+    /// Rate of requests that the runner accepts from all nodes together, as it has reported; `None`
+    /// if it has no limit.
     pub fn limit(&self) -> Option<RequestRate> {
         self.availability.limit.rate()
     }
 
-    /// Whether it could lately not be reached, was full or rests. After the time for which a
-    /// runner is suspected or rests, one request tries it before others follow.
+    /// Whether other runners are preferred: this one was recently unreachable or full, or it rests.
+    /// When the suspicion or the rest ends, a single request tries the runner before others follow.
     pub fn is_avoided(&self, now_us: u64) -> bool {
         now_us < self.full_until_us
             || self.availability.is_avoided(now_us)
             || self.suspicion.is_avoided(self.in_flight, now_us)
     }
 
-    /// Share of recent answers that were failures of its own. It fades, so that a runner that
-    /// is left because of it is tried again.
+    /// Share of recent responses that were failures of the runner's own, 0 to 1. The share decays
+    /// with time, so that a runner that is avoided because of it is tried again.
     pub fn failure_rate(&self, now_us: u64) -> f64 {
         self.failures.at(now_us)
     }
 
-    /// Time that it takes for its work as a share of what its service's runners take on the mean.
+    /// Prefill time of this runner divided by the mean of its service's runners; above 1 for a slow
+    /// runner.
     pub fn slowdown_factor(&self, now_us: u64) -> f64 {
         self.speed.slowdown_factor(now_us)
     }
 
-    /// Whether it is changing its role.
+    /// Whether a role change is pending for the runner.
     pub fn is_changing_role(&self, now_us: u64) -> bool {
         let has_role = |stage: Stage| self.record.stage == Some(stage);
         self.role_change.is_some_and(|(stage, until_us)| now_us < until_us && !has_role(stage))
     }
 
-    /// The role that it is on its way to.
+    /// Role that the runner is changing to; `None` if no change is pending.
     pub fn next_stage(&self, now_us: u64) -> Option<Stage> {
         self.role_change.filter(|_| self.is_changing_role(now_us)).map(|(stage, _)| stage)
     }
 
-    /// Whether it could not be reached and has not answered since.
+    /// Whether the runner could not be reached and has not responded since.
     pub fn is_suspected(&self) -> bool {
         self.suspicion.is_suspected()
     }
 
-    /// Requests that other nodes are believed to have at it: by what is set aside for them, by
-    /// its scheduler's word, or by the runner's last report, which fades with its age.
+    /// Estimated number of requests of other nodes at the runner: the ones reserved by this node,
+    /// else the ones reported by the runner's scheduler, else the runner's last load report.
+    /// Reports lose weight with their age.
     pub fn peer_requests(&self, now_us: u64) -> f64 {
         if self.reserved.in_flight > 0 {
             return f64::from(self.reserved.in_flight);
@@ -256,7 +266,7 @@
         f64::from(self.reported_peer_requests) * left as f64 / LOAD_REPORT_TTL_US as f64
     }
 
-    /// Prompt tokens that it has yet to read for other nodes.
+    /// Estimated prompt tokens that the runner still has to prefill for other nodes.
     pub fn peer_prefill_tokens(&self, now_us: u64) -> u64 {
         let left = |reported: ReportedLoad| {
             reported.load.prefill_tokens as f64 * reported.remaining_share(now_us)
@@ -264,8 +274,7 @@
         self.reserved.prefill_tokens + self.reported_load.map_or(0.0, left) as u64
     }
 
-    /// Prompt tokens that it reads for other nodes when nothing else is left, by the word of
-    /// its scheduler.
+    /// Estimated overdue prompt tokens of other nodes at the runner, as reported by its scheduler.
     pub fn peer_overdue_tokens(&self, now_us: u64) -> u64 {
         let left = |reported: ReportedLoad| {
             reported.load.overdue_tokens as f64 * reported.remaining_share(now_us)
@@ -273,8 +282,8 @@
         self.reported_load.map_or(0.0, left) as u64
     }
 
-    /// Requests whose answer it is believed to be writing: those that wait for their prompt to
-    /// be read, here or elsewhere, are not among them.
+    /// Estimated number of requests that the runner is decoding. Requests whose prompt is still to
+    /// be prefilled, here or at another runner, are not counted.
     pub fn decoding(&self, now_us: u64) -> f64 {
         let reported = |reported: ReportedLoad| {
             f64::from(reported.load.pending_prefills) * reported.remaining_share(now_us)
@@ -287,48 +296,52 @@
         (self.occupancy(now_us) - unread).max(0.0)
     }
 
-    /// Prompt tokens that it reads for this node when nothing else is left, and for those whose
-    /// scheduler this node is.
+    /// Overdue prompt tokens of this node's requests and of those that it has scheduled for other
+    /// nodes.
     pub fn local_overdue_tokens(&self) -> u64 {
         self.overdue_tokens + self.reserved.overdue_tokens
     }
 
-    /// Prompt tokens a second that it was lately asked to read, as far as is known.
+    /// Prompt tokens per second that the runner has recently been asked to prefill, as far as this
+    /// node knows.
     pub fn prefill_tokens_per_second(&self, now_us: u64) -> f64 {
         let reported = self.reported_load.filter(|reported| reported.is_fresh(now_us));
         self.prefill_demand.tokens_per_second(now_us)
             + reported.map_or(0.0, |reported| reported.asked_a_second as f64)
     }
 
-    /// Tokens of KV cache that the attempts of all nodes take there.
+    /// Estimated tokens of KV cache that the attempts of all nodes occupy.
     pub fn total_held_tokens(&self, now_us: u64) -> u64 {
-        // Memory is let go when the run ends, not bit by bit.
+        // A run frees its memory all at once when it ends, so a report counts in full until it
+        // expires.
         let reported = self.reported_load.filter(|reported| reported.is_fresh(now_us));
         let reported = reported.map_or(0, |reported| reported.load.held_tokens);
         self.held_tokens + self.reserved.held_tokens + reported
     }
 
-    /// Requests that it is believed to have.
+    /// Estimated number of requests at the runner, of all nodes.
     pub fn occupancy(&self, now_us: u64) -> f64 {
         f64::from(self.in_flight) + self.peer_requests(now_us)
     }
 
-    /// Whether it is believed to have nothing to do.
+    /// Whether the runner is estimated to have no work.
     pub fn is_idle(&self, now_us: u64) -> bool {
         self.prefill_tokens == 0 && self.occupancy(now_us) < 1.0
     }
 
-    /// Shared tokens of a prompt that this node believes to be in its KV cache.
+    /// Tokens of a prompt's shared prefixes that this node estimates to be in the runner's KV
+    /// cache.
     pub fn cached_tokens(&self, prompt: &Prompt) -> u64 {
         self.cache.cached_tokens(prompt.shared_parts())
     }
 }
 
-/// What requests have at a runner.
+/// Load that a set of requests puts on a runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub(crate) in_flight: u32,
-    /// Those among them whose prompt has not been read, here or by another runner for this one.
+    /// Number of those requests whose prompt is not prefilled yet, by this runner or by a prefill
+    /// runner on its behalf.
     pub(crate) pending_prefills: u32,
     pub(crate) prefill_tokens: u64,
     pub(crate) overdue_tokens: u64,
@@ -358,7 +371,7 @@
     }
 }
 
-/// What a scheduler told of a runner's load.
+/// Load of a runner as its scheduler reported it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
     pub(crate) load: Load,
@@ -371,8 +384,8 @@
         now_us < self.reported_at_us + PEER_LOAD_TTL_US
     }
 
-    /// Share of it that is believed to be left, should no later word come: most requests are
-    /// over within a second. Long prompts take longer.
+    /// Share of the reported load that is estimated to be left if no later report arrives. Most
+    /// requests end within a second; long prompts take longer.
     fn remaining_share(&self, now_us: u64) -> f64 {
         let age_us = now_us.saturating_sub(self.reported_at_us);
         let tokens = self.load.prefill_tokens + self.load.overdue_tokens;
--- a/crates/serving/src/runner_notice.rs
+++ b/crates/serving/src/runner_notice.rs
@@ -1,24 +1,27 @@
-//! What runners say of themselves in the heads of answers, and what a node believes because of it.
+//! Notices that runners give about themselves in response headers, and the availability that a node
+//! derives from them.
 //!
-//! Two sources tell that a runner leaves: its entry in the store, which may be late by as long as the store
-//! is away, and its answers, which are there at once. Either is enough, and within a life neither
-//! takes back what the other has said. A rest is asked of one node, and ends by its time alone.
+//! Two sources announce that a runner leaves: its registry entry, which may be late by as long as
+//! the store is unavailable, and its responses, which arrive at once. Either one is enough, and
+//! within an incarnation neither overrides the other. A rest is requested from one node and ends
+//! only when its time is over.
 
 use crate::ids::RunnerId;
 use crate::runner_limit::NamedLimit;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Longest rest that is believed, microseconds. It bounds what one wrong word costs: after it one request
-/// tries the runner.
+/// Upper bound of a requested rest, microseconds. It bounds the cost of one wrong notice: when the
+/// rest ends, one request tries the runner.
 pub const MAX_REST_US: u64 = 600_000_000;
 
-/// A rate of requests, millionths of a request a second.
+/// A rate of requests, in millionths of a request per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestRate(pub u64);
 
 impl RequestRate {
-    /// A rate in requests a second; one too large to count is the largest. `None`: it is no rate.
+    /// Converts a rate in requests per second; a rate that is too large saturates. `None` if the
+    /// number is negative or not finite.
     pub fn from_requests_per_second(requests: f64) -> Option<Self> {
         const MICRO: f64 = 1_000_000.0;
         let is_rate = requests.is_finite() && requests >= 0.0;
@@ -33,51 +36,55 @@
     }
 }
 
-/// What the head of one answer says of the runner that gave it, whatever becomes of the request.
+/// What the head of one response says about the runner that sent it, whatever the outcome of the
+/// request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunnerNotice {
-    /// It is about to leave.
+    /// Whether the runner is about to leave.
     pub leaving: bool,
-    /// It wants no request from this node for so long, microseconds; 0: it has not asked for rest.
+    /// Time for which the runner requests that this node send it nothing, microseconds; 0 if it
+    /// requests no rest.
     pub rest_us: u64,
-    /// What it takes from all nodes together. `None`: it names no limit.
+    /// Rate of requests that the runner accepts from all nodes together; `None` if it names no
+    /// limit.
     pub limit: Option<RequestRate>,
-    /// It said one of these in a form that is not known. Nothing is believed of that.
+    /// Whether one of these headers had an unknown form. Such a header is ignored.
     pub malformed: bool,
 }
 
 impl RunnerNotice {
-    /// Whether it says nothing.
+    /// Whether the notice carries no information.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What has become known by a notice.
+/// What changed in a runner's availability by a notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AvailabilityChange {
-    /// The runner leaves, which its answers had not said before.
+    /// Whether the runner announced for the first time that it leaves.
     pub leaving: bool,
-    /// The runner wants rest for so long, microseconds, though it was not known to rest.
+    /// Length of the rest that begins with the notice, microseconds; `None` if none was requested
+    /// or the runner was already resting.
     pub rest_us: Option<u64>,
 }
 
-/// Whether one life of a runner takes requests from this node, by its own word.
+/// Whether one incarnation of a runner accepts requests from this node, as reported by the runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Availability {
     leaving: bool,
     rest_until_us: u64,
-    /// It has asked for rest, and has not taken up anything of this node since.
+    /// The runner has requested a rest and has not accepted a request of this node since.
     awaits_trial: bool,
-    /// A request has been sent to it since the end of the rest, and has not ended. What it had taken up before is
-    /// no try: a stream may go on for many seconds.
+    /// A request that was sent to the runner since the rest was requested has not ended yet.
+    /// Requests that it had accepted before do not count: a stream may go on for many seconds.
     is_trial_in_flight: bool,
-    /// What it takes from all nodes together.
+    /// Rate of requests that the runner accepts from all nodes together.
     pub(crate) limit: NamedLimit,
 }
 
 impl Availability {
-    /// Takes in what an answer said.
+    /// Applies the notice of a response.
     pub fn on_notice(&mut self, notice: RunnerNotice, now_us: u64) -> AvailabilityChange {
         let starts_leaving = notice.leaving && !self.leaving;
         self.leaving |= notice.leaving;
@@ -92,55 +99,58 @@
         AvailabilityChange { leaving: starts_leaving, rest_us: starts_resting.then_some(rest_us) }
     }
 
-    /// A request is sent to the runner.
+    /// Records that a request was sent to the runner.
     pub fn on_sent(&mut self) {
         self.is_trial_in_flight = self.awaits_trial;
     }
 
-    /// The runner has taken a request up.
+    /// Records that the runner accepted a request.
     pub fn on_accepted(&mut self) {
         self.awaits_trial = false;
     }
 
-    /// A request has ended there, perhaps the one that tries it: another one may.
+    /// Records that a request has ended at the runner. It may have been the trial, so another
+    /// request may try.
     pub fn on_ended(&mut self) {
         self.is_trial_in_flight = false;
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether the runner has announced that it leaves.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether it wants no request from this node now.
+    /// Whether the runner has requested to get nothing from this node now.
     pub fn is_resting(&self, now_us: u64) -> bool {
         now_us < self.rest_until_us
     }
 
-    /// When its rest ends, microseconds; `None`: it does not rest.
+    /// End of the rest, microseconds; `None` if the runner does not rest.
     pub fn rests_until_us(&self, now_us: u64) -> Option<u64> {
         self.is_resting(now_us).then_some(self.rest_until_us)
     }
 
-    /// Whether requests rather go elsewhere: while it rests, and after that while one request tries it, so that
-    /// not all that would go to it arrive at once at the end of the rest.
+    /// Whether requests should prefer other runners: during a rest, and after it while a single
+    /// request tries the runner, so that the end of the rest does not release all held-back
+    /// requests at once.
     pub fn is_avoided(&self, now_us: u64) -> bool {
         self.is_resting(now_us) || (self.awaits_trial && self.is_trial_in_flight)
     }
 }
 
-/// Lives whose entries are gone for which availability is remembered. An entry that lapses while the store is
-/// away comes back; the aim's 1,300 runners may lapse at once.
+/// Number of incarnations without an entry whose availability is kept. An entry that lapses while
+/// the store is unavailable comes back, and all 1,300 runners of the design target may lapse at
+/// once.
 const MAX_REMEMBERED_INCARNATIONS: usize = 2_048;
 
-/// What lives have said of themselves whose entries are gone, the latest last.
+/// Availability of incarnations whose registry entries are gone, the most recent last.
 #[derive(Clone, Debug, Default)]
 pub struct DepartedAvailability {
     incarnations: VecDeque<(RunnerId, Availability)>,
 }
 
 impl DepartedAvailability {
-    /// The entry of a life is gone.
+    /// Stores the availability of an incarnation whose entry is gone.
     pub fn remember(&mut self, runner: &RunnerId, availability: Availability) {
         self.take(runner);
         if availability == Availability::default() {
@@ -152,7 +162,8 @@
         self.incarnations.push_back((runner.clone(), availability));
     }
 
-    /// The entry of a life is there, perhaps again.
+    /// Removes and returns the availability of an incarnation whose entry has appeared, perhaps
+    /// again.
     pub fn take(&mut self, runner: &RunnerId) -> Availability {
         let index = self.incarnations.iter().position(|(known, _)| known == runner);
         let known = index.and_then(|index| self.incarnations.remove(index));
--- a/crates/serving/src/runner_speed.rs
+++ b/crates/serving/src/runner_speed.rs
@@ -1,80 +1,82 @@
-//! How fast one runner is, against the mean pace of its service.
+//! Prefill speed of one runner relative to the mean of its service.
 //!
-//! Runners differ by kind, and a fault or a slow link makes one slower for seconds. So each runner
-//! has a factor: the time that its readings took, as a share of what they would have taken at
-//! the service's pace. It is the sum of the last times over the sum of the expectations, since
-//! single readings are far off: several are read by turns and end together, what a runner holds
-//! of a prompt is only believed, and it reads in vain what was given up.
+//! Runners differ by hardware, and a fault or a slow link makes one slower for seconds. Each runner
+//! therefore has a slowdown factor: the duration of its prefills divided by the duration that the
+//! service's mean speed predicts. The factor is the sum of the latest durations over the sum of the
+//! predictions, since single prefills are poor estimates: a runner interleaves several prefills,
+//! which then end together; the cached part of a prompt is only estimated; and a runner also spends
+//! time on prompts of requests that were given up.
 //!
-//! A wait is no slowness. A scheduler hears of every reading at its runners, so a reading that
-//! met a queue began there when the one before it ended; where only some readings are heard of,
-//! those count that met no queue.
+//! Queueing time must not count as slowness. A scheduler observes every prefill at its runners, so
+//! a queued prefill began when the one before it ended. A node that observes only some prefills
+//! uses the ones that met no queue.
 
 use std::collections::VecDeque;
 
-/// A reading that has ended at a runner.
+/// Timing of a prefill that a runner has completed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillTiming {
-    /// Time that the tokens take the service's runners on the mean, milliseconds.
+    /// Mean prefill time of the service's runners for these tokens, milliseconds.
     pub expected_ms: f64,
-    /// Time that each reading takes besides, on the way mostly, milliseconds.
+    /// Fixed overhead of each prefill, mostly network time, milliseconds.
     pub fixed_ms: f64,
-    /// From the sending of the request to the end of the answer, milliseconds.
+    /// Time from sending the request to the end of the response, milliseconds.
     pub elapsed_ms: f64,
-    /// Whether the runner was believed to have nothing else to read when it was sent.
+    /// Whether the runner was estimated to have no other prefill when the request was sent.
     pub was_unqueued: bool,
-    /// Whether this node hears of all readings at the runner.
+    /// Whether this node observes all prefills at the runner.
     pub observes_all_prefills: bool,
 }
 
-/// Measured pace of one runner.
+/// Measured prefill speed of one runner.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunnerSpeed {
-    /// The last readings, the oldest first.
+    /// Latest samples, the oldest first.
     samples: VecDeque<PrefillDuration>,
-    /// When the last of them ended, microseconds.
+    /// Time at which the latest sample was added, microseconds.
     last_sample_us: u64,
-    /// When a reading ended of which this node heard, microseconds.
+    /// Time at which the latest observed prefill ended, microseconds.
     last_completion_us: Option<u64>,
 }
 
-/// What a reading took, and what it would have at the service's pace, milliseconds.
+/// Duration of a prefill, and the duration that the service's mean speed predicts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillDuration {
-    /// What it took.
+    /// Measured duration, milliseconds.
     pub actual_ms: f32,
-    /// What it takes on the mean.
+    /// Predicted duration, milliseconds.
     pub expected_ms: f32,
 }
 
-/// Most readings that count: some five seconds at a busy runner.
+/// Upper bound of the number of samples kept: about five seconds of a busy runner.
 const MAX_SAMPLES: usize = 40;
-/// Readings that together show that a runner is slow, and the factor from which on they alone
-/// count: kinds differ by less, and chance makes one in a hundred so.
+/// A runner counts as slow when its latest `SLOW_SAMPLES` samples together exceed `SLOW_FACTOR`;
+/// then only these count. Hardware kinds differ by less than this factor, and chance alone exceeds
+/// it in one of a hundred cases.
 const SLOW_SAMPLES: usize = 6;
 const SLOW_FACTOR: f64 = 2.5;
-/// Most that one reading counts for otherwise, as a factor.
+/// Upper bound of the factor of a single sample when the runner does not count as slow.
 const MAX_SAMPLE_FACTOR: f64 = 3.0;
-/// Readings at the service's pace that a runner is credited with.
+/// Number of virtual samples at the service's mean speed with which each runner starts.
 const PRIOR_SAMPLES: f64 = 4.0;
-/// Slowest and fastest that a runner is held to be. Faults slow runners by less.
+/// Bounds of the slowdown factor. Faults slow runners by less than the upper bound.
 const MAX_FACTOR: f64 = 10.0;
 const MIN_FACTOR: f64 = 0.1;
-/// Shortest reading that tells something: times are told in whole milliseconds, and a node whose
-/// processor is shared is late by some.
+/// Shortest predicted duration that is measured: times are reported in whole milliseconds, and a
+/// node on a shared processor handles responses a little late.
 const MIN_EXPECTED_MS: f64 = 5.0;
-/// Longest that is believed: an hour is no expectation.
+/// Longest predicted duration that is measured. A prediction of more than an hour is not plausible.
 const MAX_EXPECTED_MS: f64 = 3_600_000.0;
-/// Time in which half of what shows a runner to be slow is forgotten while nothing more is heard:
-/// faults last for some seconds, and one that is passed over would never be found to be over them.
+/// Half-life of a detected slowness without new samples. Faults last for some seconds, and a runner
+/// that gets no work would otherwise never be seen to recover.
 const SLOWNESS_HALF_LIFE_US: f64 = 1_000_000.0;
-/// Share of it below which such readings are dropped when another comes.
+/// Remaining share of a slowness below which a new sample discards the earlier ones.
 const MIN_SLOWNESS_SHARE: f64 = 0.25;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
 impl RunnerSpeed {
-    /// Time that a reading takes as a share of that at the service's pace; 1 until something is
-    /// known, above it for a slow runner.
+    /// Prefill time of the runner divided by the service's mean; 1 without samples, above 1 for a
+    /// slow runner.
     pub fn slowdown_factor(&self, now_us: u64) -> f64 {
         let factor = self.recent_slowdown().unwrap_or_else(|| self.mean_factor());
         if factor > 1.0 {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The runner has read a prompt; returns what that took if it can be told.
+    /// Records a completed prefill; returns its duration, or `None` if it cannot be determined.
     pub fn on_prefilled(&mut self, timing: PrefillTiming, now_us: u64) -> Option<PrefillDuration> {
         let actual_ms = self.actual_ms(&timing, now_us);
         self.last_completion_us = Some(now_us);
@@ -98,7 +100,7 @@
         Some(duration)
     }
 
-    /// The factor over all readings that count.
+    /// Factor over all samples, each clipped, with the virtual samples included.
     fn mean_factor(&self) -> f64 {
         let clipped = self.samples.iter().map(|it| {
             let actual_ms =
@@ -109,20 +111,21 @@
         (factor_of(clipped) * counted + PRIOR_SAMPLES) / (counted + PRIOR_SAMPLES)
     }
 
-    /// The factor of the last readings, if these show that the runner is slow.
+    /// Factor of the latest samples if they show that the runner is slow.
     fn recent_slowdown(&self) -> Option<f64> {
         let older = self.samples.len().checked_sub(SLOW_SAMPLES)?;
         let recent = factor_of(self.samples.iter().skip(older).copied());
         (recent > SLOW_FACTOR).then_some(recent)
     }
 
-    /// Share that is left of the slowness that the last readings showed.
+    /// Share of the detected slowness that remains at a time.
     fn slowness_share(&self, now_us: u64) -> f64 {
         let age_us = now_us.saturating_sub(self.last_sample_us) as f64;
         (-age_us / SLOWNESS_HALF_LIFE_US).exp2()
     }
 
-    /// Time that the runner spent on a reading, milliseconds; `None` if that cannot be told.
+    /// Time that the runner spent on a prefill, milliseconds; `None` if queueing time cannot be
+    /// separated.
     fn actual_ms(&self, timing: &PrefillTiming, now_us: u64) -> Option<f64> {
         let without_overhead_ms = timing.elapsed_ms - timing.fixed_ms;
         let since = |last_us: u64| now_us.saturating_sub(last_us) as f64 / MICROS_PER_MILLI;
@@ -145,7 +148,7 @@
     }
 }
 
-/// What readings took as a share of what they would have at the service's pace; 1 without any.
+/// Ratio of the total measured to the total predicted duration; 1 without samples.
 fn factor_of(durations: impl Iterator<Item = PrefillDuration>) -> f64 {
     let (actual_ms, expected_ms) = durations.fold((0.0, 0.0), |(actual_ms, expected_ms), it| {
         (actual_ms + f64::from(it.actual_ms), expected_ms + f64::from(it.expected_ms))
