--- a/crates/serving/src/capacity_planner.rs
+++ b/crates/serving/src/capacity_planner.rs
@@ -209,18 +209,19 @@
         supply: &BTreeMap<ZoneId, ZoneSupply>,
         now_us: u64,
     ) -> Vec<CapacityOrder> {
-        let (left, since_us) = self.allowance.unwrap_or((self.policy.max_change_burst, now_us));
+        let (remaining, since_us) =
+            self.allowance.unwrap_or((self.policy.max_change_burst, now_us));
         let seconds = now_us.saturating_sub(since_us) as f64 / MICROS_PER_SECOND;
-        let refilled = left + seconds * self.policy.max_changes_per_second;
-        let mut left = refilled.min(self.policy.max_change_burst);
+        let refilled = remaining + seconds * self.policy.max_changes_per_second;
+        let mut remaining = refilled.min(self.policy.max_change_burst);
         let mut allowed = Vec::new();
         for order in orders {
             let current = self.current_count(&order, supply);
-            let changes = f64::from(order.runners.abs_diff(current)).min(left.floor());
+            let changes = f64::from(order.runners.abs_diff(current)).min(remaining.floor());
             if changes < 1.0 {
                 continue;
             }
-            left -= changes;
+            remaining -= changes;
             let changes = changes as u32;
             let runners = match order.runners > current {
                 true => current + changes,
@@ -228,7 +229,7 @@
             };
             allowed.push(CapacityOrder { runners, ..order });
         }
-        self.allowance = Some((left, now_us));
+        self.allowance = Some((remaining, now_us));
         allowed
     }
 
@@ -408,12 +409,12 @@
             self.zones.iter().map(|zone| (zone.clone(), room(zone))).collect();
         // Zones with little room come first, so that the others take what does not fit there.
         zones.sort_by_key(|(_, room)| *room);
-        let mut left = reserved;
+        let mut remaining = reserved;
         let count = zones.len();
         for (index, (_, per_zone)) in zones.iter_mut().enumerate() {
-            let zones_left = u32::try_from(count - index).unwrap_or(u32::MAX);
-            *per_zone = left.div_ceil(zones_left).max(spec.min_runners).min(*per_zone);
-            left = left.saturating_sub(*per_zone);
+            let remaining_zones = u32::try_from(count - index).unwrap_or(u32::MAX);
+            *per_zone = remaining.div_ceil(remaining_zones).max(spec.min_runners).min(*per_zone);
+            remaining = remaining.saturating_sub(*per_zone);
         }
         zones
     }
@@ -441,17 +442,17 @@
     ) -> Option<u32> {
         let total: u32 = supply.values().map(|zone| zone.preemptible).sum();
         let largest = supply.values().map(|zone| zone.preemptible).max().unwrap_or(0);
-        let min_to_keep = self.need.saturating_sub(total - largest).max(min_reserved);
-        let min_to_have = self.need.saturating_sub(total).max(min_reserved);
+        let reserved_to_keep = self.need.saturating_sub(total - largest).max(min_reserved);
+        let reserved_to_have = self.need.saturating_sub(total).max(min_reserved);
         let current = self.current_reserved(supply);
         // Each order is billed, and a crashed runner may be back before a new one has started. So
         // small deviations are tolerated, but a change that has begun is completed.
         let share = if self.is_changing_reserved { 0.0 } else { self.policy.tolerance };
         let tolerance = (f64::from(self.need) * share).floor() as u32;
-        if min_to_keep + tolerance < current {
-            return Some(min_to_keep);
+        if reserved_to_keep + tolerance < current {
+            return Some(reserved_to_keep);
         }
-        (min_to_have > current + tolerance).then_some(min_to_have)
+        (reserved_to_have > current + tolerance).then_some(reserved_to_have)
     }
 
     fn current_reserved(&self, supply: &BTreeMap<ZoneId, ZoneSupply>) -> u32 {
--- a/crates/serving/src/role_planner.rs
+++ b/crates/serving/src/role_planner.rs
@@ -146,24 +146,24 @@
     pub fn plan(
         &mut self,
         fleet: &Fleet,
-        pace: &PrefillSpeed,
+        speed: &PrefillSpeed,
         demand: &RoleDemand<'_>,
         now_us: u64,
     ) -> RolePlan {
-        let view = RoleView::new(fleet, pace, demand, now_us);
+        let view = RoleView::new(fleet, speed, demand, now_us);
         RolePlan { metrics: view.metrics(), decision: self.decide(&view) }
     }
 
     fn decide(&mut self, view: &RoleView<'_>) -> Result<Vec<RoleChange>, NoChangeReason> {
         let now_us = view.now_us();
-        let short = stage_under_pressure(view, &self.policy);
-        self.pressure = match (short, self.pressure) {
+        let stage_or_reason = stage_under_pressure(view, &self.policy);
+        self.pressure = match (stage_or_reason, self.pressure) {
             (Ok(stage), Some((known, since))) if stage == known => Some((stage, since)),
             (Ok(stage), _) => Some((stage, now_us)),
             (Err(_), _) => None,
         };
         let has_lost_prefill = self.has_lost_prefill_runners(view);
-        let stage = short?;
+        let stage = stage_or_reason?;
         let since = self.pressure.map_or(now_us, |(_, since)| since);
         // The requested work shows how many prefill runners are missing, so the effect of the last
         // order need not be awaited.
@@ -180,8 +180,8 @@
             return Err(NoChangeReason::PressureTooRecent);
         }
         let count = change_count(view, stage, &self.policy);
-        let idlest = view.idlest(stage).into_iter().take(count);
-        Ok(idlest.map(|runner| RoleChange { runner, stage }).collect())
+        let least_loaded = view.least_loaded(stage).into_iter().take(count);
+        Ok(least_loaded.map(|runner| RoleChange { runner, stage }).collect())
     }
 
     /// Updates the largest share of prefill runners, and returns whether many of them have gone
--- a/crates/serving/src/role_view.rs
+++ b/crates/serving/src/role_view.rs
@@ -67,7 +67,7 @@
 impl<'a> RoleView<'a> {
     pub(crate) fn new(
         fleet: &'a Fleet,
-        pace: &PrefillSpeed,
+        speed: &PrefillSpeed,
         demand: &RoleDemand<'_>,
         now_us: u64,
     ) -> Self {
@@ -85,9 +85,9 @@
         let prefill_capacity = prefill.len() as f64 + decode.len() as f64 / 2.0;
         let target_ms = demand.target_ms.max(1.0) * prefill_capacity.max(1.0);
         let overdue_ms: f64 =
-            prefill.iter().chain(&decode).map(|runner| overdue_ms(runner, pace, now_us)).sum();
-        let at_prefill = prefill.iter().map(|runner| pace.backlog_ms(runner, now_us));
-        let at_decode = decode.iter().map(|runner| decode_backlog_ms(runner, pace, now_us));
+            prefill.iter().chain(&decode).map(|runner| overdue_ms(runner, speed, now_us)).sum();
+        let at_prefill = prefill.iter().map(|runner| speed.backlog_ms(runner, now_us));
+        let at_decode = decode.iter().map(|runner| decode_backlog_ms(runner, speed, now_us));
         let backlog_ms: f64 = at_prefill.chain(at_decode).sum();
         let decoding: f64 = decode.iter().map(|runner| runner.decoding(now_us)).sum();
         let held: f64 = decode.iter().map(|runner| held_by_decoding(runner, now_us)).sum();
@@ -96,7 +96,7 @@
             prefill: prefill.len(),
             decode: decode.len(),
             becoming_prefill: fleet.iter().filter(is_of_service).filter(becomes_prefill).count(),
-            prefill_needed: pace.prefill_ms(demanded) / MILLIS_PER_SECOND,
+            prefill_needed: speed.prefill_ms(demanded) / MILLIS_PER_SECOND,
             wait: (backlog_ms + overdue_ms * OVERDUE_WORK_WEIGHT) / target_ms,
             overdue_wait: overdue_ms / target_ms,
             occupancy: decoding / (f64::from(demand.engine.slots.max(1)) * decode_runners),
@@ -131,7 +131,7 @@
     }
 
     /// Runners of the other role, the least loaded first.
-    pub(crate) fn idlest(&self, wanted: Stage) -> Vec<RunnerId> {
+    pub(crate) fn least_loaded(&self, wanted: Stage) -> Vec<RunnerId> {
         let others = if wanted == Stage::Prefill { &self.decode } else { &self.prefill };
         let load = |runner: &&Runner| {
             (runner.occupancy(self.now_us) * 1_000.0) as u64 + runner.prefill_tokens
@@ -161,14 +161,14 @@
     usable
 }
 
-fn overdue_ms(runner: &Runner, pace: &PrefillSpeed, now_us: u64) -> f64 {
-    pace.prefill_ms((runner.local_overdue_tokens() + runner.peer_overdue_tokens(now_us)) as f64)
+fn overdue_ms(runner: &Runner, speed: &PrefillSpeed, now_us: u64) -> f64 {
+    speed.prefill_ms((runner.local_overdue_tokens() + runner.peer_overdue_tokens(now_us)) as f64)
 }
 
 /// Prefill time of the work that is known to be queued at a decode runner. Other requests there are
 /// in decode, so unlike at prefill runners nothing is estimated for them.
-fn decode_backlog_ms(runner: &Runner, pace: &PrefillSpeed, now_us: u64) -> f64 {
-    pace.prefill_ms((runner.prefill_tokens + runner.peer_prefill_tokens(now_us)) as f64)
+fn decode_backlog_ms(runner: &Runner, speed: &PrefillSpeed, now_us: u64) -> f64 {
+    speed.prefill_ms((runner.prefill_tokens + runner.peer_prefill_tokens(now_us)) as f64)
 }
 
 /// Tokens of KV cache of the requests in decode at a runner. Memory reserved for prompts that are
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -292,8 +292,8 @@
             0 => self.reported_load.map_or(0.0, reported),
             _ => f64::from(self.reserved.pending_prefills),
         };
-        let unread = f64::from(self.pending_prefills) + others;
-        (self.occupancy(now_us) - unread).max(0.0)
+        let pending = f64::from(self.pending_prefills) + others;
+        (self.occupancy(now_us) - pending).max(0.0)
     }
 
     /// Overdue prompt tokens of this node's requests and of those that it has scheduled for other
@@ -358,8 +358,8 @@
     }
 
     pub(crate) fn on_prefilled(&mut self, demand: AttemptDemand) {
-        let read = u32::from(demand.needs_prefill());
-        self.pending_prefills = self.pending_prefills.saturating_sub(read);
+        let prefilled = u32::from(demand.needs_prefill());
+        self.pending_prefills = self.pending_prefills.saturating_sub(prefilled);
         self.prefill_tokens = self.prefill_tokens.saturating_sub(demand.prefill_tokens);
         self.overdue_tokens = self.overdue_tokens.saturating_sub(demand.overdue_tokens);
     }
--- a/crates/serving/tests/capacity_planner.rs
+++ b/crates/serving/tests/capacity_planner.rs
@@ -12,7 +12,7 @@
 
 const STEP_US: u64 = 250_000;
 const SECOND_US: u64 = 1_000_000;
-const MOST_A_ZONE: u32 = 94;
+const MAX_RUNNERS_PER_ZONE: u32 = 94;
 
 /// A platform: what is ordered by zone and kind, and what serves.
 struct Platform {
@@ -20,9 +20,9 @@
     /// Ready from then on: zone, kind, when.
     booted: Vec<(ZoneId, RunnerKind, u64)>,
     boot_us: u64,
-    dry_until_us: BTreeMap<ZoneId, u64>,
+    unavailable_until_us: BTreeMap<ZoneId, u64>,
     now_us: u64,
-    calls: usize,
+    order_count: usize,
 }
 
 fn zone(number: usize) -> ZoneId {
@@ -38,8 +38,8 @@
             ordered.insert((zone.clone(), RunnerKind::Reserved), reserved);
             booted.extend((0..reserved).map(|_| (zone.clone(), RunnerKind::Reserved, 0)));
         }
-        let (boot_us, dry_until_us) = (boot_s * SECOND_US, BTreeMap::new());
-        Self { ordered, booted, boot_us, dry_until_us, now_us: 0, calls: 0 }
+        let (boot_us, unavailable_until_us) = (boot_s * SECOND_US, BTreeMap::new());
+        Self { ordered, booted, boot_us, unavailable_until_us, now_us: 0, order_count: 0 }
     }
 
     fn count(&self, zone: &ZoneId, kind: RunnerKind) -> u32 {
@@ -55,12 +55,12 @@
     }
 
     fn supply(&self) -> BTreeMap<ZoneId, ZoneSupply> {
-        let of_zone = |zone: ZoneId| {
+        let zone_supply = |zone: ZoneId| {
             let reserved = self.count(&zone, RunnerKind::Reserved);
             let preemptible = self.count(&zone, RunnerKind::Preemptible);
             (zone, ZoneSupply { reserved, preemptible })
         };
-        self.zones().into_iter().map(of_zone).collect()
+        self.zones().into_iter().map(zone_supply).collect()
     }
 
     fn serving(&self) -> u32 {
@@ -69,37 +69,40 @@
 
     /// Takes an order; `false`: none to be had.
     fn order(&mut self, order: &CapacityOrder) -> bool {
-        self.calls += 1;
-        let is_dry = self.dry_until_us.get(&order.zone).is_some_and(|it| self.now_us < *it);
-        let has = self.booted.iter().filter(|it| it.0 == order.zone && it.1 == order.kind).count();
-        if is_dry && order.kind == RunnerKind::Preemptible && order.runners > has as u32 {
+        self.order_count += 1;
+        let is_unavailable =
+            self.unavailable_until_us.get(&order.zone).is_some_and(|it| self.now_us < *it);
+        let present =
+            self.booted.iter().filter(|it| it.0 == order.zone && it.1 == order.kind).count();
+        if is_unavailable && order.kind == RunnerKind::Preemptible && order.runners > present as u32
+        {
             return false;
         }
         self.ordered.insert((order.zone.clone(), order.kind), order.runners);
-        for _ in has as u32..order.runners {
+        for _ in present as u32..order.runners {
             self.booted.push((order.zone.clone(), order.kind, self.now_us + self.boot_us));
         }
-        for _ in order.runners..has as u32 {
+        for _ in order.runners..present as u32 {
             let last = self.booted.iter().rposition(|it| it.0 == order.zone && it.1 == order.kind);
             self.booted.remove(last.unwrap());
         }
         let in_zone = self.booted.iter().filter(|it| it.0 == order.zone).count();
-        assert!(in_zone as u32 <= MOST_A_ZONE, "more than the zone takes");
+        assert!(in_zone as u32 <= MAX_RUNNERS_PER_ZONE, "more than the zone takes");
         true
     }
 
     /// All runners of a zone that may be taken away go, and none are to be had for a time.
-    fn reclaim(&mut self, number: usize, dry_s: u64) {
+    fn reclaim(&mut self, number: usize, unavailable_s: u64) {
         let lost = zone(number);
         self.booted.retain(|it| it.0 != lost || it.1 == RunnerKind::Reserved);
-        self.dry_until_us.insert(lost, self.now_us + dry_s * SECOND_US);
+        self.unavailable_until_us.insert(lost, self.now_us + unavailable_s * SECOND_US);
     }
 }
 
 fn spec(price: Option<f64>, boot_s: f64) -> ScalingSpec {
     ScalingSpec {
         min_runners: 1,
-        max_runners: MOST_A_ZONE,
+        max_runners: MAX_RUNNERS_PER_ZONE,
         boot_s,
         preemptible_price: price,
         zone_prices: BTreeMap::new(),
@@ -116,13 +119,13 @@
 }
 
 /// Plays until a moment; returns the fewest runners that served meanwhile.
-fn play(
+fn run(
     platform: &mut Platform,
     planner: &mut CapacityPlanner,
     spec: &ScalingSpec,
     until_s: u64,
 ) -> u32 {
-    let mut fewest = u32::MAX;
+    let mut min_serving = u32::MAX;
     while platform.now_us < until_s * SECOND_US {
         for order in planner.plan(&platform.supply(), spec, platform.now_us) {
             if platform.order(&order) {
@@ -131,20 +134,20 @@
                 planner.on_unavailable(&order, platform.now_us);
             }
         }
-        fewest = fewest.min(platform.serving());
+        min_serving = min_serving.min(platform.serving());
         platform.now_us += STEP_US;
     }
-    fewest
+    min_serving
 }
 
 #[test_case(1; "that boot fast")]
 #[test_case(4; "as the users'")]
 #[test_case(60; "that boot slowly")]
-fn cheap_runners_take_the_place_of_dear_ones_without_a_gap(boot_s: u64) {
+fn preemptible_runners_replace_reserved_ones_without_a_gap(boot_s: u64) {
     let mut platform = Platform::new(3, 47, boot_s);
     let mut planner = planner(&platform, 141);
-    let fewest = play(&mut platform, &mut planner, &spec(Some(0.18), 4.0), 6 * boot_s + 30);
-    assert!(fewest >= 141, "{fewest}");
+    let min_serving = run(&mut platform, &mut planner, &spec(Some(0.18), 4.0), 6 * boot_s + 30);
+    assert!(min_serving >= 141, "{min_serving}");
     let supply = platform.supply();
     let reserved: u32 = supply.values().map(|zone| zone.reserved).sum();
     assert!(reserved <= 20, "{reserved}");
@@ -154,30 +157,30 @@
 }
 
 #[test]
-fn after_a_loss_what_is_left_serves_and_the_zone_is_asked_again() {
+fn after_a_reclaim_the_rest_serves_and_the_zone_is_asked_again() {
     let mut platform = Platform::new(3, 47, 4);
     let mut planner = planner(&platform, 141);
     let spec = spec(Some(0.18), 4.0);
-    play(&mut platform, &mut planner, &spec, 30);
+    run(&mut platform, &mut planner, &spec, 30);
     platform.reclaim(1, 10);
-    let fewest = play(&mut platform, &mut planner, &spec, 38);
-    assert!(fewest >= 135, "{fewest}");
-    play(&mut platform, &mut planner, &spec, 60);
+    let min_serving = run(&mut platform, &mut planner, &spec, 38);
+    assert!(min_serving >= 135, "{min_serving}");
+    run(&mut platform, &mut planner, &spec, 60);
     assert!(platform.supply()[&zone(1)].preemptible >= 60, "they are back");
 }
 
 #[test]
-fn after_two_losses_runners_that_stay_make_up_and_are_given_up_later() {
+fn after_two_reclaims_reserved_runners_fill_in_and_are_given_up_later() {
     let mut platform = Platform::new(3, 47, 4);
     let mut planner = planner(&platform, 141);
     let spec = spec(Some(0.18), 4.0);
-    play(&mut platform, &mut planner, &spec, 30);
+    run(&mut platform, &mut planner, &spec, 30);
     platform.reclaim(0, 60);
-    play(&mut platform, &mut planner, &spec, 40);
+    run(&mut platform, &mut planner, &spec, 40);
     platform.reclaim(1, 60);
-    play(&mut platform, &mut planner, &spec, 50);
+    run(&mut platform, &mut planner, &spec, 50);
     assert!(platform.serving() >= 127, "{}", platform.serving());
-    play(&mut platform, &mut planner, &spec, 160);
+    run(&mut platform, &mut planner, &spec, 160);
     let reserved: u32 = platform.supply().values().map(|zone| zone.reserved).sum();
     assert!(reserved <= 20, "{reserved}");
 }
@@ -185,80 +188,83 @@
 #[test_case(1, Some(0.18); "one zone: all of them could go at once")]
 #[test_case(3, Some(0.8); "with those that stand in they cost more")]
 #[test_case(3, None; "there are none")]
-fn where_cheap_runners_are_no_gain_the_fleet_stays_as_it_is(zones: usize, price: Option<f64>) {
+fn without_a_saving_from_preemptible_runners_the_fleet_stays_as_it_is(
+    zones: usize,
+    price: Option<f64>,
+) {
     let mut platform = Platform::new(zones, 47, 4);
     let mut planner = planner(&platform, 47 * zones as u32);
-    play(&mut platform, &mut planner, &spec(price, 4.0), 60);
-    assert_eq!(platform.calls, 0);
+    run(&mut platform, &mut planner, &spec(price, 4.0), 60);
+    assert_eq!(platform.order_count, 0);
 }
 
 #[test]
-fn where_cheap_runners_are_no_gain_uneven_zones_stay_uneven() {
+fn without_a_saving_from_preemptible_runners_uneven_zones_stay_uneven() {
     let mut platform = Platform::new(3, 47, 4);
     platform.booted.pop();
     let mut planner = planner(&platform, 140);
-    play(&mut platform, &mut planner, &spec(None, 4.0), 30);
-    assert_eq!(platform.calls, 0);
+    run(&mut platform, &mut planner, &spec(None, 4.0), 30);
+    assert_eq!(platform.order_count, 0);
 }
 
 #[test]
-fn when_cheap_runners_become_dear_those_that_stay_come_first() {
+fn when_preemptible_runners_become_expensive_reserved_ones_come_first() {
     let mut platform = Platform::new(3, 47, 4);
     let mut planner = planner(&platform, 141);
-    play(&mut platform, &mut planner, &spec(Some(0.18), 4.0), 30);
-    let fewest = play(&mut platform, &mut planner, &spec(Some(0.9), 4.0), 90);
-    assert!(fewest >= 141, "{fewest}");
+    run(&mut platform, &mut planner, &spec(Some(0.18), 4.0), 30);
+    let min_serving = run(&mut platform, &mut planner, &spec(Some(0.9), 4.0), 90);
+    assert!(min_serving >= 141, "{min_serving}");
     let preemptible: u32 = platform.supply().values().map(|zone| zone.preemptible).sum();
     assert_eq!(preemptible, 0);
 }
 
 #[test]
-fn with_many_zones_few_stand_in_for_a_loss() {
+fn with_many_zones_little_redundancy_is_needed() {
     let mut platform = Platform::new(31, 10, 4);
     let mut planner = planner(&platform, 310);
-    play(&mut platform, &mut planner, &spec(Some(0.3), 4.0), 60);
+    run(&mut platform, &mut planner, &spec(Some(0.3), 4.0), 60);
     assert!((310..=350).contains(&platform.serving()), "{}", platform.serving());
 }
 
 #[test]
-fn cheap_runners_are_kept_beyond_the_need() {
+fn headroom_keeps_preemptible_runners_beyond_the_need() {
     let mut platform = Platform::new(3, 47, 4);
     let mut planner = planner_with(&platform, 141, 0.4);
-    play(&mut platform, &mut planner, &spec(Some(0.18), 4.0), 60);
+    run(&mut platform, &mut planner, &spec(Some(0.18), 4.0), 60);
     for lost in platform.supply().values() {
         assert!(platform.serving() - lost.preemptible >= 141 * 13 / 10);
     }
 }
 
 #[test]
-fn a_large_fleet_is_exchanged_bit_by_bit() {
+fn a_large_fleet_is_exchanged_gradually() {
     let mut platform = Platform::new(31, 47, 4);
     let mut planner = planner(&platform, 31 * 47);
     let spec = spec(Some(0.18), 4.0);
     let mut before = platform.booted.len();
-    let mut most = 0;
+    let mut max_change = 0;
     for second in 1..120 {
-        play(&mut platform, &mut planner, &spec, second);
-        most = most.max(platform.booted.len().abs_diff(before));
+        run(&mut platform, &mut planner, &spec, second);
+        max_change = max_change.max(platform.booted.len().abs_diff(before));
         before = platform.booted.len();
         assert!(platform.serving() >= 31 * 47);
     }
-    assert!(most <= 300, "{most} at once");
+    assert!(max_change <= 300, "{max_change} at once");
     let reserved: u32 = platform.supply().values().map(|zone| zone.reserved).sum();
     assert!(reserved <= 31 * 47 / 8, "{reserved}");
 }
 
 #[test]
-fn what_others_change_is_left_as_it_is() {
+fn changes_by_others_are_left_alone() {
     let mut platform = Platform::new(3, 47, 4);
     let mut planner = planner(&platform, 141);
     let spec = spec(Some(0.18), 4.0);
-    play(&mut platform, &mut planner, &spec, 30);
-    let calls = platform.calls;
+    run(&mut platform, &mut planner, &spec, 30);
+    let order_count = platform.order_count;
     // Operators add some, and some others crash.
     platform.booted.extend((0..3).map(|_| (zone(0), RunnerKind::Reserved, 0)));
     let crashed = platform.booted.iter().position(|it| it.1 == RunnerKind::Preemptible).unwrap();
     platform.booted.remove(crashed);
-    play(&mut platform, &mut planner, &spec, 60);
-    assert_eq!(platform.calls, calls);
+    run(&mut platform, &mut planner, &spec, 60);
+    assert_eq!(platform.order_count, order_count);
 }
--- a/crates/serving/tests/prefill_speed.rs
+++ b/crates/serving/tests/prefill_speed.rs
@@ -4,11 +4,11 @@
 use pitchstall_serving::prefill_speed::{PrefillSample, PrefillSpeed};
 use test_case::test_case;
 
-const SIZES: [u64; 4] = [500, 2_000, 8_000, 20_000];
+const PROMPT_TOKENS: [u64; 4] = [500, 2_000, 8_000, 20_000];
 
 fn record(speed: &mut PrefillSpeed, rounds: usize, sample: impl Fn(u64) -> PrefillSample) {
     for _ in 0..rounds {
-        SIZES.iter().for_each(|tokens| speed.on_prefilled(sample(*tokens)));
+        PROMPT_TOKENS.iter().for_each(|tokens| speed.on_prefilled(sample(*tokens)));
     }
 }
 
@@ -23,7 +23,7 @@
 #[test_case(3.7; "a tenth of the guess")]
 #[test_case(36.7; "near the guess")]
 #[test_case(307.0; "ten times the guess")]
-fn the_pace_is_found_whatever_it_is(tokens_per_ms: f64) {
+fn speed_is_measured_far_from_the_prior(tokens_per_ms: f64) {
     let mut speed = PrefillSpeed::default();
     record(&mut speed, 60, |tokens| unqueued(tokens, 9.0, tokens_per_ms));
     let expected_ms = 10_000.0 / tokens_per_ms;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn readings_that_waited_do_not_slow_the_pace_down() {
+fn queued_prefills_do_not_lower_the_speed() {
     let mut speed = PrefillSpeed::default();
     record(&mut speed, 30, |tokens| unqueued(tokens, 9.0, 100.0));
     let before_ms = speed.prefill_ms(10_000.0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_reading_faster_than_expected_counts_though_others_were_believed_there() {
+fn a_prefill_faster_than_predicted_counts_despite_an_estimated_queue() {
     let mut speed = PrefillSpeed::default();
     record(&mut speed, 30, |tokens| PrefillSample {
         was_unqueued: false,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn readings_of_one_size_give_no_negative_times() {
+fn prefills_of_equal_size_give_no_negative_times() {
     let mut speed = PrefillSpeed::default();
     (0..200).for_each(|_| speed.on_prefilled(unqueued(4_000, 10.0, 50.0)));
     assert!(speed.prefill_ms(1_000.0) > 0.0);
--- a/crates/serving/tests/reservations.rs
+++ b/crates/serving/tests/reservations.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use support::runner_record;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 fn only_shard() -> Shard {
     Shard { region: RegionId::new("north"), number: 0, of: 1 }
@@ -50,7 +50,7 @@
     }
 }
 
-fn direct(deadline_us: u64) -> Reservation {
+fn unsplit(deadline_us: u64) -> Reservation {
     Reservation { prefill: reserved("d", 400), decode: None, ..split(deadline_us) }
 }
 
@@ -65,9 +65,9 @@
 }
 
 #[test]
-fn a_prompt_that_is_read_apart_leaves_the_reader_when_it_is_read() {
+fn prefill_by_a_separate_runner_releases_that_runner() {
     let (mut fleet, mut reservations) = (fleet(), Reservations::default());
-    reservations.reserve(&mut fleet, ticket(1), split(SECOND));
+    reservations.reserve(&mut fleet, ticket(1), split(SECOND_US));
     assert_eq!(load(&fleet), [(1, 400), (1, 0)]);
     assert!(reservations.on_prefilled(&mut fleet, ticket(1)).is_some());
     assert_eq!(load(&fleet), [(0, 0), (1, 0)]);
@@ -77,39 +77,39 @@
 }
 
 #[test]
-fn a_prompt_that_its_writer_reads_stays_there() {
+fn prefill_at_the_decode_runner_keeps_its_reservation() {
     let (mut fleet, mut reservations) = (fleet(), Reservations::default());
-    reservations.reserve(&mut fleet, ticket(1), direct(SECOND));
+    reservations.reserve(&mut fleet, ticket(1), unsplit(SECOND_US));
     assert_eq!(load(&fleet), [(0, 0), (1, 400)]);
     reservations.on_prefilled(&mut fleet, ticket(1)).unwrap();
     assert_eq!(load(&fleet), [(0, 0), (1, 0)]);
 }
 
 #[test]
-fn a_reservation_whose_node_has_died_ends_after_the_deadline() {
+fn a_reservation_of_a_crashed_node_expires_after_the_deadline() {
     let (mut fleet, mut reservations) = (fleet(), Reservations::default());
-    reservations.reserve(&mut fleet, ticket(1), split(SECOND));
-    assert_eq!(reservations.expire(&mut fleet, SECOND), 0);
-    assert_eq!(reservations.expire(&mut fleet, 2 * SECOND), 1);
+    reservations.reserve(&mut fleet, ticket(1), split(SECOND_US));
+    assert_eq!(reservations.expire(&mut fleet, SECOND_US), 0);
+    assert_eq!(reservations.expire(&mut fleet, 2 * SECOND_US), 1);
     assert_eq!(load(&fleet), [(0, 0), (0, 0)]);
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum Event {
     Split(u64),
-    Direct(u64),
-    Read(u64),
+    Unsplit(u64),
+    Prefilled(u64),
     Ended(u64),
     Pause(u64),
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (0_u64..8).prop_map(Word::Split),
-        (0_u64..8).prop_map(Word::Direct),
-        (0_u64..8).prop_map(Word::Read),
-        (0_u64..8).prop_map(Word::Ended),
-        (0_u64..SECOND).prop_map(Word::Pause),
+        (0_u64..8).prop_map(Event::Split),
+        (0_u64..8).prop_map(Event::Unsplit),
+        (0_u64..8).prop_map(Event::Prefilled),
+        (0_u64..8).prop_map(Event::Ended),
+        (0_u64..SECOND_US).prop_map(Event::Pause),
     ]
 }
 
@@ -117,29 +117,29 @@
     /// Words may come twice, late, never, or on requests that are not known: when all deadlines
     /// have passed nothing is set aside any more, and what is never falls below what is open.
     #[test]
-    fn nothing_is_set_aside_for_ever(words in prop::collection::vec(word(), 1..200)) {
+    fn every_reservation_ends_whatever_messages_are_lost(events in prop::collection::vec(event(), 1..200)) {
         let (mut fleet, mut reservations) = (fleet(), Reservations::default());
         let mut now_us = 0;
-        for word in words {
-            match word {
-                Word::Split(number) => {
-                    reservations.reserve(&mut fleet, ticket(number), split(now_us + SECOND));
+        for event in events {
+            match event {
+                Event::Split(number) => {
+                    reservations.reserve(&mut fleet, ticket(number), split(now_us + SECOND_US));
                 }
-                Word::Direct(number) => {
-                    reservations.reserve(&mut fleet, ticket(number), direct(now_us + SECOND));
+                Event::Unsplit(number) => {
+                    reservations.reserve(&mut fleet, ticket(number), unsplit(now_us + SECOND_US));
                 }
-                Word::Read(number) => {
+                Event::Prefilled(number) => {
                     reservations.on_prefilled(&mut fleet, ticket(number));
                 }
-                Word::Ended(number) => reservations.end(&mut fleet, ticket(number)),
-                Word::Pause(pause_us) => now_us += pause_us,
+                Event::Ended(number) => reservations.end(&mut fleet, ticket(number)),
+                Event::Pause(pause_us) => now_us += pause_us,
             }
             reservations.expire(&mut fleet, now_us);
-            let [(reading, _), (writing, _)] = load(&fleet);
-            prop_assert!((reading + writing) as usize >= reservations.len());
-            prop_assert!(writing as usize == reservations.len(), "each is written once");
+            let [(prefilling, _), (decoding, _)] = load(&fleet);
+            prop_assert!((prefilling + decoding) as usize >= reservations.len());
+            prop_assert!(decoding as usize == reservations.len(), "each is written once");
         }
-        reservations.expire(&mut fleet, now_us + 10 * SECOND);
+        reservations.expire(&mut fleet, now_us + 10 * SECOND_US);
         prop_assert!(reservations.is_empty());
         prop_assert_eq!(load(&fleet), [(0, 0), (0, 0)]);
     }
--- a/crates/serving/tests/role_view.rs
+++ b/crates/serving/tests/role_view.rs
@@ -17,7 +17,7 @@
 use pitchstall_serving::topology::Topology;
 use support::runner_record;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 const SLOTS: u32 = 8;
 
 /// The shard of all runners: their zone is a region of its own.
@@ -39,7 +39,7 @@
     fleet
 }
 
-fn look(planner: &mut RolePlanner, fleet: &Fleet, now_us: u64) -> RolePlan {
+fn plan_roles(planner: &mut RolePlanner, fleet: &Fleet, now_us: u64) -> RolePlan {
     let engine =
         EngineSpec { slots: SLOTS, kv_tokens: 100_000, handle_ttl_s: 5.0, ..EngineSpec::default() };
     let service = ServiceName::new("llm");
@@ -57,14 +57,14 @@
 }
 
 /// A place at a writer is set aside before the prompt is read elsewhere.
-fn reserve(fleet: &mut Fleet, reservations: &mut Reservations, number: u64, writer: &str) {
+fn reserve(fleet: &mut Fleet, reservations: &mut Reservations, number: u64, decode_runner: &str) {
     let reservation = Reservation {
         service: ServiceName::new("llm"),
         prefill: reserved("p0", 3_000),
-        decode: Some(reserved(writer, 0)),
+        decode: Some(reserved(decode_runner, 0)),
         shared_prefixes: Vec::new(),
         was_unqueued: false,
-        deadline_us: 9 * SECOND,
+        deadline_us: 9 * SECOND_US,
         is_prefilled: false,
     };
     reservations.reserve(fleet, Ticket { incarnation: 1, number }, reservation);
@@ -73,18 +73,22 @@
 /// Once all decode runners of a fleet looked full of requests that no reader had come to, and no
 /// runner changed while a third of the requests failed.
 #[test]
-fn requests_that_wait_for_a_reader_do_not_make_writers_look_full() {
+fn requests_that_await_prefill_do_not_occupy_decode_runners() {
     let mut scheduler = fleet(1, 3);
     let mut reservations = Reservations::default();
     for number in 0..24 {
-        let writer = format!("d{}", number % 3);
-        reserve(&mut scheduler, &mut reservations, number, &writer);
+        let decode_runner = format!("d{}", number % 3);
+        reserve(&mut scheduler, &mut reservations, number, &decode_runner);
     }
     let mut holder = fleet(1, 3);
-    holder.on_shard_loads(&only_shard(), &scheduler.shard_loads(&only_shard(), SECOND), SECOND);
+    holder.on_shard_loads(
+        &only_shard(),
+        &scheduler.shard_loads(&only_shard(), SECOND_US),
+        SECOND_US,
+    );
     for fleet in [&scheduler, &holder] {
         let mut planner = planner();
-        let first = look(&mut planner, fleet, SECOND);
+        let first = plan_roles(&mut planner, fleet, SECOND_US);
         assert_eq!(first.decision, Err(NoChangeReason::PressureTooRecent));
         assert!(
             first.metrics.occupancy < 0.01 && first.metrics.memory < 0.01,
@@ -96,26 +100,26 @@
     for number in 0..24 {
         reservations.on_prefilled(&mut scheduler, Ticket { incarnation: 1, number });
     }
-    let read = look(&mut planner(), &scheduler, SECOND).metrics;
-    assert!(read.occupancy > 0.99 && read.wait < 0.01, "{read:?}");
+    let prefilled = plan_roles(&mut planner(), &scheduler, SECOND_US).metrics;
+    assert!(prefilled.occupancy > 0.99 && prefilled.wait < 0.01, "{prefilled:?}");
 }
 
 #[test]
-fn a_request_that_ends_unread_leaves_nothing_behind() {
+fn a_request_that_ends_before_prefill_leaves_no_load_behind() {
     let mut fleet = fleet(1, 1);
     let mut reservations = Reservations::default();
     reserve(&mut fleet, &mut reservations, 1, "d0");
     reserve(&mut fleet, &mut reservations, 2, "d0");
     reservations.end(&mut fleet, Ticket { incarnation: 1, number: 1 });
-    let loads = fleet.shard_loads(&only_shard(), SECOND);
+    let loads = fleet.shard_loads(&only_shard(), SECOND_US);
     assert!(loads.iter().all(|load| (load.in_flight, load.unread_requests) == (1, 1)));
     reservations.on_prefilled(&mut fleet, Ticket { incarnation: 1, number: 2 });
     reservations.end(&mut fleet, Ticket { incarnation: 1, number: 2 });
-    assert!(fleet.shard_loads(&only_shard(), SECOND).is_empty());
+    assert!(fleet.shard_loads(&only_shard(), SECOND_US).is_empty());
 }
 
 #[test]
-fn what_was_put_behind_at_other_schedulers_counts_as_waiting() {
+fn overdue_work_of_other_schedulers_counts_as_waiting() {
     let mut holder = fleet(1, 3);
     let load = RunnerLoad {
         runner: RunnerId::new("p0"),
@@ -126,77 +130,89 @@
         held_tokens: 0,
         asked_a_second: 0,
     };
-    holder.on_shard_loads(&only_shard(), &[load], SECOND);
-    let seen = look(&mut planner(), &holder, SECOND).metrics;
+    holder.on_shard_loads(&only_shard(), &[load], SECOND_US);
+    let seen = plan_roles(&mut planner(), &holder, SECOND_US).metrics;
     assert!(seen.overdue_wait > 1.0 && seen.wait >= seen.overdue_wait, "{seen:?}");
 }
 
 #[test]
-fn answers_in_writing_are_no_prompts_that_wait() {
+fn requests_in_decode_do_not_count_as_waiting_prompts() {
     let mut fleet = fleet(1, 3);
-    let written = AttemptDemand { held_tokens: 100, ..AttemptDemand::default() };
-    (0..10).for_each(|_| fleet.on_sent(&RunnerId::new("d0"), written));
+    let decode_demand = AttemptDemand { held_tokens: 100, ..AttemptDemand::default() };
+    (0..10).for_each(|_| fleet.on_sent(&RunnerId::new("d0"), decode_demand));
     let mut holder = self::fleet(1, 3);
-    holder.on_shard_loads(&only_shard(), &fleet.shard_loads(&only_shard(), SECOND), SECOND);
-    let plan = look(&mut planner(), &holder, SECOND);
+    holder.on_shard_loads(&only_shard(), &fleet.shard_loads(&only_shard(), SECOND_US), SECOND_US);
+    let plan = plan_roles(&mut planner(), &holder, SECOND_US);
     assert_eq!(plan.decision, Err(NoChangeReason::NoPressure));
     assert!(plan.metrics.wait < 0.01, "{:?}", plan.metrics);
 }
 
 #[test]
-fn as_many_readers_are_ordered_as_what_is_asked_for_takes() {
+fn as_many_prefill_runners_are_ordered_as_the_requested_work_needs() {
     let mut fleet = fleet(4, 26);
     // 200,000 tokens a second at 30 a millisecond: 6.7 readers that never rest.
     for number in 0..4 {
         let id = RunnerId::new(format!("p{number}"));
-        fleet.on_placed(&id, 50_000, SECOND);
-        let unread = AttemptDemand { prefill_tokens: 20_000, ..AttemptDemand::default() };
-        fleet.on_sent(&id, unread);
+        fleet.on_placed(&id, 50_000, SECOND_US);
+        let prefill_demand = AttemptDemand { prefill_tokens: 20_000, ..AttemptDemand::default() };
+        fleet.on_sent(&id, prefill_demand);
     }
     let mut planner = planner();
-    assert_eq!(look(&mut planner, &fleet, SECOND).decision, Err(NoChangeReason::PressureTooRecent));
-    fleet.on_placed(&RunnerId::new("p0"), 126_000, 2 * SECOND);
-    let plan = look(&mut planner, &fleet, 2 * SECOND);
+    assert_eq!(
+        plan_roles(&mut planner, &fleet, SECOND_US).decision,
+        Err(NoChangeReason::PressureTooRecent)
+    );
+    fleet.on_placed(&RunnerId::new("p0"), 126_000, 2 * SECOND_US);
+    let plan = plan_roles(&mut planner, &fleet, 2 * SECOND_US);
     assert!((6.0..7.5).contains(&plan.metrics.prefill_needed), "{:?}", plan.metrics);
     assert_eq!(plan.changes().len(), 6, "10 readers are busy for 7 tenths of their time");
 }
 
 #[test]
-fn readers_that_come_back_as_writers_are_replaced_at_once() {
+fn prefill_runners_that_come_back_as_decode_runners_are_replaced_at_once() {
     let mut planner = planner();
-    assert!(look(&mut planner, &fleet(8, 12), SECOND).decision.is_err());
+    assert!(plan_roles(&mut planner, &fleet(8, 12), SECOND_US).decision.is_err());
     let mut replaced = fleet(3, 17);
     for number in 0..3 {
         let id = RunnerId::new(format!("p{number}"));
-        replaced.on_placed(&id, 60_000, 2 * SECOND);
-        let unread = AttemptDemand { prefill_tokens: 60_000, ..AttemptDemand::default() };
-        replaced.on_sent(&id, unread);
+        replaced.on_placed(&id, 60_000, 2 * SECOND_US);
+        let prefill_demand = AttemptDemand { prefill_tokens: 60_000, ..AttemptDemand::default() };
+        replaced.on_sent(&id, prefill_demand);
     }
-    assert!(!look(&mut planner, &replaced, 2 * SECOND).changes().is_empty());
+    assert!(!plan_roles(&mut planner, &replaced, 2 * SECOND_US).changes().is_empty());
 }
 
 #[test]
-fn each_reason_for_no_order_has_its_name() {
+fn each_situation_without_an_order_gives_its_own_reason() {
     let mut planner = planner();
     let mut busy = fleet(1, 2);
-    let unread = AttemptDemand { prefill_tokens: 60_000, ..AttemptDemand::default() };
-    let write = AttemptDemand { held_tokens: 100, ..AttemptDemand::default() };
-    busy.on_sent(&RunnerId::new("p0"), unread);
+    let prefill_demand = AttemptDemand { prefill_tokens: 60_000, ..AttemptDemand::default() };
+    let decode_demand = AttemptDemand { held_tokens: 100, ..AttemptDemand::default() };
+    busy.on_sent(&RunnerId::new("p0"), prefill_demand);
     let reason = |plan: RolePlan| plan.decision.unwrap_err();
-    assert_eq!(reason(look(&mut planner, &fleet(1, 2), 0)), NoChangeReason::NoPressure);
-    assert_eq!(reason(look(&mut planner, &busy, SECOND)), NoChangeReason::PressureTooRecent);
-    planner.on_ordered(2 * SECOND);
-    assert_eq!(reason(look(&mut planner, &busy, 3 * SECOND)), NoChangeReason::Paused);
+    assert_eq!(reason(plan_roles(&mut planner, &fleet(1, 2), 0)), NoChangeReason::NoPressure);
+    assert_eq!(
+        reason(plan_roles(&mut planner, &busy, SECOND_US)),
+        NoChangeReason::PressureTooRecent
+    );
+    planner.on_ordered(2 * SECOND_US);
+    assert_eq!(reason(plan_roles(&mut planner, &busy, 3 * SECOND_US)), NoChangeReason::Paused);
     ["d0", "d1"].iter().for_each(|id| {
-        (0..5).for_each(|_| busy.on_sent(&RunnerId::new(*id), write));
+        (0..5).for_each(|_| busy.on_sent(&RunnerId::new(*id), decode_demand));
     });
-    assert_eq!(reason(look(&mut planner, &busy, 9 * SECOND)), NoChangeReason::NoSpareDecode);
+    assert_eq!(
+        reason(plan_roles(&mut planner, &busy, 9 * SECOND_US)),
+        NoChangeReason::NoSpareDecode
+    );
     let mut last = fleet(1, 1);
-    last.on_sent(&RunnerId::new("p0"), unread);
-    assert_eq!(reason(look(&mut planner, &last, 9 * SECOND)), NoChangeReason::MinDecodeReached);
+    last.on_sent(&RunnerId::new("p0"), prefill_demand);
+    assert_eq!(
+        reason(plan_roles(&mut planner, &last, 9 * SECOND_US)),
+        NoChangeReason::MinDecodeReached
+    );
     let mut full = fleet(1, 1);
-    (0..SLOTS).for_each(|_| full.on_sent(&RunnerId::new("d0"), write));
-    assert_eq!(reason(look(&mut planner, &full, 9 * SECOND)), NoChangeReason::PrefillBusy);
+    (0..SLOTS).for_each(|_| full.on_sent(&RunnerId::new("d0"), decode_demand));
+    assert_eq!(reason(plan_roles(&mut planner, &full, 9 * SECOND_US)), NoChangeReason::PrefillBusy);
 }
 
 #[test]
@@ -220,7 +236,7 @@
     let service = ServiceName::new("llm");
     let region = Some(&here);
     let demand = RoleDemand { service: &service, engine: &engine, target_ms: 500.0, region };
-    let plan = planner().plan(&fleet, &PrefillSpeed::default(), &demand, SECOND);
+    let plan = planner().plan(&fleet, &PrefillSpeed::default(), &demand, SECOND_US);
     assert_eq!((plan.metrics.prefill, plan.metrics.decode), (2, 0));
     let changes = plan.changes();
     assert_eq!(changes.len(), 1, "a region without writers gets one of its own");
@@ -230,26 +246,26 @@
 /// Once five of thirty runners wrote answers in twice their slots for ten seconds, as prompts
 /// waited a little at readers that what was asked for did not fill.
 #[test]
-fn writers_that_are_much_fuller_than_readers_get_some_though_prompts_wait_a_little() {
+fn decode_much_fuller_than_prefill_gets_runners_though_prompts_wait_a_little() {
     let mut busy = fleet(22, 5);
-    let write = AttemptDemand { held_tokens: 100, ..AttemptDemand::default() };
+    let decode_demand = AttemptDemand { held_tokens: 100, ..AttemptDemand::default() };
     for number in 0..5 {
         let id = RunnerId::new(format!("d{number}"));
-        (0..2 * SLOTS).for_each(|_| busy.on_sent(&id, write));
+        (0..2 * SLOTS).for_each(|_| busy.on_sent(&id, decode_demand));
     }
     for number in 0..22 {
         let id = RunnerId::new(format!("p{number}"));
-        let unread = AttemptDemand { prefill_tokens: 5_000, ..AttemptDemand::default() };
-        busy.on_sent(&id, unread);
+        let prefill_demand = AttemptDemand { prefill_tokens: 5_000, ..AttemptDemand::default() };
+        busy.on_sent(&id, prefill_demand);
         // At 30 tokens a millisecond half of the readers' time.
-        busy.on_placed(&id, 15_000, SECOND);
-        busy.on_placed(&id, 15_000, 2 * SECOND);
+        busy.on_placed(&id, 15_000, SECOND_US);
+        busy.on_placed(&id, 15_000, 2 * SECOND_US);
     }
     let mut planner = planner();
-    let first = look(&mut planner, &busy, SECOND);
+    let first = plan_roles(&mut planner, &busy, SECOND_US);
     assert!(first.metrics.wait > RolePolicy::default().high_wait, "{:?}", first.metrics);
     assert_eq!(first.decision, Err(NoChangeReason::PressureTooRecent));
-    let changes = look(&mut planner, &busy, 2 * SECOND).changes();
+    let changes = plan_roles(&mut planner, &busy, 2 * SECOND_US).changes();
     assert!((2..=5).contains(&changes.len()), "{changes:?}");
     assert!(changes.iter().all(|change| change.stage == Stage::Decode));
 }
@@ -264,9 +280,9 @@
         fleet.on_limit_in_head(&RunnerId::new(name), notice, 1, 2);
     }
     let mut planner = planner();
-    let first = look(&mut planner, &fleet, SECOND);
+    let first = plan_roles(&mut planner, &fleet, SECOND_US);
     assert_eq!((first.metrics.prefill, first.metrics.decode), (5, 1));
-    let changes = look(&mut planner, &fleet, 3 * SECOND).decision.unwrap();
+    let changes = plan_roles(&mut planner, &fleet, 3 * SECOND_US).decision.unwrap();
     assert!(!changes.is_empty(), "one decode runner is too few");
     for change in &changes {
         assert_eq!(change.stage, Stage::Decode);
@@ -275,12 +291,12 @@
 }
 
 #[test]
-fn where_all_runners_have_limits_they_count() {
+fn runners_with_limits_count_if_there_are_no_others() {
     let mut fleet = fleet(2, 2);
     let notice = RunnerNotice { limit: Some(RequestRate(1)), ..RunnerNotice::default() };
     for name in ["p0", "p1", "d0", "d1"] {
         fleet.on_limit_in_head(&RunnerId::new(name), notice, 1, 2);
     }
-    let seen = look(&mut planner(), &fleet, SECOND).metrics;
+    let seen = plan_roles(&mut planner(), &fleet, SECOND_US).metrics;
     assert_eq!((seen.prefill, seen.decode), (2, 2));
 }
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -13,31 +13,32 @@
 use proptest::prelude::*;
 use support::{at, runner_record};
 
-const SECOND: u64 = 1_000_000;
-const TIMES: LeaseTimes = LeaseTimes { ttl_us: 3 * SECOND, separation_us: 3 * SECOND };
+const SECOND_US: u64 = 1_000_000;
+const TIMES: LeaseTimes = LeaseTimes { ttl_us: 3 * SECOND_US, separation_us: 3 * SECOND_US };
 
 #[test]
 fn a_new_holder_waits_before_its_first_order() {
     let mut term = AuthorityTerm::new(FencingToken::new(at(7)), 0, 10_000, TIMES);
     assert!(!term.may_order(10_000));
-    term.renew(SECOND, TIMES);
-    assert!(term.may_order(3 * SECOND + 10_000));
+    term.renew(SECOND_US, TIMES);
+    assert!(term.may_order(3 * SECOND_US + 10_000));
 }
 
 #[test]
-fn a_holder_that_slept_wakes_without_authority() {
+fn a_holder_that_was_suspended_resumes_without_authority() {
     let mut term = AuthorityTerm::new(FencingToken::new(at(7)), 0, 0, TIMES);
-    term.renew(2 * SECOND, TIMES);
-    assert!(term.may_order(4 * SECOND));
-    assert!(!term.may_order(9 * SECOND));
-    assert!(term.is_over(9 * SECOND));
+    term.renew(2 * SECOND_US, TIMES);
+    assert!(term.may_order(4 * SECOND_US));
+    assert!(!term.may_order(9 * SECOND_US));
+    assert!(term.is_over(9 * SECOND_US));
 }
 
 #[test]
-fn a_renewal_counts_from_its_sending_and_never_shortens() {
-    let mut term = AuthorityTerm::new(FencingToken::new(at(7)), 5 * SECOND, 5 * SECOND, TIMES);
-    term.renew(4 * SECOND, TIMES);
-    assert!(!term.is_over(7 * SECOND));
+fn a_renewal_counts_from_its_sending_and_never_shortens_the_term() {
+    let mut term =
+        AuthorityTerm::new(FencingToken::new(at(7)), 5 * SECOND_US, 5 * SECOND_US, TIMES);
+    term.renew(4 * SECOND_US, TIMES);
+    assert!(!term.is_over(7 * SECOND_US));
 }
 
 const STEP_US: usize = 1_000;
@@ -49,29 +50,29 @@
 }
 
 /// When orders may first be given in a term that was asked for at a time, or when it is over without any.
-fn first_order(term: &AuthorityTerm, asked_us: u64) -> u64 {
+fn first_order(term: &AuthorityTerm, requested_us: u64) -> u64 {
     let is_first = |now: &u64| term.may_order(*now) || term.is_over(*now);
-    (asked_us..).step_by(STEP_US).find(is_first).unwrap()
+    (requested_us..).step_by(STEP_US).find(is_first).unwrap()
 }
 
 proptest! {
     /// The key is not in the copy from which the store comes back, and the next holder takes it at once.
     #[test]
     fn orders_of_holders_of_two_eras_are_a_lease_apart(
-        sent_at_us in 0_u64..10 * SECOND,
-        way_us in 0_u64..2 * SECOND,
-        came_back_after_us in 0_u64..SECOND,
-        heard_after_us in 0_u64..SECOND,
-        answer_us in 0_u64..2 * SECOND,
+        sent_at_us in 0_u64..10 * SECOND_US,
+        request_delay_us in 0_u64..2 * SECOND_US,
+        recovered_after_us in 0_u64..SECOND_US,
+        observed_after_us in 0_u64..SECOND_US,
+        response_delay_us in 0_u64..2 * SECOND_US,
     ) {
         let first = AuthorityTerm::new(FencingToken::new(at(7)), sent_at_us, sent_at_us, TIMES);
-        let heard = sent_at_us + way_us + came_back_after_us + heard_after_us;
-        let second = AuthorityTerm::new(FencingToken::new(at(9)), heard, heard + answer_us, TIMES)
-            .after_era_began(heard, TIMES);
+        let observed = sent_at_us + request_delay_us + recovered_after_us + observed_after_us;
+        let second = AuthorityTerm::new(FencingToken::new(at(9)), observed, observed + response_delay_us, TIMES)
+            .after_era_began(observed, TIMES);
         // It is renewed for as long as it takes.
         let mut renewed = second;
-        renewed.renew(heard + 20 * SECOND, TIMES);
-        prop_assert!(first_order(&renewed, heard) >= end(&first, sent_at_us) + TIMES.separation_us);
+        renewed.renew(observed + 20 * SECOND_US, TIMES);
+        prop_assert!(first_order(&renewed, observed) >= end(&first, sent_at_us) + TIMES.separation_us);
     }
 }
 
@@ -80,16 +81,16 @@
     /// renewal arrived there. However long calls take, orders of the two are apart.
     #[test]
     fn orders_of_two_holders_are_a_lease_apart(
-        sent_at_us in 0_u64..10 * SECOND,
-        way_us in 0_u64..2 * SECOND,
-        granted_after_us in 0_u64..SECOND,
-        answer_us in 0_u64..2 * SECOND,
+        sent_at_us in 0_u64..10 * SECOND_US,
+        request_delay_us in 0_u64..2 * SECOND_US,
+        granted_after_us in 0_u64..SECOND_US,
+        response_delay_us in 0_u64..2 * SECOND_US,
     ) {
-        let first = AuthorityTerm::new(FencingToken::new(at(7)), sent_at_us, sent_at_us + way_us, TIMES);
-        let over_at_store = sent_at_us + way_us + TIMES.ttl_us;
-        let asked = over_at_store + granted_after_us;
-        let second = AuthorityTerm::new(FencingToken::new(at(9)), asked, asked + answer_us, TIMES);
-        prop_assert!(first_order(&second, asked) >= end(&first, sent_at_us) + TIMES.separation_us);
+        let first = AuthorityTerm::new(FencingToken::new(at(7)), sent_at_us, sent_at_us + request_delay_us, TIMES);
+        let over_at_store = sent_at_us + request_delay_us + TIMES.ttl_us;
+        let requested = over_at_store + granted_after_us;
+        let second = AuthorityTerm::new(FencingToken::new(at(9)), requested, requested + response_delay_us, TIMES);
+        prop_assert!(first_order(&second, requested) >= end(&first, sent_at_us) + TIMES.separation_us);
     }
 }
 
@@ -125,27 +126,27 @@
 }
 
 #[test]
-fn a_pressure_that_passes_changes_nothing() {
+fn a_short_pressure_causes_no_role_change() {
     let mut planner = RolePlanner::new(RolePolicy::default());
     let mut busy = fleet(1, 4);
     load(&mut busy, "p0", 2, 60_000);
-    assert_eq!(plan(&mut planner, &busy, SECOND), None);
-    assert_eq!(plan(&mut planner, &fleet(1, 4), 2 * SECOND), None);
-    assert_eq!(plan(&mut planner, &busy, 3 * SECOND), None, "it began anew");
+    assert_eq!(plan(&mut planner, &busy, SECOND_US), None);
+    assert_eq!(plan(&mut planner, &fleet(1, 4), 2 * SECOND_US), None);
+    assert_eq!(plan(&mut planner, &busy, 3 * SECOND_US), None, "it began anew");
 }
 
 #[test]
-fn prompts_that_wait_make_the_idlest_decode_runner_read() {
+fn waiting_prompts_move_the_least_loaded_decode_runner_to_prefill() {
     let mut planner = RolePlanner::new(RolePolicy::default());
     let mut busy = fleet(1, 3);
     load(&mut busy, "p0", 2, 60_000);
     load(&mut busy, "d0", 2, 0);
     load(&mut busy, "d2", 1, 0);
-    assert_eq!(plan(&mut planner, &busy, SECOND), None);
-    let change = plan(&mut planner, &busy, 4 * SECOND).unwrap();
+    assert_eq!(plan(&mut planner, &busy, SECOND_US), None);
+    let change = plan(&mut planner, &busy, 4 * SECOND_US).unwrap();
     assert_eq!(change, RoleChange { runner: RunnerId::new("d1"), stage: Stage::Prefill });
-    planner.on_ordered(4 * SECOND);
-    assert_eq!(plan(&mut planner, &busy, 7 * SECOND), None, "a pause follows each change");
+    planner.on_ordered(4 * SECOND_US);
+    assert_eq!(plan(&mut planner, &busy, 7 * SECOND_US), None, "a pause follows each change");
 }
 
 #[test]
@@ -155,47 +156,47 @@
     load(&mut busy, "p0", 2, 60_000);
     load(&mut busy, "d0", 5, 0);
     load(&mut busy, "d1", 5, 0);
-    assert_eq!(plan(&mut planner, &busy, SECOND), None);
-    assert_eq!(plan(&mut planner, &busy, 9 * SECOND), None);
+    assert_eq!(plan(&mut planner, &busy, SECOND_US), None);
+    assert_eq!(plan(&mut planner, &busy, 9 * SECOND_US), None);
     let mut last = fleet(1, 1);
     load(&mut last, "p0", 2, 60_000);
-    assert_eq!(plan(&mut planner, &last, 20 * SECOND), None);
-    assert_eq!(plan(&mut planner, &last, 30 * SECOND), None, "the last one stays");
+    assert_eq!(plan(&mut planner, &last, 20 * SECOND_US), None);
+    assert_eq!(plan(&mut planner, &last, 30 * SECOND_US), None, "the last one stays");
 }
 
 #[test]
-fn a_strong_pressure_takes_several_idle_decode_runners_and_leaves_a_share() {
+fn a_strong_pressure_moves_several_idle_decode_runners_and_keeps_the_minimum() {
     let mut planner = RolePlanner::new(RolePolicy::default());
     let mut busy = fleet(8, 12);
     (0..8).for_each(|number| load(&mut busy, &format!("p{number}"), 4, 10_000));
-    assert!(plan_all(&mut planner, &busy, SECOND).is_empty());
-    let changes = plan_all(&mut planner, &busy, 4 * SECOND);
+    assert!(plan_all(&mut planner, &busy, SECOND_US).is_empty());
+    let changes = plan_all(&mut planner, &busy, 4 * SECOND_US);
     assert_eq!(changes.len(), 3, "most at once, 15 of 100");
     assert!(changes.iter().all(|change| change.stage == Stage::Prefill));
     let mut nearly = fleet(14, 6);
     (0..14).for_each(|number| load(&mut nearly, &format!("p{number}"), 4, 10_000));
-    assert!(plan_all(&mut planner, &nearly, 30 * SECOND).is_empty());
-    assert!(plan_all(&mut planner, &nearly, 33 * SECOND).is_empty(), "30 of 100 write");
+    assert!(plan_all(&mut planner, &nearly, 30 * SECOND_US).is_empty());
+    assert!(plan_all(&mut planner, &nearly, 33 * SECOND_US).is_empty(), "30 of 100 write");
 }
 
 #[test]
 fn a_prefill_runner_replaces_decode_runners_that_left() {
     let mut planner = RolePlanner::new(RolePolicy::default());
     let idle = fleet(7, 1);
-    assert_eq!(plan(&mut planner, &idle, SECOND), None, "it may be back at once");
-    assert_eq!(plan(&mut planner, &idle, 4 * SECOND).unwrap().stage, Stage::Decode);
-    assert_eq!(plan(&mut planner, &fleet(5, 3), 8 * SECOND), None);
+    assert_eq!(plan(&mut planner, &idle, SECOND_US), None, "it may be back at once");
+    assert_eq!(plan(&mut planner, &idle, 4 * SECOND_US).unwrap().stage, Stage::Decode);
+    assert_eq!(plan(&mut planner, &fleet(5, 3), 8 * SECOND_US), None);
 }
 
 /// Once one of two decode runners changed on a crowded day; the other had 126 streams in 128
 /// slots two seconds later.
 #[test]
-fn one_decode_runner_of_several_runners_is_never_left_alone() {
+fn a_fleet_of_several_runners_keeps_two_decode_runners() {
     let mut planner = RolePlanner::new(RolePolicy::default());
     let mut busy = fleet(4, 2);
     (0..4).for_each(|number| load(&mut busy, &format!("p{number}"), 4, 10_000));
-    assert!(plan_all(&mut planner, &busy, SECOND).is_empty());
-    assert!(plan_all(&mut planner, &busy, 4 * SECOND).is_empty());
+    assert!(plan_all(&mut planner, &busy, SECOND_US).is_empty());
+    assert!(plan_all(&mut planner, &busy, 4 * SECOND_US).is_empty());
 }
 
 #[test]
@@ -203,59 +204,60 @@
     let mut planner = RolePlanner::new(RolePolicy::default());
     let mut busy = fleet(2, 1);
     load(&mut busy, "d0", 8, 0);
-    assert_eq!(plan(&mut planner, &busy, SECOND), None);
-    assert_eq!(plan(&mut planner, &busy, 4 * SECOND).unwrap().stage, Stage::Decode);
+    assert_eq!(plan(&mut planner, &busy, SECOND_US), None);
+    assert_eq!(plan(&mut planner, &busy, 4 * SECOND_US).unwrap().stage, Stage::Decode);
 }
 
 #[test]
 fn a_fleet_that_lost_all_decode_runners_gets_one_at_once() {
     let mut planner = RolePlanner::new(RolePolicy::default());
-    assert_eq!(plan(&mut planner, &fleet(3, 0), SECOND).unwrap().stage, Stage::Decode);
+    assert_eq!(plan(&mut planner, &fleet(3, 0), SECOND_US).unwrap().stage, Stage::Decode);
 }
 
 #[test]
-fn a_runner_that_changes_its_role_takes_no_work_until_the_list_tells() {
+fn a_runner_that_changes_its_role_takes_no_work_until_its_entry_shows_it() {
     let mut fleet = fleet(1, 1);
     let id = RunnerId::new("d0");
-    fleet.on_changing(&id, Stage::Prefill, 10 * SECOND);
-    let takers =
-        |fleet: &Fleet| fleet.candidates(&Eligible::all_of(&ServiceName::new("llm")), SECOND).len();
-    assert_eq!(takers(&fleet), 1);
+    fleet.on_changing(&id, Stage::Prefill, 10 * SECOND_US);
+    let candidates = |fleet: &Fleet| {
+        fleet.candidates(&Eligible::all_of(&ServiceName::new("llm")), SECOND_US).len()
+    };
+    assert_eq!(candidates(&fleet), 1);
     let changed = fleet.get(&id).unwrap().record.clone();
     fleet.put(RunnerRecord { stage: Some(Stage::Prefill), revision: at(2), ..changed });
-    assert_eq!(takers(&fleet), 2);
+    assert_eq!(candidates(&fleet), 2);
 }
 
 /// Once three nodes kept a runner out of work for a whole day by telling each other.
 #[test]
-fn nodes_that_repeat_each_others_word_on_a_change_forget_it_in_time() {
-    const EVERY_US: u64 = 120_000;
-    const WAY_US: u64 = 5_000;
+fn role_changes_that_nodes_repeat_to_each_other_expire() {
+    const REPORT_INTERVAL_US: u64 = 120_000;
+    const DELAY_US: u64 = 5_000;
     let mut nodes = vec![fleet(1, 1), fleet(1, 1), fleet(1, 1)];
     let id = RunnerId::new("d0");
-    nodes[0].on_changing(&id, Stage::Prefill, 2 * SECOND);
+    nodes[0].on_changing(&id, Stage::Prefill, 2 * SECOND_US);
     for round in 0..60 {
-        let now_us = round * EVERY_US;
-        let words: Vec<_> = nodes.iter().map(|node| node.changing(now_us)).collect();
-        for (from, told) in words.iter().enumerate() {
+        let now_us = round * REPORT_INTERVAL_US;
+        let reports: Vec<_> = nodes.iter().map(|node| node.changing(now_us)).collect();
+        for (from, report) in reports.iter().enumerate() {
             for (to, node) in nodes.iter_mut().enumerate() {
                 if from != to {
-                    node.on_changing_words(told, now_us + WAY_US);
+                    node.on_changing_words(report, now_us + DELAY_US);
                 }
             }
         }
     }
     for node in &nodes {
-        assert!(!node.get(&id).unwrap().is_changing_role(3 * SECOND));
+        assert!(!node.get(&id).unwrap().is_changing_role(3 * SECOND_US));
     }
 }
 
 #[test]
-fn a_word_on_a_change_that_the_list_shows_done_is_passed_over() {
+fn a_report_of_a_role_change_that_is_already_done_is_ignored() {
     let mut fleet = fleet(1, 1);
     let id = RunnerId::new("d0");
     let record = fleet.get(&id).unwrap().record.clone();
     fleet.put(RunnerRecord { stage: Some(Stage::Prefill), revision: at(2), ..record });
-    fleet.on_changing(&id, Stage::Prefill, 10 * SECOND);
-    assert!(!fleet.get(&id).unwrap().is_changing_role(SECOND));
+    fleet.on_changing(&id, Stage::Prefill, 10 * SECOND_US);
+    assert!(!fleet.get(&id).unwrap().is_changing_role(SECOND_US));
 }
--- a/crates/serving/tests/roles_in_virtual_time.rs
+++ b/crates/serving/tests/roles_in_virtual_time.rs
@@ -6,60 +6,60 @@
 mod support;
 
 use pitchstall_serving::runner::Stage;
-use roles_world::{World, SECOND};
+use roles_world::{World, SECOND_US};
 
 /// Requests a second that ten readers in thirty can't read in time, and twenty can.
-const ASKED: f64 = 190.0;
+const REQUESTS_PER_SECOND: f64 = 190.0;
 
 /// Half of the runners are replaced one by one, and nearly all that join write. A third of the
 /// schedulers see nothing of the list for nine seconds.
 #[test]
-fn readers_follow_need_when_half_of_the_runners_are_replaced_by_writers() {
+fn prefill_runners_follow_the_need_when_half_of_the_runners_are_replaced_by_decode_runners() {
     let mut world = World::new(10, 20, 3);
-    world.cut_from_list(0, SECOND, 10 * SECOND);
+    world.disconnect_from_registry(0, SECOND_US, 10 * SECOND_US);
     let mut replaced = 0;
-    while world.now_us() < 20 * SECOND {
-        if replaced < 15 && world.now_us() >= 2 * SECOND + replaced * SECOND / 4 {
+    while world.now_us() < 20 * SECOND_US {
+        if replaced < 15 && world.now_us() >= 2 * SECOND_US + replaced * SECOND_US / 4 {
             let stage = if replaced % 14 == 13 { Stage::Prefill } else { Stage::Decode };
             world.replace(replaced as usize * 2, stage);
             replaced += 1;
         }
-        world.step(ASKED);
+        world.step(REQUESTS_PER_SECOND);
     }
-    let readers = world.count(Stage::Prefill);
-    assert!((14..=22).contains(&readers), "{readers} of 30 read");
-    let in_time = world.in_time(14 * SECOND..19 * SECOND);
+    let prefill_runners = world.count(Stage::Prefill);
+    assert!((14..=22).contains(&prefill_runners), "{prefill_runners} of 30 read");
+    let in_time = world.in_time_share(14 * SECOND_US..19 * SECOND_US);
     assert!(in_time > 0.8, "{in_time} in time once the readers are back");
 }
 
 #[test]
 fn a_calm_fleet_changes_no_role() {
     let mut world = World::new(10, 20, 3);
-    while world.now_us() < 10 * SECOND {
+    while world.now_us() < 10 * SECOND_US {
         world.step(60.0);
     }
     assert_eq!(world.orders(), 0);
-    assert!(world.in_time(SECOND..9 * SECOND) > 0.95);
+    assert!(world.in_time_share(SECOND_US..9 * SECOND_US) > 0.95);
 }
 
 /// Callers of one region go to another: each region's roles follow by its own holder.
 #[test]
-fn roles_of_two_regions_follow_their_callers_within_seconds() {
-    let mut left = World::new(10, 20, 2);
-    let mut joined = World::new(10, 20, 2);
+fn roles_of_two_regions_follow_their_clients_within_seconds() {
+    let mut losing = World::new(10, 20, 2);
+    let mut gaining = World::new(10, 20, 2);
     let mut followed_us = None;
-    while left.now_us() < 16 * SECOND {
-        let is_shifted = left.now_us() >= 3 * SECOND;
-        left.step(if is_shifted { 30.0 } else { 120.0 });
-        joined.step(if is_shifted { 170.0 } else { 120.0 });
-        if followed_us.is_none() && joined.count(Stage::Prefill) >= 14 {
-            followed_us = Some(joined.now_us());
+    while losing.now_us() < 16 * SECOND_US {
+        let is_shifted = losing.now_us() >= 3 * SECOND_US;
+        losing.step(if is_shifted { 30.0 } else { 120.0 });
+        gaining.step(if is_shifted { 170.0 } else { 120.0 });
+        if followed_us.is_none() && gaining.count(Stage::Prefill) >= 14 {
+            followed_us = Some(gaining.now_us());
         }
     }
-    assert!(followed_us.is_some_and(|us| us < 9 * SECOND), "{followed_us:?}");
-    let readers = joined.count(Stage::Prefill);
-    assert!(readers >= 14, "{readers} of 30 read where the callers went");
-    let in_time = joined.in_time(10 * SECOND..15 * SECOND);
+    assert!(followed_us.is_some_and(|us| us < 9 * SECOND_US), "{followed_us:?}");
+    let prefill_runners = gaining.count(Stage::Prefill);
+    assert!(prefill_runners >= 14, "{prefill_runners} of 30 read where the callers went");
+    let in_time = gaining.in_time_share(10 * SECOND_US..15 * SECOND_US);
     assert!(in_time > 0.8, "{in_time} in time where the callers went");
-    assert!(left.in_time(4 * SECOND..15 * SECOND) > 0.95);
+    assert!(losing.in_time_share(4 * SECOND_US..15 * SECOND_US) > 0.95);
 }
--- a/crates/serving/tests/roles_world/mod.rs
+++ b/crates/serving/tests/roles_world/mod.rs
@@ -18,15 +18,15 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-pub const SECOND: u64 = 1_000_000;
+pub const SECOND_US: u64 = 1_000_000;
 const STEP_US: u64 = 5_000;
-const TELL_EVERY_US: u64 = SECOND / 4;
-const SWITCH_US: u64 = 3 * SECOND;
-const WRITING_US: u64 = 300_000;
+const REPORT_INTERVAL_US: u64 = SECOND_US / 4;
+const ROLE_CHANGE_US: u64 = 3 * SECOND_US;
+const DECODE_US: u64 = 300_000;
 const TOKENS: u64 = 3_000;
 /// What the planner's pace guesses, too.
-const TOKENS_A_MS: f64 = 30.0;
-const DECODE_PACE: f64 = 0.5;
+const TOKENS_PER_MS: f64 = 30.0;
+const DECODE_RUNNER_SPEED: f64 = 0.5;
 const SLOTS: u32 = 24;
 const TARGET_MS: u64 = 500;
 const DEADLINE_MS: u64 = 3_000;
@@ -35,21 +35,21 @@
     shard: Shard,
     fleet: Fleet,
     reservations: Reservations,
-    cut: Range<u64>,
+    disconnected_us: Range<u64>,
 }
 
 #[derive(Clone)]
-struct Waiting {
+struct Request {
     ticket: Ticket,
     scheduler: usize,
-    came_us: u64,
+    arrived_us: u64,
 }
 
 #[derive(Default)]
 struct Engine {
-    in_turn: VecDeque<Waiting>,
-    behind: VecDeque<Waiting>,
-    reading: Option<(Waiting, u64)>,
+    queue: VecDeque<Request>,
+    overdue_queue: VecDeque<Request>,
+    prefilling: Option<(Request, u64)>,
 }
 
 pub struct World {
@@ -58,16 +58,16 @@
     engines: BTreeMap<RunnerId, Engine>,
     joining: Vec<(u64, RunnerRecord)>,
     changing: Vec<(u64, RunnerId, Stage)>,
-    writing: VecDeque<(u64, Waiting)>,
+    decoding: VecDeque<(u64, Request)>,
     schedulers: Vec<Scheduler>,
-    holder: Fleet,
+    planner_fleet: Fleet,
     planner: RolePlanner,
-    asked: f64,
+    requested: f64,
     requests: u64,
     orders: usize,
     revision: u64,
     /// When each request came, and whether it was read in time.
-    done: Vec<(u64, bool)>,
+    outcomes: Vec<(u64, bool)>,
 }
 
 fn service() -> ServiceName {
@@ -95,7 +95,7 @@
             shard,
             fleet: Fleet::default(),
             reservations: Reservations::default(),
-            cut: 0..0,
+            disconnected_us: 0..0,
         };
         let mut world = Self {
             now_us: 0,
@@ -103,21 +103,21 @@
             engines: BTreeMap::new(),
             joining: Vec::new(),
             changing: Vec::new(),
-            writing: VecDeque::new(),
+            decoding: VecDeque::new(),
             schedulers: Shard::all(RegionId::new("north"), schedulers).map(scheduler).collect(),
-            holder: Fleet::default(),
+            planner_fleet: Fleet::default(),
             planner: RolePlanner::new(RolePolicy::default()),
-            asked: 0.0,
+            requested: 0.0,
             requests: 0,
             orders: 0,
             revision: 1,
-            done: Vec::new(),
+            outcomes: Vec::new(),
         };
         for number in 0..prefill + decode {
             // Each third one reads, as long as there are readers left.
             let is_prefill = number % 3 == 0 && number / 3 < prefill;
             let stage = if is_prefill { Stage::Prefill } else { Stage::Decode };
-            world.list(record(format!("i-{number}"), stage, 1));
+            world.register(record(format!("i-{number}"), stage, 1));
         }
         world
     }
@@ -131,8 +131,8 @@
     }
 
     /// A scheduler learns nothing of the list for a time.
-    pub fn cut_from_list(&mut self, scheduler: usize, from_us: u64, until_us: u64) {
-        self.schedulers[scheduler].cut = from_us..until_us;
+    pub fn disconnect_from_registry(&mut self, scheduler: usize, from_us: u64, until_us: u64) {
+        self.schedulers[scheduler].disconnected_us = from_us..until_us;
     }
 
     pub fn count(&self, stage: Stage) -> usize {
@@ -140,17 +140,21 @@
     }
 
     /// Share of the requests that came in a time and were read in time.
-    pub fn in_time(&self, came: Range<u64>) -> f64 {
-        let all: Vec<bool> =
-            self.done.iter().filter(|(at, _)| came.contains(at)).map(|(_, ok)| *ok).collect();
+    pub fn in_time_share(&self, arrived: Range<u64>) -> f64 {
+        let all: Vec<bool> = self
+            .outcomes
+            .iter()
+            .filter(|(at, _)| arrived.contains(at))
+            .map(|(_, ok)| *ok)
+            .collect();
         all.iter().filter(|ok| **ok).count() as f64 / all.len().max(1) as f64
     }
 
-    fn list(&mut self, record: RunnerRecord) {
+    fn register(&mut self, record: RunnerRecord) {
         self.engines.entry(record.id.clone()).or_default();
-        self.holder.put(record.clone());
+        self.planner_fleet.put(record.clone());
         for scheduler in &mut self.schedulers {
-            if !scheduler.cut.contains(&self.now_us) {
+            if !scheduler.disconnected_us.contains(&self.now_us) {
                 scheduler.fleet.put(record.clone());
             }
         }
@@ -163,36 +167,36 @@
         self.revision += 1;
         self.records.remove(&id);
         let engine = self.engines.remove(&id).unwrap();
-        let reading = engine.reading.into_iter().map(|(waiting, _)| waiting);
-        for lost in reading.chain(engine.in_turn).chain(engine.behind) {
+        let prefilling = engine.prefilling.into_iter().map(|(request, _)| request);
+        for lost in prefilling.chain(engine.queue).chain(engine.overdue_queue) {
             self.end(&lost, false);
         }
-        self.holder.remove(&id, at(self.revision), None);
+        self.planner_fleet.remove(&id, at(self.revision), None);
         for scheduler in &mut self.schedulers {
-            if !scheduler.cut.contains(&self.now_us) {
+            if !scheduler.disconnected_us.contains(&self.now_us) {
                 scheduler.fleet.remove(&id, at(self.revision), None);
             }
         }
         let joins = record(format!("j-{number}"), stage, self.revision);
-        self.joining.push((self.now_us + SECOND, joins));
+        self.joining.push((self.now_us + SECOND_US, joins));
     }
 
-    pub fn step(&mut self, asked_a_second: f64) {
+    pub fn step(&mut self, requests_per_second: f64) {
         self.now_us += STEP_US;
-        self.update_list();
-        self.asked += asked_a_second * STEP_US as f64 / SECOND as f64;
-        while self.asked >= 1.0 {
-            self.asked -= 1.0;
+        self.update_registry();
+        self.requested += requests_per_second * STEP_US as f64 / SECOND_US as f64;
+        while self.requested >= 1.0 {
+            self.requested -= 1.0;
             self.place();
         }
-        self.read();
-        self.write();
-        if self.now_us.is_multiple_of(TELL_EVERY_US) {
-            self.tell_and_plan();
+        self.prefill();
+        self.decode();
+        if self.now_us.is_multiple_of(REPORT_INTERVAL_US) {
+            self.report_and_plan();
         }
     }
 
-    fn update_list(&mut self) {
+    fn update_registry(&mut self) {
         let now_us = self.now_us;
         let joined: Vec<RunnerRecord> =
             self.joining.extract_if(.., |(at, _)| *at <= now_us).map(|(_, it)| it).collect();
@@ -200,16 +204,16 @@
         for (_, id, stage) in changed {
             if let Some(record) = self.records.get(&id).cloned() {
                 self.revision += 1;
-                self.list(RunnerRecord {
+                self.register(RunnerRecord {
                     stage: Some(stage),
                     revision: at(self.revision),
                     ..record
                 });
             }
         }
-        joined.into_iter().for_each(|record| self.list(record));
+        joined.into_iter().for_each(|record| self.register(record));
         let all: Vec<RunnerRecord> = self.records.values().cloned().collect();
-        for scheduler in self.schedulers.iter_mut().filter(|it| it.cut.end == now_us) {
+        for scheduler in self.schedulers.iter_mut().filter(|it| it.disconnected_us.end == now_us) {
             scheduler.fleet.replace_all(all.clone(), at(self.revision), None);
         }
     }
@@ -217,9 +221,9 @@
     /// Homes of prompts are spread evenly over the readers, and their shards with them.
     fn scheduler_of_home(&self) -> usize {
         let reads = |it: &&RunnerRecord| it.stage == Some(Stage::Prefill);
-        let readers: Vec<&RunnerRecord> = self.records.values().filter(reads).collect();
-        let home = readers[self.requests as usize % readers.len()];
-        let home = self.holder.get(&home.id).unwrap();
+        let prefill_runners: Vec<&RunnerRecord> = self.records.values().filter(reads).collect();
+        let home = prefill_runners[self.requests as usize % prefill_runners.len()];
+        let home = self.planner_fleet.get(&home.id).unwrap();
         Shard::of_runner(home, self.schedulers.len()).number
     }
 
@@ -241,11 +245,11 @@
             now_us: self.now_us,
         };
         let due = Due { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
-        let pace = PrefillSpeed::default();
-        let placed = choose(&scheduler.fleet, &pace, &demand, Some(&scheduler.shard), due);
+        let speed = PrefillSpeed::default();
+        let placed = choose(&scheduler.fleet, &speed, &demand, Some(&scheduler.shard), due);
         let question =
             PlacementQuestion { handed_on, ..question(ticket, &prompt, scheduler.shard.clone()) };
-        let shorter = shorter_shard(&scheduler.fleet, &pace, &question, &placed, self.now_us);
+        let shorter = shorter_shard(&scheduler.fleet, &speed, &question, &placed, self.now_us);
         (placed, shorter.map(|shard| shard.number))
     }
 
@@ -257,10 +261,10 @@
             (placed, None) => (home, placed),
             (_, Some(shorter)) => (shorter, self.choose(shorter, ticket, true).0),
         };
-        let waiting = Waiting { ticket, scheduler: index, came_us: self.now_us };
+        let request = Request { ticket, scheduler: index, arrived_us: self.now_us };
         let prompt = prompt(self.requests);
         let scheduler = &mut self.schedulers[index];
-        let Some(plan) = told_plan(placed) else { return self.done.push((self.now_us, false)) };
+        let Some(plan) = told_plan(placed) else { return self.outcomes.push((self.now_us, false)) };
         let question = question(ticket, &prompt, scheduler.shard.clone());
         let reserved = reservation(&scheduler.fleet, &question, &prompt, &plan, self.now_us);
         scheduler.reservations.reserve(&mut scheduler.fleet, ticket, reserved);
@@ -269,61 +273,63 @@
         // Whoever isn't there any more can't be reached: the request is lost to this try.
         let Some(engine) = self.engines.get_mut(&reader.runner) else {
             self.schedulers[index].fleet.on_unreachable(&reader.runner, self.now_us);
-            return self.end(&waiting, false);
+            return self.end(&request, false);
         };
-        let queue = if reader.late_tokens > 0 { &mut engine.behind } else { &mut engine.in_turn };
-        queue.push_back(waiting);
+        let queue =
+            if reader.late_tokens > 0 { &mut engine.overdue_queue } else { &mut engine.queue };
+        queue.push_back(request);
     }
 
-    fn end(&mut self, waiting: &Waiting, in_time: bool) {
-        let scheduler = &mut self.schedulers[waiting.scheduler];
-        scheduler.reservations.end(&mut scheduler.fleet, waiting.ticket);
-        self.done.push((waiting.came_us, in_time));
+    fn end(&mut self, request: &Request, in_time: bool) {
+        let scheduler = &mut self.schedulers[request.scheduler];
+        scheduler.reservations.end(&mut scheduler.fleet, request.ticket);
+        self.outcomes.push((request.arrived_us, in_time));
     }
 
-    fn read(&mut self) {
+    fn prefill(&mut self) {
         let now_us = self.now_us;
-        let (mut read, mut over) = (Vec::new(), Vec::new());
+        let (mut prefilled, mut expired) = (Vec::new(), Vec::new());
         for (id, engine) in &mut self.engines {
-            if engine.reading.as_ref().is_some_and(|(_, until_us)| *until_us <= now_us) {
-                read.extend(engine.reading.take().map(|(waiting, _)| waiting));
+            if engine.prefilling.as_ref().is_some_and(|(_, until_us)| *until_us <= now_us) {
+                prefilled.extend(engine.prefilling.take().map(|(request, _)| request));
             }
-            let is_over = |it: &Waiting| now_us > it.came_us + DEADLINE_MS * 1_000;
-            while engine.reading.is_none() {
-                let next = engine.in_turn.pop_front().or_else(|| engine.behind.pop_front());
+            let is_expired = |it: &Request| now_us > it.arrived_us + DEADLINE_MS * 1_000;
+            while engine.prefilling.is_none() {
+                let next = engine.queue.pop_front().or_else(|| engine.overdue_queue.pop_front());
                 let Some(next) = next else { break };
-                if is_over(&next) {
-                    over.push(next);
+                if is_expired(&next) {
+                    expired.push(next);
                     continue;
                 }
                 let is_prefill = self.records[id].stage == Some(Stage::Prefill);
-                let pace = if is_prefill { TOKENS_A_MS } else { TOKENS_A_MS * DECODE_PACE };
-                let takes_us = (TOKENS as f64 / pace * 1_000.0) as u64;
-                engine.reading = Some((next, now_us + takes_us));
+                let tokens_per_ms =
+                    if is_prefill { TOKENS_PER_MS } else { TOKENS_PER_MS * DECODE_RUNNER_SPEED };
+                let prefill_us = (TOKENS as f64 / tokens_per_ms * 1_000.0) as u64;
+                engine.prefilling = Some((next, now_us + prefill_us));
             }
         }
-        over.iter().for_each(|waiting| self.end(waiting, false));
-        for waiting in read {
-            let scheduler = &mut self.schedulers[waiting.scheduler];
-            scheduler.reservations.on_prefilled(&mut scheduler.fleet, waiting.ticket);
-            self.writing.push_back((now_us + WRITING_US, waiting));
+        expired.iter().for_each(|request| self.end(request, false));
+        for request in prefilled {
+            let scheduler = &mut self.schedulers[request.scheduler];
+            scheduler.reservations.on_prefilled(&mut scheduler.fleet, request.ticket);
+            self.decoding.push_back((now_us + DECODE_US, request));
         }
     }
 
-    fn write(&mut self) {
-        while self.writing.front().is_some_and(|(until_us, _)| *until_us <= self.now_us) {
-            let (until_us, waiting) = self.writing.pop_front().unwrap();
-            let read_us = until_us - WRITING_US - waiting.came_us;
-            self.end(&waiting, read_us <= TARGET_MS * 1_000);
+    fn decode(&mut self) {
+        while self.decoding.front().is_some_and(|(until_us, _)| *until_us <= self.now_us) {
+            let (until_us, request) = self.decoding.pop_front().unwrap();
+            let wait_us = until_us - DECODE_US - request.arrived_us;
+            self.end(&request, wait_us <= TARGET_MS * 1_000);
         }
     }
 
-    fn tell_and_plan(&mut self) {
+    fn report_and_plan(&mut self) {
         let now_us = self.now_us;
         let told = |it: &Scheduler| (it.shard.clone(), it.fleet.shard_loads(&it.shard, now_us));
         let told: Vec<_> = self.schedulers.iter().map(told).collect();
         for (shard, loads) in told.iter().filter(|(_, loads)| !loads.is_empty()) {
-            self.holder.on_shard_loads(shard, loads, now_us);
+            self.planner_fleet.on_shard_loads(shard, loads, now_us);
             for scheduler in self.schedulers.iter_mut().filter(|it| it.shard != *shard) {
                 scheduler.fleet.on_shard_loads(shard, loads, now_us);
             }
@@ -341,18 +347,19 @@
             target_ms: TARGET_MS as f64,
             region: None,
         };
-        let plan = self.planner.plan(&self.holder, &PrefillSpeed::default(), &demand, now_us);
+        let plan =
+            self.planner.plan(&self.planner_fleet, &PrefillSpeed::default(), &demand, now_us);
         let changes = plan.changes();
         if !changes.is_empty() {
             self.planner.on_ordered(now_us);
         }
         for change in changes {
             self.orders += 1;
-            self.holder.on_changing(&change.runner, change.stage, now_us + 6 * SECOND);
+            self.planner_fleet.on_changing(&change.runner, change.stage, now_us + 6 * SECOND_US);
             for scheduler in &mut self.schedulers {
-                scheduler.fleet.on_changing(&change.runner, change.stage, now_us + 6 * SECOND);
+                scheduler.fleet.on_changing(&change.runner, change.stage, now_us + 6 * SECOND_US);
             }
-            self.changing.push((now_us + SWITCH_US, change.runner, change.stage));
+            self.changing.push((now_us + ROLE_CHANGE_US, change.runner, change.stage));
         }
     }
 }
--- a/crates/serving/tests/runner_incarnations.rs
+++ b/crates/serving/tests/runner_incarnations.rs
@@ -19,11 +19,11 @@
 use support::{at, runner_record};
 use test_case::test_case;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 const DEMAND: AttemptDemand =
     AttemptDemand { prefill_tokens: 500, overdue_tokens: 200, held_tokens: 900 };
 
-fn life(born_ms: u64) -> RunnerId {
+fn incarnation(born_ms: u64) -> RunnerId {
     RunnerId::of_life(&RunnerName::new("i-1"), Some(born_ms))
 }
 
@@ -33,7 +33,7 @@
 
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new(ZoneId::new("north"), Topology::default());
-    fleet.put(record(life(1_000), 5));
+    fleet.put(record(incarnation(1_000), 5));
     fleet
 }
 
@@ -59,30 +59,30 @@
 }
 
 /// What may be believed of a life, one belief each.
-fn believe(fleet: &mut Fleet, id: &RunnerId, belief: &str) {
+fn apply(fleet: &mut Fleet, id: &RunnerId, state: &str) {
     let shard = whole_shard(fleet);
-    match belief {
-        "prefix cache" => fleet.on_read(id, &prompt().parts, SECOND, 10_000),
+    match state {
+        "prefix cache" => fleet.on_read(id, &prompt().parts, SECOND_US, 10_000),
         "requests in flight" => fleet.on_sent(id, DEMAND),
         "reservations" => fleet.on_reserved(id, DEMAND),
         "prompts awaited" => fleet.on_awaiting_prompt(id),
-        "placed" => fleet.on_placed(id, 10_000, SECOND),
-        "told loads" => fleet.on_shard_loads(&shard, &[load_of(id)], SECOND),
-        "reported load" => fleet.on_load(id, LoadReport { running: 5, waiting: 2 }, SECOND),
-        "failures" => (0..20).for_each(|_| fleet.on_answered(id, true, SECOND)),
-        "suspicion" => fleet.on_unreachable(id, SECOND),
-        "full" => fleet.on_full(id, SECOND),
-        "role under way" => fleet.on_changing(id, Stage::Prefill, 9 * SECOND),
+        "placed" => fleet.on_placed(id, 10_000, SECOND_US),
+        "told loads" => fleet.on_shard_loads(&shard, &[load_of(id)], SECOND_US),
+        "reported load" => fleet.on_load(id, LoadReport { running: 5, waiting: 2 }, SECOND_US),
+        "failures" => (0..20).for_each(|_| fleet.on_answered(id, true, SECOND_US)),
+        "suspicion" => fleet.on_unreachable(id, SECOND_US),
+        "full" => fleet.on_full(id, SECOND_US),
+        "role under way" => fleet.on_changing(id, Stage::Prefill, 9 * SECOND_US),
         "misdirected" => fleet.on_misdirected(id),
         "leaving by its own word" => {
             let notice = RunnerNotice { leaving: true, ..RunnerNotice::default() };
-            fleet.on_notice(id, notice, SECOND);
+            fleet.on_notice(id, notice, SECOND_US);
         }
         "rest" => {
-            let notice = RunnerNotice { rest_us: 9 * SECOND, ..RunnerNotice::default() };
-            fleet.on_notice(id, notice, SECOND);
+            let notice = RunnerNotice { rest_us: 9 * SECOND_US, ..RunnerNotice::default() };
+            fleet.on_notice(id, notice, SECOND_US);
         }
-        "lapsed" => drop(fleet.remove(id, at(6), Some(9 * SECOND))),
+        "lapsed" => drop(fleet.remove(id, at(6), Some(9 * SECOND_US))),
         "draining" => {
             drop(fleet.put(RunnerRecord { draining: true, ..record(id.clone(), 6) }));
         }
@@ -91,8 +91,8 @@
 }
 
 /// What requests, the planner of roles and other nodes see of a runner.
-fn seen(fleet: &Fleet, id: &RunnerId) -> String {
-    let now_us = SECOND + 1_000;
+fn observable_state(fleet: &Fleet, id: &RunnerId) -> String {
+    let now_us = SECOND_US + 1_000;
     let runner = fleet.get(id).unwrap();
     let loads = fleet.shard_loads(&whole_shard(fleet), now_us);
     let service = ServiceName::new("llm");
@@ -131,19 +131,19 @@
 #[test_case("leaving by its own word")]
 #[test_case("rest")]
 #[test_case("draining")]
-fn no_belief_of_one_life_passes_to_the_next(belief: &str) {
+fn no_state_of_one_incarnation_passes_to_the_next(state: &str) {
     let mut fresh = fleet();
-    fresh.put(record(life(2_000), 9));
-    let unknown = seen(&fresh, &life(2_000));
+    fresh.put(record(incarnation(2_000), 9));
+    let unknown = observable_state(&fresh, &incarnation(2_000));
 
-    let mut reborn = fleet();
-    believe(&mut reborn, &life(1_000), belief);
-    let change = reborn.put(record(life(2_000), 9));
-    let was_leaving = matches!(belief, "draining" | "leaving by its own word");
-    let ended = EndedLife { id: life(1_000), was_leaving };
+    let mut restarted = fleet();
+    apply(&mut restarted, &incarnation(1_000), state);
+    let change = restarted.put(record(incarnation(2_000), 9));
+    let was_leaving = matches!(state, "draining" | "leaving by its own word");
+    let ended = EndedLife { id: incarnation(1_000), was_leaving };
     assert_eq!(change, FleetChange::Reborn { ended });
-    assert_eq!(seen(&reborn, &life(2_000)), unknown);
-    assert!(reborn.get(&life(1_000)).is_none());
+    assert_eq!(observable_state(&restarted, &incarnation(2_000)), unknown);
+    assert!(restarted.get(&incarnation(1_000)).is_none());
 }
 
 /// Words and ends of attempts that were held up, and words that come before the entry of the new life.
@@ -157,49 +157,62 @@
 #[test_case("misdirected")]
 #[test_case("leaving by its own word")]
 #[test_case("rest")]
-fn words_about_one_life_change_nothing_of_another(belief: &str) {
+fn reports_about_one_incarnation_do_not_affect_another(state: &str) {
     let mut fleet = fleet();
-    let known = seen(&fleet, &life(1_000));
-    believe(&mut fleet, &life(2_000), belief);
-    assert_eq!(seen(&fleet, &life(1_000)), known, "of a life that is not known yet");
-    fleet.put(record(life(2_000), 9));
-    let known = seen(&fleet, &life(2_000));
-    believe(&mut fleet, &life(1_000), belief);
-    fleet.on_ended(&life(1_000), DEMAND);
-    fleet.on_reservation_ended(&life(1_000), DEMAND);
-    let word = ChangingRunner { runner: life(1_000), stage: Stage::Prefill, left_ms: 5_000 };
-    fleet.on_changing_words(&[word], SECOND);
-    assert_eq!(seen(&fleet, &life(2_000)), known, "of a life that is over");
+    let known = observable_state(&fleet, &incarnation(1_000));
+    apply(&mut fleet, &incarnation(2_000), state);
+    assert_eq!(
+        observable_state(&fleet, &incarnation(1_000)),
+        known,
+        "of a life that is not known yet"
+    );
+    fleet.put(record(incarnation(2_000), 9));
+    let known = observable_state(&fleet, &incarnation(2_000));
+    apply(&mut fleet, &incarnation(1_000), state);
+    fleet.on_ended(&incarnation(1_000), DEMAND);
+    fleet.on_reservation_ended(&incarnation(1_000), DEMAND);
+    let report =
+        ChangingRunner { runner: incarnation(1_000), stage: Stage::Prefill, left_ms: 5_000 };
+    fleet.on_changing_words(&[report], SECOND_US);
+    assert_eq!(observable_state(&fleet, &incarnation(2_000)), known, "of a life that is over");
 }
 
 /// The revision of the entry orders lives: a machine's clock may have been set back.
 #[test]
-fn a_later_entry_is_a_later_life_whatever_its_clock_said() {
+fn a_later_entry_is_a_later_incarnation_whatever_its_clock_says() {
     let mut fleet = fleet();
-    assert_eq!(fleet.put(record(life(9_000), 4)), FleetChange::None, "an entry that came late");
-    assert!(fleet.get(&life(1_000)).is_some());
-    let ended = EndedLife { id: life(1_000), was_leaving: false };
-    assert_eq!(fleet.put(record(life(500), 8)), FleetChange::Reborn { ended });
-    assert_eq!(fleet.put(record(life(1_000), 6)), FleetChange::None, "the life that is over");
-    assert_eq!(fleet.life_of(&RunnerName::new("i-1")), Some(&life(500)));
-    assert_eq!(fleet.remove(&life(1_000), at(9), None), FleetChange::None);
-    assert_eq!(fleet.remove(&life(500), at(9), None), FleetChange::Left);
+    assert_eq!(
+        fleet.put(record(incarnation(9_000), 4)),
+        FleetChange::None,
+        "an entry that came late"
+    );
+    assert!(fleet.get(&incarnation(1_000)).is_some());
+    let ended = EndedLife { id: incarnation(1_000), was_leaving: false };
+    assert_eq!(fleet.put(record(incarnation(500), 8)), FleetChange::Reborn { ended });
+    assert_eq!(
+        fleet.put(record(incarnation(1_000), 6)),
+        FleetChange::None,
+        "the life that is over"
+    );
+    assert_eq!(fleet.life_of(&RunnerName::new("i-1")), Some(&incarnation(500)));
+    assert_eq!(fleet.remove(&incarnation(1_000), at(9), None), FleetChange::None);
+    assert_eq!(fleet.remove(&incarnation(500), at(9), None), FleetChange::Left);
     assert_eq!(fleet.life_of(&RunnerName::new("i-1")), None);
 }
 
 /// A node that was cut off reads everything anew: nobody has noticed the gap.
 #[test]
-fn a_list_that_is_read_whole_tells_of_new_lives() {
+fn a_full_read_of_the_registry_reveals_new_incarnations() {
     let mut fleet = fleet();
-    let over = fleet.replace_all(vec![record(life(2_000), 8)], at(9), Some(SECOND));
-    assert_eq!(over, [EndedLife { id: life(1_000), was_leaving: false }]);
-    assert!(fleet.get(&life(2_000)).is_some());
-    assert!(fleet.replace_all(vec![record(life(2_000), 8)], at(10), None).is_empty());
+    let over = fleet.replace_all(vec![record(incarnation(2_000), 8)], at(9), Some(SECOND_US));
+    assert_eq!(over, [EndedLife { id: incarnation(1_000), was_leaving: false }]);
+    assert!(fleet.get(&incarnation(2_000)).is_some());
+    assert!(fleet.replace_all(vec![record(incarnation(2_000), 8)], at(10), None).is_empty());
 }
 
 /// Runners that start again keep their scheduler and the prompts that are gathered at them.
 #[test]
-fn a_new_life_stays_in_its_shard() {
+fn a_new_incarnation_stays_in_its_shard() {
     let of = 16;
     for number in 0..50 {
         let name = RunnerName::new(format!("i-{number}"));
@@ -215,7 +228,7 @@
 
 /// A request that ends a runner, and ends it again after its restart, ends two lives.
 #[test]
-fn each_life_that_ends_under_a_request_counts() {
+fn each_incarnation_that_crashes_under_a_request_counts() {
     let request = RequestIdentity::of(&RequestParts {
         method: "POST",
         host: "desk.example",
@@ -227,10 +240,10 @@
     let mut evidence = CrashEvidence::default();
     let changes: Vec<CrashChange> = (1..=3)
         .map(|born_ms| {
-            assert!(!evidence.on_broken(&life(born_ms), request, born_ms * SECOND));
-            assert_eq!(evidence.on_ended(&life(born_ms), born_ms * SECOND), [request]);
-            let crash = Crash { request, runner: life(born_ms) };
-            quarantine.on_seen(&crash, 0, born_ms * SECOND)
+            assert!(!evidence.on_broken(&incarnation(born_ms), request, born_ms * SECOND_US));
+            assert_eq!(evidence.on_ended(&incarnation(born_ms), born_ms * SECOND_US), [request]);
+            let crash = Crash { request, runner: incarnation(born_ms) };
+            quarantine.on_seen(&crash, 0, born_ms * SECOND_US)
         })
         .collect();
     use CrashChange::{Counted, Quarantined};
@@ -240,7 +253,7 @@
 proptest! {
     /// A name and a time come apart as they were put together, and no two lives have one id.
     #[test]
-    fn a_life_is_told_by_name_and_time(
+    fn an_incarnation_is_identified_by_name_and_time(
         one in ("[a-z0-9@-]{1,12}", proptest::option::of(0..20_u64)),
         other in ("[a-z0-9@-]{1,12}", proptest::option::of(0..20_u64)),
     ) {
@@ -254,7 +267,7 @@
 
     /// In any order of entries, removals and whole lists, the fleet holds the life of the latest of them.
     #[test]
-    fn the_latest_entry_tells_the_life(changes in proptest::collection::vec((0..3_u8, 0..4_u64), 1..30), swaps in proptest::collection::vec(0..30_usize, 0..4)) {
+    fn the_latest_entry_determines_the_incarnation(changes in proptest::collection::vec((0..3_u8, 0..4_u64), 1..30), swaps in proptest::collection::vec(0..30_usize, 0..4)) {
         let mut ordered: Vec<(u64, u8, u64)> =
             changes.iter().enumerate().map(|(at, (kind, born))| (at as u64 + 1, *kind, *born)).collect();
         let last = ordered[ordered.len() - 1];
@@ -267,17 +280,17 @@
         let mut fleet = Fleet::new(ZoneId::new("north"), Topology::default());
         for (revision, kind, born_ms) in ordered {
             match kind {
-                0 => drop(fleet.put(record(life(born_ms), revision))),
+                0 => drop(fleet.put(record(incarnation(born_ms), revision))),
                 1 => {
                     if let Some(id) = fleet.life_of(&RunnerName::new("i-1")).cloned() {
                         fleet.remove(&id, at(revision), None);
                     }
                 }
-                _ => drop(fleet.replace_all(vec![record(life(born_ms), revision)], at(revision), None)),
+                _ => drop(fleet.replace_all(vec![record(incarnation(born_ms), revision)], at(revision), None)),
             }
             prop_assert!(fleet.iter().count() <= 1);
         }
-        let expected = (last.1 != 1).then(|| life(last.2));
+        let expected = (last.1 != 1).then(|| incarnation(last.2));
         prop_assert_eq!(fleet.iter().next().map(|runner| runner.record.id.clone()), expected);
     }
 }
--- a/crates/serving/tests/runner_speed.rs
+++ b/crates/serving/tests/runner_speed.rs
@@ -19,7 +19,7 @@
 const MICROS_PER_MILLI: f64 = 1_000.0;
 const SECOND_US: u64 = 1_000_000;
 const FIXED_MS: f64 = 5.0;
-const TOKENS_A_MS: f64 = 100.0;
+const TOKENS_PER_MS: f64 = 100.0;
 
 fn unqueued(expected_ms: f64, factor: f64) -> PrefillTiming {
     PrefillTiming {
@@ -34,7 +34,7 @@
 #[test_case(1.0)]
 #[test_case(0.77; "a faster kind")]
 #[test_case(5.0; "turned slow")]
-fn the_pace_of_a_runner_is_found_within_a_few_readings(factor: f64) {
+fn the_slowdown_of_a_runner_is_found_within_a_few_prefills(factor: f64) {
     let mut speed = RunnerSpeed::default();
     (1..=12).for_each(|number| {
         speed.on_prefilled(unqueued(40.0, 1.0), number * 100_000);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_runner_of_which_little_is_known_counts_as_the_others() {
+fn a_runner_with_few_samples_counts_as_average() {
     let mut speed = RunnerSpeed::default();
     assert!((speed.slowdown_factor(0) - 1.0).abs() < f64::EPSILON);
     speed.on_prefilled(unqueued(40.0, 3.0), 100_000);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_slow_runner_that_reads_nothing_is_trusted_again() {
+fn a_slow_runner_without_new_samples_is_trusted_again() {
     let mut speed = RunnerSpeed::default();
     (1..=6).for_each(|number| {
         speed.on_prefilled(unqueued(40.0, 5.0), number * 100_000);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn waits_behind_others_are_no_slowness_to_one_who_hears_of_all() {
+fn queueing_is_not_slowness_if_all_prefills_are_observed() {
     let mut speed = RunnerSpeed::default();
     // Sent at once, read one after the other, 40 ms each.
     for number in 1..=20_u64 {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn waits_behind_others_are_passed_over_by_one_who_hears_of_few() {
+fn queued_prefills_are_ignored_if_not_all_are_observed() {
     let mut speed = RunnerSpeed::default();
     let queued = PrefillTiming { was_unqueued: false, ..unqueued(40.0, 9.0) };
     (1..=20).for_each(|number| {
@@ -101,7 +101,7 @@
 
 proptest! {
     #[test]
-    fn paces_stay_finite_and_positive_whatever_readings_come(
+    fn factors_stay_finite_and_positive_for_any_timings(
         readings in prop::collection::vec(
             (any_time(), any_time(), any_time(), any::<bool>(), any::<bool>(), any::<u64>()), 0..60),
         asked_us in any::<u64>(),
@@ -121,28 +121,28 @@
 
 /// When a prompt will have been read and when it was sent, its runner, its tokens, and whether it
 /// met no queue.
-type Reading = (u64, u64, RunnerId, u64, bool);
+type PendingPrefill = (u64, u64, RunnerId, u64, bool);
 
 /// Readers of given speeds, the last of which is slower by a factor for some time.
-struct Play {
+struct Simulation {
     fleet: Fleet,
     speed: PrefillSpeed,
     speeds: BTreeMap<RunnerId, f64>,
     slow: (RunnerId, f64, std::ops::Range<u64>),
     free_at_us: BTreeMap<RunnerId, u64>,
-    reading: BinaryHeap<Reverse<Reading>>,
+    pending: BinaryHeap<Reverse<PendingPrefill>>,
     /// Tokens that each runner was given, by second.
-    given: BTreeMap<(RunnerId, u64), u64>,
+    assigned_tokens: BTreeMap<(RunnerId, u64), u64>,
 }
 
 const SPEEDS: [f64; 5] = [1.0, 1.0, 1.3, 3.0, 1.0];
 /// Speed at which a decode runner reads itself.
-const WRITER_SPEED: f64 = 0.5;
-const SLOWED_BY: f64 = 5.0;
+const DECODE_RUNNER_SPEED: f64 = 0.5;
+const SLOWDOWN: f64 = 5.0;
 const SLOW_US: std::ops::Range<u64> = 20 * SECOND_US..26 * SECOND_US;
 const END_US: u64 = 45 * SECOND_US;
 /// A little more than the runners can read.
-const BETWEEN_US: u64 = 3_750;
+const ARRIVAL_INTERVAL_US: u64 = 3_750;
 
 /// Spread over 500 to 5,500, 3,000 on the mean.
 fn prompt_tokens(number: u64) -> u64 {
@@ -158,7 +158,7 @@
     RunnerRecord { slots: 64, stage: Some(stage), ..runner_record(id(number)) }
 }
 
-impl Play {
+impl Simulation {
     fn new() -> Self {
         let mut fleet = Fleet::default();
         (0..SPEEDS.len()).for_each(|number| {
@@ -170,37 +170,37 @@
             speed: PrefillSpeed::default(),
             speeds: SPEEDS
                 .into_iter()
-                .chain([WRITER_SPEED])
+                .chain([DECODE_RUNNER_SPEED])
                 .enumerate()
                 .map(|(number, speed)| (id(number), speed))
                 .collect(),
-            slow: (id(SPEEDS.len() - 1), SLOWED_BY, SLOW_US),
+            slow: (id(SPEEDS.len() - 1), SLOWDOWN, SLOW_US),
             free_at_us: BTreeMap::new(),
-            reading: BinaryHeap::new(),
-            given: BTreeMap::new(),
+            pending: BinaryHeap::new(),
+            assigned_tokens: BTreeMap::new(),
         }
     }
 
     fn run(mut self) -> Self {
-        for now_us in (0..END_US).step_by(BETWEEN_US as usize) {
-            self.end_readings(now_us);
-            self.place(now_us, prompt_tokens(now_us / BETWEEN_US));
+        for now_us in (0..END_US).step_by(ARRIVAL_INTERVAL_US as usize) {
+            self.complete_prefills(now_us);
+            self.place(now_us, prompt_tokens(now_us / ARRIVAL_INTERVAL_US));
         }
         self
     }
 
-    fn end_readings(&mut self, now_us: u64) {
-        while self.reading.peek().is_some_and(|Reverse((at_us, ..))| *at_us <= now_us) {
+    fn complete_prefills(&mut self, now_us: u64) {
+        while self.pending.peek().is_some_and(|Reverse((at_us, ..))| *at_us <= now_us) {
             let Reverse((at_us, sent_us, runner, tokens, was_unqueued)) =
-                self.reading.pop().unwrap();
+                self.pending.pop().unwrap();
             self.fleet.on_ended(&runner, demand_of(tokens));
             let elapsed_ms = (at_us - sent_us) as f64 / MICROS_PER_MILLI;
             let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
             if runner != id(SPEEDS.len()) {
                 self.speed.on_prefilled(sample);
                 let reading = self.speed.timing_of(&sample, true);
-                let spent = self.fleet.on_paced(&runner, reading, at_us);
-                spent.into_iter().for_each(|spent| self.speed.on_prefill_timed(spent));
+                let duration = self.fleet.on_paced(&runner, reading, at_us);
+                duration.into_iter().for_each(|duration| self.speed.on_prefill_timed(duration));
             }
         }
     }
@@ -223,16 +223,17 @@
         self.fleet.on_sent(&runner, demand_of(tokens));
         let (slow_runner, by, when) = &self.slow;
         let slowed = if *slow_runner == runner && when.contains(&now_us) { *by } else { 1.0 };
-        let reading_ms = tokens as f64 / TOKENS_A_MS / self.speeds[&runner] * slowed;
+        let duration_ms = tokens as f64 / TOKENS_PER_MS / self.speeds[&runner] * slowed;
         let free_at_us = self.free_at_us.entry(runner.clone()).or_default();
-        *free_at_us = now_us.max(*free_at_us) + (reading_ms * MICROS_PER_MILLI) as u64;
-        let read_at_us = *free_at_us + (FIXED_MS * MICROS_PER_MILLI) as u64;
-        *self.given.entry((runner.clone(), now_us / SECOND_US)).or_default() += tokens;
-        self.reading.push(Reverse((read_at_us, now_us, runner, tokens, was_unqueued)));
+        *free_at_us = now_us.max(*free_at_us) + (duration_ms * MICROS_PER_MILLI) as u64;
+        let completed_at_us = *free_at_us + (FIXED_MS * MICROS_PER_MILLI) as u64;
+        *self.assigned_tokens.entry((runner.clone(), now_us / SECOND_US)).or_default() += tokens;
+        self.pending.push(Reverse((completed_at_us, now_us, runner, tokens, was_unqueued)));
     }
 
-    fn given(&self, number: usize, seconds: std::ops::Range<u64>) -> f64 {
-        let of = |second| self.given.get(&(id(number), second)).copied().unwrap_or_default();
+    fn assigned_tokens(&self, number: usize, seconds: std::ops::Range<u64>) -> f64 {
+        let of =
+            |second| self.assigned_tokens.get(&(id(number), second)).copied().unwrap_or_default();
         seconds.map(of).sum::<u64>() as f64
     }
 }
@@ -242,26 +243,30 @@
 }
 
 #[test]
-fn runners_get_work_by_their_pace() {
-    let play = Play::new().run();
-    let usual = play.given(0, 5..20);
-    assert!((play.given(1, 5..20) / usual - 1.0).abs() < 0.15);
-    let (faster, fastest) = (play.given(2, 5..20) / usual, play.given(3, 5..20) / usual);
+fn runners_get_work_in_proportion_to_their_speed() {
+    let simulation = Simulation::new().run();
+    let usual = simulation.assigned_tokens(0, 5..20);
+    assert!((simulation.assigned_tokens(1, 5..20) / usual - 1.0).abs() < 0.15);
+    let (faster, fastest) = (
+        simulation.assigned_tokens(2, 5..20) / usual,
+        simulation.assigned_tokens(3, 5..20) / usual,
+    );
     assert!((1.15..1.5).contains(&faster), "1.3 times as fast: {faster} times the work");
     assert!((2.5..3.6).contains(&fastest), "3 times as fast: {fastest} times the work");
 }
 
 #[test]
-fn a_runner_that_turns_slow_gets_less_work_and_its_share_again_afterwards() {
-    let play = Play::new().run();
-    let share =
-        |seconds: std::ops::Range<u64>| play.given(4, seconds.clone()) / play.given(0, seconds);
+fn a_runner_that_turns_slow_gets_less_work_until_it_recovers() {
+    let simulation = Simulation::new().run();
+    let share = |seconds: std::ops::Range<u64>| {
+        simulation.assigned_tokens(4, seconds.clone()) / simulation.assigned_tokens(0, seconds)
+    };
     assert!(share(22..26) < 0.4, "while it is slow: {}", share(22..26));
     assert!(share(31..45) > 0.85, "when that is over: {}", share(31..45));
 }
 
 #[test]
-fn a_pace_goes_with_its_runner() {
+fn the_measured_speed_is_dropped_with_its_runner() {
     let mut fleet = Fleet::default();
     fleet.put(record(0, Stage::Prefill));
     (1..=6).for_each(|number| {
