--- a/crates/serving/tests/capacity_planner.rs
+++ b/crates/serving/tests/capacity_planner.rs
@@ -1,5 +1,5 @@
-//! How many runners are ordered, played in virtual time against a platform that boots, refuses and
-//! takes away.
+//! Capacity plans in virtual time, against a simulated platform that boots, refuses and reclaims
+//! runners.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::capacity_planner::{
@@ -14,10 +14,10 @@
 const SECOND_US: u64 = 1_000_000;
 const MAX_RUNNERS_PER_ZONE: u32 = 94;
 
-/// A platform: what is ordered by zone and kind, and what serves.
+/// A simulated platform: orders by zone and kind, and the runners that result.
 struct Platform {
     ordered: BTreeMap<(ZoneId, RunnerKind), u32>,
-    /// Ready from then on: zone, kind, when.
+    /// Zone and kind of each runner, and the time from which it is ready.
     booted: Vec<(ZoneId, RunnerKind, u64)>,
     boot_us: u64,
     unavailable_until_us: BTreeMap<ZoneId, u64>,
@@ -67,7 +67,7 @@
         self.supply().values().map(|zone| zone.reserved + zone.preemptible).sum()
     }
 
-    /// Takes an order; `false`: none to be had.
+    /// Applies an order; `false` if no runners are available.
     fn order(&mut self, order: &CapacityOrder) -> bool {
         self.order_count += 1;
         let is_unavailable =
@@ -87,11 +87,11 @@
             self.booted.remove(last.unwrap());
         }
         let in_zone = self.booted.iter().filter(|it| it.0 == order.zone).count();
-        assert!(in_zone as u32 <= MAX_RUNNERS_PER_ZONE, "more than the zone takes");
+        assert!(in_zone as u32 <= MAX_RUNNERS_PER_ZONE, "more runners than the zone admits");
         true
     }
 
-    /// All runners of a zone that may be taken away go, and none are to be had for a time.
+    /// Reclaims all preemptible runners of a zone; no others are available there for some time.
     fn reclaim(&mut self, number: usize, unavailable_s: u64) {
         let lost = zone(number);
         self.booted.retain(|it| it.0 != lost || it.1 == RunnerKind::Reserved);
@@ -118,7 +118,7 @@
     CapacityPlanner::new(CapacityPolicy { headroom, ..CapacityPolicy::default() }, record)
 }
 
-/// Plays until a moment; returns the fewest runners that served meanwhile.
+/// Runs until a given time and returns the minimum number of serving runners meanwhile.
 fn run(
     platform: &mut Platform,
     planner: &mut CapacityPlanner,
@@ -140,9 +140,9 @@
     min_serving
 }
 
-#[test_case(1; "that boot fast")]
-#[test_case(4; "as the users'")]
-#[test_case(60; "that boot slowly")]
+#[test_case(1; "fast boot")]
+#[test_case(4; "boot time of the reference deployments")]
+#[test_case(60; "slow boot")]
 fn preemptible_runners_replace_reserved_ones_without_a_gap(boot_s: u64) {
     let mut platform = Platform::new(3, 47, boot_s);
     let mut planner = planner(&platform, 141);
@@ -152,7 +152,10 @@
     let reserved: u32 = supply.values().map(|zone| zone.reserved).sum();
     assert!(reserved <= 20, "{reserved}");
     for lost in supply.values() {
-        assert!(platform.serving() - lost.preemptible >= 141, "one zone may be lost");
+        assert!(
+            platform.serving() - lost.preemptible >= 141,
+            "the need is covered without one zone"
+        );
     }
 }
 
@@ -166,7 +169,7 @@
     let min_serving = run(&mut platform, &mut planner, &spec, 38);
     assert!(min_serving >= 135, "{min_serving}");
     run(&mut platform, &mut planner, &spec, 60);
-    assert!(platform.supply()[&zone(1)].preemptible >= 60, "they are back");
+    assert!(platform.supply()[&zone(1)].preemptible >= 60, "the preemptible runners are back");
 }
 
 #[test]
@@ -185,9 +188,9 @@
     assert!(reserved <= 20, "{reserved}");
 }
 
-#[test_case(1, Some(0.18); "one zone: all of them could go at once")]
-#[test_case(3, Some(0.8); "with those that stand in they cost more")]
-#[test_case(3, None; "there are none")]
+#[test_case(1, Some(0.18); "one zone that may lose all of them at once")]
+#[test_case(3, Some(0.8); "more expensive with the redundancy")]
+#[test_case(3, None; "no preemptible runners")]
 fn without_a_saving_from_preemptible_runners_the_fleet_stays_as_it_is(
     zones: usize,
     price: Option<f64>,
@@ -249,7 +252,7 @@
         before = platform.booted.len();
         assert!(platform.serving() >= 31 * 47);
     }
-    assert!(max_change <= 300, "{max_change} at once");
+    assert!(max_change <= 300, "{max_change} changes in a second");
     let reserved: u32 = platform.supply().values().map(|zone| zone.reserved).sum();
     assert!(reserved <= 31 * 47 / 8, "{reserved}");
 }
@@ -261,7 +264,7 @@
     let spec = spec(Some(0.18), 4.0);
     run(&mut platform, &mut planner, &spec, 30);
     let order_count = platform.order_count;
-    // Operators add some, and some others crash.
+    // Operators add some runners, and others crash.
     platform.booted.extend((0..3).map(|_| (zone(0), RunnerKind::Reserved, 0)));
     let crashed = platform.booted.iter().position(|it| it.1 == RunnerKind::Preemptible).unwrap();
     platform.booted.remove(crashed);
--- a/crates/serving/tests/prefill_speed.rs
+++ b/crates/serving/tests/prefill_speed.rs
@@ -1,4 +1,4 @@
-//! The measured pace of reading.
+//! Measurement of a service's prefill speed.
 #![allow(missing_docs)]
 
 use pitchstall_serving::prefill_speed::{PrefillSample, PrefillSpeed};
@@ -20,9 +20,9 @@
     }
 }
 
-#[test_case(3.7; "a tenth of the guess")]
-#[test_case(36.7; "near the guess")]
-#[test_case(307.0; "ten times the guess")]
+#[test_case(3.7; "a tenth of the prior")]
+#[test_case(36.7; "near the prior")]
+#[test_case(307.0; "ten times the prior")]
 fn speed_is_measured_far_from_the_prior(tokens_per_ms: f64) {
     let mut speed = PrefillSpeed::default();
     record(&mut speed, 60, |tokens| unqueued(tokens, 9.0, tokens_per_ms));
--- a/crates/serving/tests/reservations.rs
+++ b/crates/serving/tests/reservations.rs
@@ -1,4 +1,4 @@
-//! What a scheduler sets aside, and that it is free again whatever words are lost or doubled.
+//! Reservations of a scheduler, and that each is released whatever messages are lost or duplicated.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -54,7 +54,7 @@
     Reservation { prefill: reserved("d", 400), decode: None, ..split(deadline_us) }
 }
 
-/// Requests and unread tokens at the prefill and at the decode runner.
+/// Number of requests and of prompt tokens to prefill, at the prefill and at the decode runner.
 fn load(fleet: &Fleet) -> [(u32, u64); 2] {
     let loads = fleet.shard_loads(&only_shard(), 0);
     let of = |id: &str| {
@@ -71,7 +71,7 @@
     assert_eq!(load(&fleet), [(1, 400), (1, 0)]);
     assert!(reservations.on_prefilled(&mut fleet, ticket(1)).is_some());
     assert_eq!(load(&fleet), [(0, 0), (1, 0)]);
-    assert!(reservations.on_prefilled(&mut fleet, ticket(1)).is_none(), "a doubled word");
+    assert!(reservations.on_prefilled(&mut fleet, ticket(1)).is_none(), "a duplicate message");
     reservations.end(&mut fleet, ticket(1));
     assert_eq!(load(&fleet), [(0, 0), (0, 0)]);
 }
@@ -114,8 +114,9 @@
 }
 
 proptest! {
-    /// Words may come twice, late, never, or on requests that are not known: when all deadlines
-    /// have passed nothing is set aside any more, and what is never falls below what is open.
+    /// Messages may be duplicated, late, lost, or concern unknown requests. The reserved load is
+    /// never below that of the open reservations, and nothing is reserved once all deadlines have
+    /// passed.
     #[test]
     fn every_reservation_ends_whatever_messages_are_lost(events in prop::collection::vec(event(), 1..200)) {
         let (mut fleet, mut reservations) = (fleet(), Reservations::default());
--- a/crates/serving/tests/role_view.rs
+++ b/crates/serving/tests/role_view.rs
@@ -1,4 +1,4 @@
-//! What the planner of roles sees in a fleet, and why it orders nothing.
+//! Metrics that the role planner derives from a fleet, and its reasons for ordering nothing.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -20,7 +20,7 @@
 const SECOND_US: u64 = 1_000_000;
 const SLOTS: u32 = 8;
 
-/// The shard of all runners: their zone is a region of its own.
+/// The shard that holds all runners: their zone is a region of its own.
 fn only_shard() -> Shard {
     Shard { region: RegionId::new("north"), number: 0, of: 1 }
 }
@@ -56,7 +56,7 @@
     RunnerReservation { runner: RunnerId::new(runner), demand }
 }
 
-/// A place at a writer is set aside before the prompt is read elsewhere.
+/// Reserves a place at a decode runner before the prompt is prefilled at another runner.
 fn reserve(fleet: &mut Fleet, reservations: &mut Reservations, number: u64, decode_runner: &str) {
     let reservation = Reservation {
         service: ServiceName::new("llm"),
@@ -70,8 +70,9 @@
     reservations.reserve(fleet, Ticket { incarnation: 1, number }, reservation);
 }
 
-/// Once all decode runners of a fleet looked full of requests that no reader had come to, and no
-/// runner changed while a third of the requests failed.
+/// Guards against decode runners that look full because of requests whose prompts no runner has
+/// prefilled yet. Then no runner changes its role although prefill is short; a third of the
+/// requests failed in that state.
 #[test]
 fn requests_that_await_prefill_do_not_occupy_decode_runners() {
     let mut scheduler = fleet(1, 3);
@@ -96,7 +97,7 @@
             first.metrics
         );
     }
-    // Once they are read, they take their writers' places.
+    // After prefill, the requests occupy their decode runners.
     for number in 0..24 {
         reservations.on_prefilled(&mut scheduler, Ticket { incarnation: 1, number });
     }
@@ -150,7 +151,7 @@
 #[test]
 fn as_many_prefill_runners_are_ordered_as_the_requested_work_needs() {
     let mut fleet = fleet(4, 26);
-    // 200,000 tokens a second at 30 a millisecond: 6.7 readers that never rest.
+    // 200,000 tokens per second at 30 tokens per millisecond: 6.7 fully utilized prefill runners.
     for number in 0..4 {
         let id = RunnerId::new(format!("p{number}"));
         fleet.on_placed(&id, 50_000, SECOND_US);
@@ -165,7 +166,7 @@
     fleet.on_placed(&RunnerId::new("p0"), 126_000, 2 * SECOND_US);
     let plan = plan_roles(&mut planner, &fleet, 2 * SECOND_US);
     assert!((6.0..7.5).contains(&plan.metrics.prefill_needed), "{:?}", plan.metrics);
-    assert_eq!(plan.changes().len(), 6, "10 readers are busy for 7 tenths of their time");
+    assert_eq!(plan.changes().len(), 6, "10 prefill runners are utilized to 70 percent");
 }
 
 #[test]
@@ -239,12 +240,13 @@
     let plan = planner().plan(&fleet, &PrefillSpeed::default(), &demand, SECOND_US);
     assert_eq!((plan.metrics.prefill, plan.metrics.decode), (2, 0));
     let changes = plan.changes();
-    assert_eq!(changes.len(), 1, "a region without writers gets one of its own");
+    assert_eq!(changes.len(), 1, "a region without decode runners gets one of its own");
     assert!(["i-0", "i-1"].contains(&changes[0].runner.as_str()));
 }
 
-/// Once five of thirty runners wrote answers in twice their slots for ten seconds, as prompts
-/// waited a little at readers that what was asked for did not fill.
+/// Guards against a lasting overload of decode: five of thirty runners held streams in twice their
+/// slots for ten seconds, because prompts waited a little at prefill runners that the requested
+/// work did not fill.
 #[test]
 fn decode_much_fuller_than_prefill_gets_runners_though_prompts_wait_a_little() {
     let mut busy = fleet(22, 5);
@@ -257,7 +259,7 @@
         let id = RunnerId::new(format!("p{number}"));
         let prefill_demand = AttemptDemand { prefill_tokens: 5_000, ..AttemptDemand::default() };
         busy.on_sent(&id, prefill_demand);
-        // At 30 tokens a millisecond half of the readers' time.
+        // Half of the prefill runners' time at 30 tokens per millisecond.
         busy.on_placed(&id, 15_000, SECOND_US);
         busy.on_placed(&id, 15_000, 2 * SECOND_US);
     }
@@ -270,7 +272,8 @@
     assert!(changes.iter().all(|change| change.stage == Stage::Decode));
 }
 
-/// The planner would wait for work that they do not take, and withhold its orders to them.
+/// The planner would otherwise wait for work that such runners do not take, and its orders to them
+/// would be withheld.
 #[test]
 fn runners_with_limits_are_neither_counted_nor_ordered() {
     let mut fleet = fleet(6, 3);
@@ -286,7 +289,7 @@
     assert!(!changes.is_empty(), "one decode runner is too few");
     for change in &changes {
         assert_eq!(change.stage, Stage::Decode);
-        assert_ne!(change.runner.as_str(), "p0", "it takes no order");
+        assert_ne!(change.runner.as_str(), "p0", "it accepts no orders");
     }
 }
 
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -1,4 +1,4 @@
-//! Authority over roles, and when roles change.
+//! Authority over roles, and the conditions under which roles change.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -43,20 +43,22 @@
 
 const STEP_US: usize = 1_000;
 
-/// When a term that began at a time is over, but for a step.
+/// Last step at which a term that began at a given time is still valid.
 fn end(term: &AuthorityTerm, began_us: u64) -> u64 {
     let valid = (began_us..).step_by(STEP_US).take_while(|now| !term.is_over(*now));
     valid.last().unwrap()
 }
 
-/// When orders may first be given in a term that was asked for at a time, or when it is over without any.
+/// Time at which a term that was requested at a given time allows orders, or at which it ends
+/// without having allowed any.
 fn first_order(term: &AuthorityTerm, requested_us: u64) -> u64 {
     let is_first = |now: &u64| term.may_order(*now) || term.is_over(*now);
     (requested_us..).step_by(STEP_US).find(is_first).unwrap()
 }
 
 proptest! {
-    /// The key is not in the copy from which the store comes back, and the next holder takes it at once.
+    /// The store is restored from a backup that lacks the key, so the next holder acquires it at
+    /// once.
     #[test]
     fn orders_of_holders_of_two_eras_are_a_lease_apart(
         sent_at_us in 0_u64..10 * SECOND_US,
@@ -69,7 +71,7 @@
         let observed = sent_at_us + request_delay_us + recovered_after_us + observed_after_us;
         let second = AuthorityTerm::new(FencingToken::new(at(9)), observed, observed + response_delay_us, TIMES)
             .after_era_began(observed, TIMES);
-        // It is renewed for as long as it takes.
+        // The term is renewed for long enough to allow orders.
         let mut renewed = second;
         renewed.renew(observed + 20 * SECOND_US, TIMES);
         prop_assert!(first_order(&renewed, observed) >= end(&first, sent_at_us) + TIMES.separation_us);
@@ -77,8 +79,8 @@
 }
 
 proptest! {
-    /// The store grants the key to the next holder no earlier than one lease after the last
-    /// renewal arrived there. However long calls take, orders of the two are apart.
+    /// The store grants the key to the next holder no earlier than one lease after the last renewal
+    /// arrived there. Orders of the two holders are a lease apart however long calls take.
     #[test]
     fn orders_of_two_holders_are_a_lease_apart(
         sent_at_us in 0_u64..10 * SECOND_US,
@@ -132,7 +134,7 @@
     load(&mut busy, "p0", 2, 60_000);
     assert_eq!(plan(&mut planner, &busy, SECOND_US), None);
     assert_eq!(plan(&mut planner, &fleet(1, 4), 2 * SECOND_US), None);
-    assert_eq!(plan(&mut planner, &busy, 3 * SECOND_US), None, "it began anew");
+    assert_eq!(plan(&mut planner, &busy, 3 * SECOND_US), None, "the pressure began again");
 }
 
 #[test]
@@ -161,7 +163,7 @@
     let mut last = fleet(1, 1);
     load(&mut last, "p0", 2, 60_000);
     assert_eq!(plan(&mut planner, &last, 20 * SECOND_US), None);
-    assert_eq!(plan(&mut planner, &last, 30 * SECOND_US), None, "the last one stays");
+    assert_eq!(plan(&mut planner, &last, 30 * SECOND_US), None, "the last decode runner stays");
 }
 
 #[test]
@@ -171,25 +173,25 @@
     (0..8).for_each(|number| load(&mut busy, &format!("p{number}"), 4, 10_000));
     assert!(plan_all(&mut planner, &busy, SECOND_US).is_empty());
     let changes = plan_all(&mut planner, &busy, 4 * SECOND_US);
-    assert_eq!(changes.len(), 3, "most at once, 15 of 100");
+    assert_eq!(changes.len(), 3, "at most 15 percent at once");
     assert!(changes.iter().all(|change| change.stage == Stage::Prefill));
     let mut nearly = fleet(14, 6);
     (0..14).for_each(|number| load(&mut nearly, &format!("p{number}"), 4, 10_000));
     assert!(plan_all(&mut planner, &nearly, 30 * SECOND_US).is_empty());
-    assert!(plan_all(&mut planner, &nearly, 33 * SECOND_US).is_empty(), "30 of 100 write");
+    assert!(plan_all(&mut planner, &nearly, 33 * SECOND_US).is_empty(), "30 percent keep decoding");
 }
 
 #[test]
 fn a_prefill_runner_replaces_decode_runners_that_left() {
     let mut planner = RolePlanner::new(RolePolicy::default());
     let idle = fleet(7, 1);
-    assert_eq!(plan(&mut planner, &idle, SECOND_US), None, "it may be back at once");
+    assert_eq!(plan(&mut planner, &idle, SECOND_US), None, "the runner may be back at once");
     assert_eq!(plan(&mut planner, &idle, 4 * SECOND_US).unwrap().stage, Stage::Decode);
     assert_eq!(plan(&mut planner, &fleet(5, 3), 8 * SECOND_US), None);
 }
 
-/// Once one of two decode runners changed on a crowded day; the other had 126 streams in 128
-/// slots two seconds later.
+/// Guards against a single decode runner in a busy fleet: when one of two changed its role, the
+/// other had 126 streams in 128 slots two seconds later.
 #[test]
 fn a_fleet_of_several_runners_keeps_two_decode_runners() {
     let mut planner = RolePlanner::new(RolePolicy::default());
@@ -228,7 +230,8 @@
     assert_eq!(candidates(&fleet), 2);
 }
 
-/// Once three nodes kept a runner out of work for a whole day by telling each other.
+/// Guards against nodes that prolong a role change by repeating it to each other: three nodes kept
+/// a runner out of work for a whole day in this way.
 #[test]
 fn role_changes_that_nodes_repeat_to_each_other_expire() {
     const REPORT_INTERVAL_US: u64 = 120_000;
--- a/crates/serving/tests/roles_in_virtual_time.rs
+++ b/crates/serving/tests/roles_in_virtual_time.rs
@@ -1,5 +1,6 @@
-//! Roles of a fleet in virtual time: schedulers place, a holder of the authority sees what they
-//! tell, runners read, write, leave and come back in roles that nobody asked for.
+//! Roles of a fleet in virtual time: schedulers place requests, the holder of the authority plans
+//! with the loads that they report, and runners prefill, decode, leave and come back in unrequested
+//! roles.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod roles_world;
@@ -8,11 +9,11 @@
 use pitchstall_serving::runner::Stage;
 use roles_world::{World, SECOND_US};
 
-/// Requests a second that ten readers in thirty can't read in time, and twenty can.
+/// Requests per second that are too many for ten prefill runners among thirty, but not for twenty.
 const REQUESTS_PER_SECOND: f64 = 190.0;
 
-/// Half of the runners are replaced one by one, and nearly all that join write. A third of the
-/// schedulers see nothing of the list for nine seconds.
+/// Half of the runners are replaced one by one, nearly all by decode runners. One of three
+/// schedulers is disconnected from the registry for nine seconds.
 #[test]
 fn prefill_runners_follow_the_need_when_half_of_the_runners_are_replaced_by_decode_runners() {
     let mut world = World::new(10, 20, 3);
@@ -27,9 +28,9 @@
         world.step(REQUESTS_PER_SECOND);
     }
     let prefill_runners = world.count(Stage::Prefill);
-    assert!((14..=22).contains(&prefill_runners), "{prefill_runners} of 30 read");
+    assert!((14..=22).contains(&prefill_runners), "{prefill_runners} of 30 prefill");
     let in_time = world.in_time_share(14 * SECOND_US..19 * SECOND_US);
-    assert!(in_time > 0.8, "{in_time} in time once the readers are back");
+    assert!(in_time > 0.8, "{in_time} in time after the prefill runners are back");
 }
 
 #[test]
@@ -42,7 +43,8 @@
     assert!(world.in_time_share(SECOND_US..9 * SECOND_US) > 0.95);
 }
 
-/// Callers of one region go to another: each region's roles follow by its own holder.
+/// Clients of one region move to another. The roles of each region follow the load by the orders of
+/// the region's own authority.
 #[test]
 fn roles_of_two_regions_follow_their_clients_within_seconds() {
     let mut losing = World::new(10, 20, 2);
@@ -58,8 +60,8 @@
     }
     assert!(followed_us.is_some_and(|us| us < 9 * SECOND_US), "{followed_us:?}");
     let prefill_runners = gaining.count(Stage::Prefill);
-    assert!(prefill_runners >= 14, "{prefill_runners} of 30 read where the callers went");
+    assert!(prefill_runners >= 14, "{prefill_runners} of 30 prefill in the gaining region");
     let in_time = gaining.in_time_share(10 * SECOND_US..15 * SECOND_US);
-    assert!(in_time > 0.8, "{in_time} in time where the callers went");
+    assert!(in_time > 0.8, "{in_time} in time in the gaining region");
     assert!(losing.in_time_share(4 * SECOND_US..15 * SECOND_US) > 0.95);
 }
--- a/crates/serving/tests/roles_world/mod.rs
+++ b/crates/serving/tests/roles_world/mod.rs
@@ -1,4 +1,5 @@
-//! A region of runners, its schedulers and the holder of its authority in virtual time.
+//! Simulation of a region in virtual time: its runners, its schedulers and the holder of its
+//! authority.
 
 use crate::support::{at, runner_record};
 use pitchstall_serving::configuration::EngineSpec;
@@ -24,7 +25,7 @@
 const ROLE_CHANGE_US: u64 = 3 * SECOND_US;
 const DECODE_US: u64 = 300_000;
 const TOKENS: u64 = 3_000;
-/// What the planner's pace guesses, too.
+/// Equals the prior of the planner's prefill speed.
 const TOKENS_PER_MS: f64 = 30.0;
 const DECODE_RUNNER_SPEED: f64 = 0.5;
 const SLOTS: u32 = 24;
@@ -66,7 +67,7 @@
     requests: u64,
     orders: usize,
     revision: u64,
-    /// When each request came, and whether it was read in time.
+    /// For each request, its arrival time, and whether it was prefilled within its target.
     outcomes: Vec<(u64, bool)>,
 }
 
@@ -114,7 +115,7 @@
             outcomes: Vec::new(),
         };
         for number in 0..prefill + decode {
-            // Each third one reads, as long as there are readers left.
+            // Every third runner is a prefill runner until their number is reached.
             let is_prefill = number % 3 == 0 && number / 3 < prefill;
             let stage = if is_prefill { Stage::Prefill } else { Stage::Decode };
             world.register(record(format!("i-{number}"), stage, 1));
@@ -130,7 +131,7 @@
         self.orders
     }
 
-    /// A scheduler learns nothing of the list for a time.
+    /// Keeps registry changes from a scheduler for some time.
     pub fn disconnect_from_registry(&mut self, scheduler: usize, from_us: u64, until_us: u64) {
         self.schedulers[scheduler].disconnected_us = from_us..until_us;
     }
@@ -139,7 +140,7 @@
         self.records.values().filter(|record| record.stage == Some(stage)).count()
     }
 
-    /// Share of the requests that came in a time and were read in time.
+    /// Share of the requests that arrived in a period and were prefilled within their target.
     pub fn in_time_share(&self, arrived: Range<u64>) -> f64 {
         let all: Vec<bool> = self
             .outcomes
@@ -161,7 +162,7 @@
         self.records.insert(record.id.clone(), record);
     }
 
-    /// A runner of the first start leaves, and another joins in a role a second later.
+    /// Removes one of the initial runners; another joins in the given role a second later.
     pub fn replace(&mut self, number: usize, stage: Stage) {
         let id = RunnerId::new(format!("i-{number}"));
         self.revision += 1;
@@ -218,7 +219,8 @@
         }
     }
 
-    /// Homes of prompts are spread evenly over the readers, and their shards with them.
+    /// Home runners of prompts, and with them their shards, are spread evenly over the prefill
+    /// runners.
     fn scheduler_of_home(&self) -> usize {
         let reads = |it: &&RunnerRecord| it.stage == Some(Stage::Prefill);
         let prefill_runners: Vec<&RunnerRecord> = self.records.values().filter(reads).collect();
@@ -227,7 +229,8 @@
         Shard::of_runner(home, self.schedulers.len()).number
     }
 
-    /// Where a scheduler places a request, and the one to hand it on to if that waits for less.
+    /// Where a scheduler places a request, and the scheduler to hand it on to if the wait is
+    /// shorter there.
     fn choose(
         &self,
         index: usize,
@@ -270,7 +273,7 @@
         scheduler.reservations.reserve(&mut scheduler.fleet, ticket, reserved);
         let (ToldPlan::Split(reader, _) | ToldPlan::Direct(reader)) = plan;
         scheduler.fleet.on_placed(&reader.runner, TOKENS, self.now_us);
-        // Whoever isn't there any more can't be reached: the request is lost to this try.
+        // A runner that has left is unreachable, so the request fails.
         let Some(engine) = self.engines.get_mut(&reader.runner) else {
             self.schedulers[index].fleet.on_unreachable(&reader.runner, self.now_us);
             return self.end(&request, false);
--- a/crates/serving/tests/runner_incarnations.rs
+++ b/crates/serving/tests/runner_incarnations.rs
@@ -1,5 +1,5 @@
-//! A runner that starts again under its name holds nothing and knows nothing of before: no belief of one life
-//! survives into the next, and words about the one change nothing of the other.
+//! A runner that restarts under its name has lost all state: nothing that a node recorded about one
+//! incarnation carries over to the next, and reports about one do not affect the other.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -58,23 +58,27 @@
     }
 }
 
-/// What may be believed of a life, one belief each.
+/// Gives the fleet one kind of state about an incarnation.
 fn apply(fleet: &mut Fleet, id: &RunnerId, state: &str) {
     let shard = whole_shard(fleet);
     match state {
         "prefix cache" => fleet.on_read(id, &prompt().parts, SECOND_US, 10_000),
         "requests in flight" => fleet.on_sent(id, DEMAND),
         "reservations" => fleet.on_reserved(id, DEMAND),
-        "prompts awaited" => fleet.on_awaiting_prompt(id),
+        "awaited prefills" => fleet.on_awaiting_prompt(id),
         "placed" => fleet.on_placed(id, 10_000, SECOND_US),
-        "told loads" => fleet.on_shard_loads(&shard, &[load_of(id)], SECOND_US),
-        "reported load" => fleet.on_load(id, LoadReport { running: 5, waiting: 2 }, SECOND_US),
+        "loads reported by the scheduler" => {
+            fleet.on_shard_loads(&shard, &[load_of(id)], SECOND_US)
+        }
+        "load reported by the runner" => {
+            fleet.on_load(id, LoadReport { running: 5, waiting: 2 }, SECOND_US)
+        }
         "failures" => (0..20).for_each(|_| fleet.on_answered(id, true, SECOND_US)),
         "suspicion" => fleet.on_unreachable(id, SECOND_US),
         "full" => fleet.on_full(id, SECOND_US),
-        "role under way" => fleet.on_changing(id, Stage::Prefill, 9 * SECOND_US),
+        "pending role change" => fleet.on_changing(id, Stage::Prefill, 9 * SECOND_US),
         "misdirected" => fleet.on_misdirected(id),
-        "leaving by its own word" => {
+        "leaving by its own notice" => {
             let notice = RunnerNotice { leaving: true, ..RunnerNotice::default() };
             fleet.on_notice(id, notice, SECOND_US);
         }
@@ -90,7 +94,7 @@
     }
 }
 
-/// What requests, the planner of roles and other nodes see of a runner.
+/// What requests, the role planner and other nodes observe of a runner.
 fn observable_state(fleet: &Fleet, id: &RunnerId) -> String {
     let now_us = SECOND_US + 1_000;
     let runner = fleet.get(id).unwrap();
@@ -118,17 +122,17 @@
 #[test_case("prefix cache")]
 #[test_case("requests in flight")]
 #[test_case("reservations")]
-#[test_case("prompts awaited")]
+#[test_case("awaited prefills")]
 #[test_case("placed")]
-#[test_case("told loads")]
-#[test_case("reported load")]
+#[test_case("loads reported by the scheduler")]
+#[test_case("load reported by the runner")]
 #[test_case("failures")]
 #[test_case("suspicion")]
 #[test_case("full")]
-#[test_case("role under way")]
+#[test_case("pending role change")]
 #[test_case("misdirected")]
 #[test_case("lapsed")]
-#[test_case("leaving by its own word")]
+#[test_case("leaving by its own notice")]
 #[test_case("rest")]
 #[test_case("draining")]
 fn no_state_of_one_incarnation_passes_to_the_next(state: &str) {
@@ -139,23 +143,24 @@
     let mut restarted = fleet();
     apply(&mut restarted, &incarnation(1_000), state);
     let change = restarted.put(record(incarnation(2_000), 9));
-    let was_leaving = matches!(state, "draining" | "leaving by its own word");
+    let was_leaving = matches!(state, "draining" | "leaving by its own notice");
     let ended = EndedLife { id: incarnation(1_000), was_leaving };
     assert_eq!(change, FleetChange::Reborn { ended });
     assert_eq!(observable_state(&restarted, &incarnation(2_000)), unknown);
     assert!(restarted.get(&incarnation(1_000)).is_none());
 }
 
-/// Words and ends of attempts that were held up, and words that come before the entry of the new life.
+/// Covers delayed reports and ends of attempts, and reports that arrive before the entry of the new
+/// incarnation.
 #[test_case("prefix cache")]
 #[test_case("reservations")]
-#[test_case("told loads")]
-#[test_case("reported load")]
+#[test_case("loads reported by the scheduler")]
+#[test_case("load reported by the runner")]
 #[test_case("suspicion")]
 #[test_case("full")]
-#[test_case("role under way")]
+#[test_case("pending role change")]
 #[test_case("misdirected")]
-#[test_case("leaving by its own word")]
+#[test_case("leaving by its own notice")]
 #[test_case("rest")]
 fn reports_about_one_incarnation_do_not_affect_another(state: &str) {
     let mut fleet = fleet();
@@ -164,7 +169,7 @@
     assert_eq!(
         observable_state(&fleet, &incarnation(1_000)),
         known,
-        "of a life that is not known yet"
+        "reports about an unknown incarnation"
     );
     fleet.put(record(incarnation(2_000), 9));
     let known = observable_state(&fleet, &incarnation(2_000));
@@ -174,25 +179,25 @@
     let report =
         ChangingRunner { runner: incarnation(1_000), stage: Stage::Prefill, left_ms: 5_000 };
     fleet.on_changing_words(&[report], SECOND_US);
-    assert_eq!(observable_state(&fleet, &incarnation(2_000)), known, "of a life that is over");
+    assert_eq!(
+        observable_state(&fleet, &incarnation(2_000)),
+        known,
+        "reports about a former incarnation"
+    );
 }
 
-/// The revision of the entry orders lives: a machine's clock may have been set back.
+/// The entry's revision orders incarnations, because a machine's clock may be set back.
 #[test]
 fn a_later_entry_is_a_later_incarnation_whatever_its_clock_says() {
     let mut fleet = fleet();
-    assert_eq!(
-        fleet.put(record(incarnation(9_000), 4)),
-        FleetChange::None,
-        "an entry that came late"
-    );
+    assert_eq!(fleet.put(record(incarnation(9_000), 4)), FleetChange::None, "a late entry");
     assert!(fleet.get(&incarnation(1_000)).is_some());
     let ended = EndedLife { id: incarnation(1_000), was_leaving: false };
     assert_eq!(fleet.put(record(incarnation(500), 8)), FleetChange::Reborn { ended });
     assert_eq!(
         fleet.put(record(incarnation(1_000), 6)),
         FleetChange::None,
-        "the life that is over"
+        "the former incarnation"
     );
     assert_eq!(fleet.life_of(&RunnerName::new("i-1")), Some(&incarnation(500)));
     assert_eq!(fleet.remove(&incarnation(1_000), at(9), None), FleetChange::None);
@@ -200,7 +205,7 @@
     assert_eq!(fleet.life_of(&RunnerName::new("i-1")), None);
 }
 
-/// A node that was cut off reads everything anew: nobody has noticed the gap.
+/// A disconnected node reads the whole registry again, although it observed no gap.
 #[test]
 fn a_full_read_of_the_registry_reveals_new_incarnations() {
     let mut fleet = fleet();
@@ -210,7 +215,7 @@
     assert!(fleet.replace_all(vec![record(incarnation(2_000), 8)], at(10), None).is_empty());
 }
 
-/// Runners that start again keep their scheduler and the prompts that are gathered at them.
+/// Restarted runners keep their scheduler and the prompts that are routed to them by prefix.
 #[test]
 fn a_new_incarnation_stays_in_its_shard() {
     let of = 16;
@@ -226,7 +231,8 @@
     }
 }
 
-/// A request that ends a runner, and ends it again after its restart, ends two lives.
+/// A request that crashes a runner, and crashes it again after the restart, counts as two crashed
+/// incarnations.
 #[test]
 fn each_incarnation_that_crashes_under_a_request_counts() {
     let request = RequestIdentity::of(&RequestParts {
@@ -251,7 +257,7 @@
 }
 
 proptest! {
-    /// A name and a time come apart as they were put together, and no two lives have one id.
+    /// Name and time can be recovered from an id, and no two incarnations share an id.
     #[test]
     fn an_incarnation_is_identified_by_name_and_time(
         one in ("[a-z0-9@-]{1,12}", proptest::option::of(0..20_u64)),
@@ -265,13 +271,14 @@
         prop_assert_eq!(id(&one) == id(&other), one == other);
     }
 
-    /// In any order of entries, removals and whole lists, the fleet holds the life of the latest of them.
+    /// For any order of entries, removals and full reads, the fleet holds the incarnation of the
+    /// latest of them.
     #[test]
     fn the_latest_entry_determines_the_incarnation(changes in proptest::collection::vec((0..3_u8, 0..4_u64), 1..30), swaps in proptest::collection::vec(0..30_usize, 0..4)) {
         let mut ordered: Vec<(u64, u8, u64)> =
             changes.iter().enumerate().map(|(at, (kind, born))| (at as u64 + 1, *kind, *born)).collect();
         let last = ordered[ordered.len() - 1];
-        // Entries that are late come after later ones; removals and lists come in order.
+        // Late entries arrive after later entries; removals and full reads arrive in order.
         for at in swaps {
             if at + 1 < ordered.len() && ordered[at].1 == 0 && ordered[at + 1].1 == 0 {
                 ordered.swap(at, at + 1);
--- a/crates/serving/tests/runner_notices.rs
+++ b/crates/serving/tests/runner_notices.rs
@@ -1,4 +1,4 @@
-//! What runners say of themselves: who gets a request, whatever order words, entries and time come in.
+//! Notices of runners: which runners get requests, for any order of notices, entries and times.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -41,7 +41,8 @@
     let mut availability = Availability::default();
     let learned = availability.on_notice(rest(3 * SECOND_US), SECOND_US);
     assert_eq!(learned, AvailabilityChange { leaving: false, rest_us: Some(3 * SECOND_US) });
-    // A shorter one that is asked for later, and an answer that says nothing, take nothing back.
+    // A later request for a shorter rest, or a response without a notice, does not shorten the
+    // rest.
     assert_eq!(
         availability.on_notice(rest(SECOND_US), 2 * SECOND_US),
         AvailabilityChange::default()
@@ -52,8 +53,8 @@
     assert!(!availability.is_resting(4 * SECOND_US));
 }
 
-/// A stream that the runner had taken up before it asked for rest goes on for long after: it is no try. Counted as one,
-/// it kept all new work of the node from a writer until the stream's end.
+/// Guards against counting a request that was accepted before the rest as the trial after it. A
+/// long stream then kept all new work of the node from a decode runner until the end of the stream.
 #[test]
 fn after_a_rest_one_request_tries_the_runner_before_others_follow() {
     let id = RunnerId::new("a");
@@ -64,14 +65,14 @@
     fleet.on_accepted(&id);
     fleet.on_notice(&id, rest(SECOND_US), 0);
     assert!(is_avoided(&fleet, SECOND_US - 1));
-    assert!(!is_avoided(&fleet, SECOND_US), "the stream from before is no try");
+    assert!(!is_avoided(&fleet, SECOND_US), "the earlier stream is not the trial");
     fleet.on_sent(&id, AttemptDemand::default());
-    assert!(is_avoided(&fleet, SECOND_US), "one tries it");
+    assert!(is_avoided(&fleet, SECOND_US), "one request is the trial");
     fleet.on_ended(&id, AttemptDemand::default());
-    assert!(!is_avoided(&fleet, SECOND_US), "it was in vain: the next one tries");
+    assert!(!is_avoided(&fleet, SECOND_US), "the trial failed, so the next request tries");
     fleet.on_sent(&id, AttemptDemand::default());
     fleet.on_accepted(&id);
-    assert!(!is_avoided(&fleet, SECOND_US), "others follow");
+    assert!(!is_avoided(&fleet, SECOND_US), "others may follow");
 }
 
 #[test]
@@ -82,7 +83,8 @@
     assert!(!availability.is_resting(SECOND_US + MAX_REST_US));
 }
 
-/// The scheduler that chooses for another node was asked for rest itself; the other node was not.
+/// A scheduler that chooses for another node was asked for a rest itself, but the other node was
+/// not.
 #[test]
 fn a_rest_requested_from_this_node_only_ranks_runners_for_others() {
     let mut fleet = Fleet::default();
@@ -111,21 +113,25 @@
         fleet.first_opening(&eligible, 2 * SECOND_US).map(|it| it.at_us),
         Some(3 * SECOND_US)
     );
-    assert_eq!(fleet.withheld(&service, 1)[0], RunnerId::new("c"), "it stays withheld");
+    assert_eq!(
+        fleet.withheld(&service, 1)[0],
+        RunnerId::new("c"),
+        "the leaving runner stays withheld"
+    );
 }
 
-/// The store was away: the entry lapsed and comes back as it was.
+/// The store was unavailable: the entry lapses and comes back unchanged.
 #[test]
 fn an_entry_that_comes_back_overrides_no_notice() {
     let mut fleet = Fleet::default();
     fleet.put(record(incarnation(1), false, 1));
     fleet.on_notice(&incarnation(1), LEAVING, 0);
-    // A leaving runner's entry is not kept as one that may have lapsed.
+    // The entry of a leaving runner is not kept as one that may have lapsed.
     fleet.remove(&incarnation(1), at(2), Some(SECOND_US));
     assert!(fleet.get(&incarnation(1)).is_none());
     fleet.put(record(incarnation(1), false, 3));
     assert!(candidates(&fleet, Sender::ThisNode, 1).is_empty());
-    // An answer may also come when the entry is gone.
+    // A response may also arrive while the entry is gone.
     fleet.remove(&incarnation(1), at(4), None);
     fleet.put(record(incarnation(2), false, 5));
     fleet.remove(&incarnation(2), at(6), None);
@@ -135,7 +141,7 @@
     assert_eq!(candidates(&fleet, Sender::ThisNode, SECOND_US), [incarnation(2)]);
 }
 
-/// One thing that happens to a runner that is now in one of three lives.
+/// An event at a runner that goes through three incarnations.
 #[derive(Clone, Debug)]
 enum Step {
     Put { born: u64, draining: bool },
@@ -163,7 +169,7 @@
     ]
 }
 
-/// What each life has said, kept without any regard to entries.
+/// What each incarnation has announced, recorded regardless of entries.
 #[derive(Default)]
 struct Announced {
     leaving: bool,
@@ -171,8 +177,9 @@
 }
 
 proptest! {
-    /// Whatever comes between a word and a request, in whatever order: a life that has said that it leaves gets
-    /// none, and one that has asked for rest none before its end; and one that has said neither is no worse off.
+    /// For any events between a notice and a request: an incarnation that has announced that it
+    /// leaves gets no request, one that has requested a rest gets none before the end of the rest,
+    /// and other incarnations are not withheld.
     #[test]
     fn no_order_of_events_revokes_a_notice(steps in prop::collection::vec(step(), 1..60)) {
         let mut fleet = Fleet::default();
--- a/crates/serving/tests/runner_speed.rs
+++ b/crates/serving/tests/runner_speed.rs
@@ -1,4 +1,4 @@
-//! The measured pace of each runner, and the work that it gets by it, in virtual time.
+//! Measurement of each runner's speed, and the share of work that follows from it, in virtual time.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -32,8 +32,8 @@
 }
 
 #[test_case(1.0)]
-#[test_case(0.77; "a faster kind")]
-#[test_case(5.0; "turned slow")]
+#[test_case(0.77; "faster hardware")]
+#[test_case(5.0; "slowed down")]
 fn the_slowdown_of_a_runner_is_found_within_a_few_prefills(factor: f64) {
     let mut speed = RunnerSpeed::default();
     (1..=12).for_each(|number| {
@@ -67,7 +67,7 @@
 #[test]
 fn queueing_is_not_slowness_if_all_prefills_are_observed() {
     let mut speed = RunnerSpeed::default();
-    // Sent at once, read one after the other, 40 ms each.
+    // All are sent at once and prefilled one after the other, 40 ms each.
     for number in 1..=20_u64 {
         let read_ms = 40.0 * number as f64;
         let queued = PrefillTiming {
@@ -119,11 +119,11 @@
     }
 }
 
-/// When a prompt will have been read and when it was sent, its runner, its tokens, and whether it
+/// Completion and sending time of a prefill in microseconds, its runner, its tokens, and whether it
 /// met no queue.
 type PendingPrefill = (u64, u64, RunnerId, u64, bool);
 
-/// Readers of given speeds, the last of which is slower by a factor for some time.
+/// Simulation of prefill runners with given speeds, the last of which is slowed down for some time.
 struct Simulation {
     fleet: Fleet,
     speed: PrefillSpeed,
@@ -131,20 +131,20 @@
     slow: (RunnerId, f64, std::ops::Range<u64>),
     free_at_us: BTreeMap<RunnerId, u64>,
     pending: BinaryHeap<Reverse<PendingPrefill>>,
-    /// Tokens that each runner was given, by second.
+    /// Tokens assigned to each runner, by second.
     assigned_tokens: BTreeMap<(RunnerId, u64), u64>,
 }
 
 const SPEEDS: [f64; 5] = [1.0, 1.0, 1.3, 3.0, 1.0];
-/// Speed at which a decode runner reads itself.
+/// Relative speed of prefill at a decode runner.
 const DECODE_RUNNER_SPEED: f64 = 0.5;
 const SLOWDOWN: f64 = 5.0;
 const SLOW_US: std::ops::Range<u64> = 20 * SECOND_US..26 * SECOND_US;
 const END_US: u64 = 45 * SECOND_US;
-/// A little more than the runners can read.
+/// Interval between arrivals, slightly shorter than the runners can sustain.
 const ARRIVAL_INTERVAL_US: u64 = 3_750;
 
-/// Spread over 500 to 5,500, 3,000 on the mean.
+/// Spread evenly over 500 to 5,500 tokens, 3,000 on average.
 fn prompt_tokens(number: u64) -> u64 {
     const STEP: u64 = 2_137;
     500 + number * STEP % 5_000
@@ -262,7 +262,7 @@
         simulation.assigned_tokens(4, seconds.clone()) / simulation.assigned_tokens(0, seconds)
     };
     assert!(share(22..26) < 0.4, "while it is slow: {}", share(22..26));
-    assert!(share(31..45) > 0.85, "when that is over: {}", share(31..45));
+    assert!(share(31..45) > 0.85, "after it has recovered: {}", share(31..45));
 }
 
 #[test]
