--- a/crates/serving/tests/roles_world/mod.rs
+++ b/crates/serving/tests/roles_world/mod.rs
@@ -271,15 +271,15 @@
         let question = question(ticket, &prompt, scheduler.shard.clone());
         let reserved = reservation(&scheduler.fleet, &question, &prompt, &plan, self.now_us);
         scheduler.reservations.reserve(&mut scheduler.fleet, ticket, reserved);
-        let (ToldPlan::Split(reader, _) | ToldPlan::Direct(reader)) = plan;
-        scheduler.fleet.on_placed(&reader.runner, TOKENS, self.now_us);
+        let (ToldPlan::Split(prefill, _) | ToldPlan::Direct(prefill)) = plan;
+        scheduler.fleet.on_placed(&prefill.runner, TOKENS, self.now_us);
         // A runner that has left is unreachable, so the request fails.
-        let Some(engine) = self.engines.get_mut(&reader.runner) else {
-            self.schedulers[index].fleet.on_unreachable(&reader.runner, self.now_us);
+        let Some(engine) = self.engines.get_mut(&prefill.runner) else {
+            self.schedulers[index].fleet.on_unreachable(&prefill.runner, self.now_us);
             return self.end(&request, false);
         };
         let queue =
-            if reader.late_tokens > 0 { &mut engine.overdue_queue } else { &mut engine.queue };
+            if prefill.late_tokens > 0 { &mut engine.overdue_queue } else { &mut engine.queue };
         queue.push_back(request);
     }
 
@@ -329,9 +329,9 @@
 
     fn report_and_plan(&mut self) {
         let now_us = self.now_us;
-        let told = |it: &Scheduler| (it.shard.clone(), it.fleet.shard_loads(&it.shard, now_us));
-        let told: Vec<_> = self.schedulers.iter().map(told).collect();
-        for (shard, loads) in told.iter().filter(|(_, loads)| !loads.is_empty()) {
+        let reported = |it: &Scheduler| (it.shard.clone(), it.fleet.shard_loads(&it.shard, now_us));
+        let reported: Vec<_> = self.schedulers.iter().map(reported).collect();
+        for (shard, loads) in reported.iter().filter(|(_, loads)| !loads.is_empty()) {
             self.planner_fleet.on_shard_loads(shard, loads, now_us);
             for scheduler in self.schedulers.iter_mut().filter(|it| it.shard != *shard) {
                 scheduler.fleet.on_shard_loads(shard, loads, now_us);
