--- a/crates/serving/src/role_planner.rs
+++ b/crates/serving/src/role_planner.rs
@@ -87,10 +87,10 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::NoPressure => "no pressure",
-            Self::NoSpareDecode => "nobody to spare",
-            Self::MinDecodeReached => "least decode",
+            Self::NoSpareDecode => "no spare decode runner",
+            Self::MinDecodeReached => "minimum of decode runners",
             Self::PrefillBusy => "prefill busy",
-            Self::PressureTooRecent => "not lasting",
+            Self::PressureTooRecent => "pressure too recent",
             Self::Paused => "paused",
         }
     }
