--- a/crates/serving/src/fleet/beliefs.rs
+++ b/crates/serving/src/fleet/beliefs.rs
@@ -125,9 +125,12 @@
                 overdue_tokens: load.late_tokens,
                 held_tokens: load.held_tokens,
             };
-            let asked_a_second = load.asked_a_second;
-            runner.reported_load =
-                Some(ReportedLoad { load: reported, asked_a_second, reported_at_us: now_us });
+            let prefill_tokens_per_second = load.asked_a_second;
+            runner.reported_load = Some(ReportedLoad {
+                load: reported,
+                prefill_tokens_per_second,
+                reported_at_us: now_us,
+            });
         }
     }
 
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -307,7 +307,7 @@
     pub fn prefill_tokens_per_second(&self, now_us: u64) -> f64 {
         let reported = self.reported_load.filter(|reported| reported.is_fresh(now_us));
         self.prefill_demand.tokens_per_second(now_us)
-            + reported.map_or(0.0, |reported| reported.asked_a_second as f64)
+            + reported.map_or(0.0, |reported| reported.prefill_tokens_per_second as f64)
     }
 
     /// Estimated tokens of KV cache that the attempts of all nodes occupy.
@@ -375,7 +375,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
     pub(crate) load: Load,
-    pub(crate) asked_a_second: u64,
+    pub(crate) prefill_tokens_per_second: u64,
     pub(crate) reported_at_us: u64,
 }
 
