--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -25,7 +25,7 @@
 //! | [`runner_notice`] | whether a runner takes requests, by its own word |
 //! | [`prefix_cache`], [`failure_rate`] | what a runner probably holds, how often it fails |
 //! | [`suspicion`] | whether a runner that is silent is busy or gone |
-//! | [`read_pace`], [`runner_pace`] | how fast prompts are read, and how much each runner differs |
+//! | [`prefill_speed`], [`runner_speed`] | how fast prompts are read, and how much each runner differs |
 //! | [`placement`] | which runner reads a prompt and which one writes the answer |
 //! | [`urgency`] | what goes ahead of what at a runner |
 //! | [`scheduling`] | which node places a request, and what nodes say to each other for that |
