--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -168,7 +168,7 @@
             follow_up.tell(Progress::Prefilled(elapsed_ms(sent_at)));
         }
         let is_usable =
-            |writer: &RunnerChoice| prompt.is_some() && self.node.takes_work(&writer.runner);
+            |writer: &RunnerChoice| prompt.is_some() && self.node.accepts_work(&writer.runner);
         let writer = writer.filter(is_usable);
         let zone = prompt.as_ref().map(|prompt| prompt.zone.clone());
         let (choice, permit) = self.permitted_writer(writer, zone.as_ref()).await.unzip();
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -6,10 +6,10 @@
 use crate::digest::ChangingRunner;
 use crate::ids::RunnerId;
 use crate::prefix::PromptPart;
-use crate::runner::{AttemptDemand, Load, LoadReport, Runner, Stage, ToldLoad};
+use crate::runner::{AttemptDemand, Load, LoadReport, ReportedLoad, Runner, Stage};
 use crate::runner_limit::{LimitChange, LimitWord, NamedLimit};
-use crate::runner_notice::{Learned, RunnerNotice};
-use crate::runner_pace::{RunnerReading, Spent};
+use crate::runner_notice::{AvailabilityChange, RunnerNotice};
+use crate::runner_speed::{PrefillDuration, PrefillTiming};
 use crate::scheduling::{RunnerLoad, Shard};
 use crate::suspicion::Suspicion;
 
@@ -26,9 +26,9 @@
         if let Some(runner) = self.runners.get_mut(id) {
             runner.in_flight += 1;
             runner.availability.on_sent();
-            runner.unread_requests += u32::from(demand.is_unread());
-            runner.unread_tokens += demand.unread_tokens;
-            runner.late_tokens += demand.late_tokens;
+            runner.pending_prefills += u32::from(demand.needs_prefill());
+            runner.prefill_tokens += demand.prefill_tokens;
+            runner.overdue_tokens += demand.overdue_tokens;
             runner.held_tokens += demand.held_tokens;
         }
     }
@@ -36,10 +36,10 @@
     /// Records that a runner has prefilled the prompt of an attempt.
     pub fn on_prefilled(&mut self, id: &RunnerId, demand: AttemptDemand) {
         if let Some(runner) = self.runners.get_mut(id) {
-            let prefilled = u32::from(demand.is_unread());
-            runner.unread_requests = runner.unread_requests.saturating_sub(prefilled);
-            runner.unread_tokens = runner.unread_tokens.saturating_sub(demand.unread_tokens);
-            runner.late_tokens = runner.late_tokens.saturating_sub(demand.late_tokens);
+            let prefilled = u32::from(demand.needs_prefill());
+            runner.pending_prefills = runner.pending_prefills.saturating_sub(prefilled);
+            runner.prefill_tokens = runner.prefill_tokens.saturating_sub(demand.prefill_tokens);
+            runner.overdue_tokens = runner.overdue_tokens.saturating_sub(demand.overdue_tokens);
         }
     }
 
@@ -48,10 +48,10 @@
         if let Some(runner) = self.runners.get_mut(id) {
             runner.in_flight = runner.in_flight.saturating_sub(1);
             runner.availability.on_ended();
-            let unread = u32::from(demand.is_unread());
-            runner.unread_requests = runner.unread_requests.saturating_sub(unread);
-            runner.unread_tokens = runner.unread_tokens.saturating_sub(demand.unread_tokens);
-            runner.late_tokens = runner.late_tokens.saturating_sub(demand.late_tokens);
+            let unread = u32::from(demand.needs_prefill());
+            runner.pending_prefills = runner.pending_prefills.saturating_sub(unread);
+            runner.prefill_tokens = runner.prefill_tokens.saturating_sub(demand.prefill_tokens);
+            runner.overdue_tokens = runner.overdue_tokens.saturating_sub(demand.overdue_tokens);
             runner.held_tokens = runner.held_tokens.saturating_sub(demand.held_tokens);
         }
     }
@@ -74,7 +74,7 @@
     /// it.
     pub fn on_placed(&mut self, id: &RunnerId, tokens: u64, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.asked.on_asked(tokens, now_us);
+            runner.prefill_demand.add(tokens, now_us);
         }
     }
 
@@ -82,10 +82,10 @@
     pub fn on_prefill_measured(
         &mut self,
         id: &RunnerId,
-        reading: RunnerReading,
+        reading: PrefillTiming,
         now_us: u64,
-    ) -> Option<Spent> {
-        self.runners.get_mut(id)?.pace.on_read(reading, now_us)
+    ) -> Option<PrefillDuration> {
+        self.runners.get_mut(id)?.speed.on_prefilled(reading, now_us)
     }
 
     /// Reserves the demand of a request on a runner that this node schedules.
@@ -95,7 +95,7 @@
 
     /// Records that the prompt of a request with a reservation has been prefilled.
     pub fn on_reserved_prefilled(&mut self, id: &RunnerId, demand: AttemptDemand) {
-        self.update_reserved(id, |reserved| reserved.on_read(demand));
+        self.update_reserved(id, |reserved| reserved.on_prefilled(demand));
     }
 
     /// Releases the reservation of a request.
@@ -105,13 +105,13 @@
 
     /// Records that a reservation on this runner waits for another runner to prefill the prompt.
     pub fn on_remote_prefill_pending(&mut self, id: &RunnerId) {
-        self.update_reserved(id, |reserved| reserved.unread_requests += 1);
+        self.update_reserved(id, |reserved| reserved.pending_prefills += 1);
     }
 
     /// Records that the prompt has been prefilled elsewhere, or is no longer waited for.
     pub fn on_remote_prefill_finished(&mut self, id: &RunnerId) {
         self.update_reserved(id, |reserved| {
-            reserved.unread_requests = reserved.unread_requests.saturating_sub(1);
+            reserved.pending_prefills = reserved.pending_prefills.saturating_sub(1);
         });
     }
 
@@ -125,19 +125,23 @@
     /// are left out of the report, so their previous loads are cleared.
     pub fn on_shard_loads(&mut self, shard: &Shard, loads: &[RunnerLoad], now_us: u64) {
         for runner in self.runners.values_mut().filter(|runner| shard.contains(runner)) {
-            runner.told = None;
+            runner.reported_load = None;
         }
         for load in loads {
             let Some(runner) = self.runners.get_mut(&load.runner) else { continue };
             let reported = Load {
                 in_flight: load.in_flight,
-                unread_requests: load.unread_requests,
-                unread_tokens: load.unread_tokens,
-                late_tokens: load.late_tokens,
+                pending_prefills: load.unread_requests,
+                prefill_tokens: load.unread_tokens,
+                overdue_tokens: load.late_tokens,
                 held_tokens: load.held_tokens,
             };
-            let asked_a_second = load.prefill_tokens_per_s;
-            runner.told = Some(ToldLoad { load: reported, asked_a_second, told_at_us: now_us });
+            let prefill_tokens_per_second = load.prefill_tokens_per_s;
+            runner.reported_load = Some(ReportedLoad {
+                load: reported,
+                prefill_tokens_per_second,
+                reported_at_us: now_us,
+            });
         }
     }
 
@@ -147,11 +151,11 @@
         let load = |runner: &Runner| RunnerLoad {
             runner: runner.record.id.clone(),
             in_flight: runner.in_flight + runner.reserved.in_flight,
-            unread_requests: runner.unread_requests + runner.reserved.unread_requests,
-            unread_tokens: runner.unread_tokens + runner.reserved.unread_tokens,
-            late_tokens: runner.late_tokens_of_all(),
+            unread_requests: runner.pending_prefills + runner.reserved.pending_prefills,
+            unread_tokens: runner.prefill_tokens + runner.reserved.prefill_tokens,
+            late_tokens: runner.local_overdue_tokens(),
             held_tokens: runner.held_tokens + runner.reserved.held_tokens,
-            prefill_tokens_per_s: runner.asked.a_second(now_us) as u64,
+            prefill_tokens_per_s: runner.prefill_demand.tokens_per_second(now_us) as u64,
         };
         let of_shard = self.runners.values().filter(|runner| shard.contains(runner));
         of_shard.map(load).filter(|load| load.in_flight > 0).collect()
@@ -161,8 +165,9 @@
     /// are attributed to other nodes.
     pub fn on_load(&mut self, id: &RunnerId, load: LoadReport, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.others = (load.running + load.waiting).saturating_sub(runner.in_flight);
-            runner.others_at_us = now_us;
+            runner.reported_peer_requests =
+                (load.running + load.waiting).saturating_sub(runner.in_flight);
+            runner.peer_requests_reported_at_us = now_us;
         }
     }
 
@@ -170,7 +175,7 @@
     pub fn on_answered(&mut self, id: &RunnerId, failed: bool, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.suspicion.on_progress(now_us);
-            runner.failures.on_answer(failed, now_us);
+            runner.failures.on_response(failed, now_us);
         }
     }
 
@@ -189,8 +194,8 @@
         let is_same_order = |(known, known_until_us): (Stage, u64)| {
             known == stage && until_us < known_until_us + NEW_ORDER_MIN_DELAY_US
         };
-        if !runner.changing.is_some_and(is_same_order) {
-            runner.changing = Some((stage, until_us));
+        if !runner.role_change.is_some_and(is_same_order) {
+            runner.role_change = Some((stage, until_us));
         }
     }
 
@@ -204,9 +209,9 @@
 
     /// The runners that are changing their roles, with the time left for it.
     pub fn role_changes(&self, now_us: u64) -> Vec<ChangingRunner> {
-        let changing = self.runners.values().filter(|runner| runner.is_changing(now_us));
+        let changing = self.runners.values().filter(|runner| runner.is_changing_role(now_us));
         let role_change = |runner: &Runner| {
-            let (stage, until_us) = runner.changing?;
+            let (stage, until_us) = runner.role_change?;
             let left_ms = until_us.saturating_sub(now_us) / MICROS_PER_MILLI;
             Some(ChangingRunner { runner: runner.record.id.clone(), stage, left_ms })
         };
@@ -215,7 +220,12 @@
 
     /// Applies what a runner reported about itself in a response to this node. The notice is kept
     /// even if the entry of the incarnation is gone, because the entry may come back unchanged.
-    pub fn on_notice(&mut self, id: &RunnerId, notice: RunnerNotice, now_us: u64) -> Learned {
+    pub fn on_notice(
+        &mut self,
+        id: &RunnerId,
+        notice: RunnerNotice,
+        now_us: u64,
+    ) -> AvailabilityChange {
         if let Some(runner) = self.runners.get_mut(id) {
             return runner.availability.on_notice(notice, now_us);
         }
@@ -294,7 +304,7 @@
     /// Records that a runner broke off a response although it is reachable.
     pub fn on_response_interrupted(&mut self, id: &RunnerId, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.failures.on_answer(true, now_us);
+            runner.failures.on_response(true, now_us);
         }
     }
 
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -9,8 +9,8 @@
 
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RunnerId, ZoneId};
+use crate::prefill_speed::PrefillSpeed;
 use crate::prefix::{rendezvous_weight, Prompt};
-use crate::read_pace::ReadPace;
 use crate::runner::{AttemptDemand, Runner, Stage};
 
 /// The inputs of a choice besides the fleet.
@@ -58,13 +58,13 @@
 impl RunnerChoice {
     /// Moves the prefill behind all work that can still meet its target.
     pub fn defer(mut self) -> Self {
-        self.demand.late_tokens += std::mem::take(&mut self.demand.unread_tokens);
+        self.demand.overdue_tokens += std::mem::take(&mut self.demand.prefill_tokens);
         self
     }
 
     /// Prompt tokens that the runner has to prefill, deferred or not.
     pub fn prefill_tokens(&self) -> u64 {
-        self.demand.unread_tokens + self.demand.late_tokens
+        self.demand.prefill_tokens + self.demand.overdue_tokens
     }
 }
 
@@ -149,7 +149,11 @@
 }
 
 /// Chooses how the prompt is prefilled and by which runner. `None` if no decode runner takes work.
-pub fn plan_prefill(fleet: &Fleet, pace: &ReadPace, demand: &Demand<'_>) -> Option<PrefillPlan> {
+pub fn plan_prefill(
+    fleet: &Fleet,
+    pace: &PrefillSpeed,
+    demand: &Demand<'_>,
+) -> Option<PrefillPlan> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let (prefill_runners, decode_runners) = partition_by_stage(&candidates);
     let view = PromptView::new(fleet, &candidates, pace, demand);
@@ -175,7 +179,7 @@
 ) -> Option<RunnerChoice> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let (_, decode_runners) = partition_by_stage(&candidates);
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     let view = PromptView::new(fleet, &candidates, &pace, demand);
     let near = source.unwrap_or(demand.zone);
     cheapest(&decode_runners, &view, |runner| view.decode_cost_ms(runner, near))
@@ -196,8 +200,8 @@
     let choice = RunnerChoice {
         runner: best.record.id.clone(),
         demand: AttemptDemand {
-            unread_tokens: view.unread_tokens(best),
-            late_tokens: 0,
+            prefill_tokens: view.unread_tokens(best),
+            overdue_tokens: 0,
             held_tokens: view.held_tokens(),
         },
         fetch_from: source.map(|source| source.record.id.clone()),
@@ -210,7 +214,7 @@
 /// A prompt and its cost on each runner of the service.
 struct PromptView<'a> {
     fleet: &'a Fleet,
-    pace: &'a ReadPace,
+    pace: &'a PrefillSpeed,
     demand: &'a Demand<'a>,
     /// The homes of the shared prefix among the prefill and the decode runners.
     prefill_home: Option<&'a RunnerId>,
@@ -225,7 +229,7 @@
     fn new(
         fleet: &'a Fleet,
         candidates: &[&'a Runner],
-        pace: &'a ReadPace,
+        pace: &'a PrefillSpeed,
         demand: &'a Demand<'a>,
     ) -> Self {
         let (prefill_runners, decode_runners) = partition_by_stage(candidates);
@@ -264,7 +268,7 @@
         let moved_tokens =
             source.cached_tokens(self.demand.prompt).saturating_sub(cached_tokens) as f64;
         self.cross_region_fetch_ms(source, runner)
-            <= self.pace.read_ms(moved_tokens) * PREFILL_COST_FACTOR
+            <= self.pace.prefill_ms(moved_tokens) * PREFILL_COST_FACTOR
     }
 
     /// Time to fetch the prefix from a runner of another region, in milliseconds.
@@ -291,7 +295,7 @@
 
     /// Cost of a shortage of memory: requests then wait, or are preempted and prefilled again.
     fn memory_cost_ms(&self, runner: &Runner) -> f64 {
-        let held = runner.held_by_all(self.demand.now_us) + self.held_tokens();
+        let held = runner.total_held_tokens(self.demand.now_us) + self.held_tokens();
         let share = held as f64 / self.demand.cache_tokens.max(1) as f64;
         (share - MEMORY_PRESSURE_SHARE).max(0.0) * MEMORY_PRESSURE_COST_MS
     }
@@ -311,7 +315,7 @@
 
     /// Time that a runner takes to prefill so many tokens, without queueing.
     fn prefill_duration_ms(&self, runner: &Runner, tokens: u64) -> f64 {
-        self.pace.read_ms_at(runner, tokens as f64, self.demand.now_us)
+        self.pace.prefill_ms_at(runner, tokens as f64, self.demand.now_us)
     }
 
     /// Expected time until the prompt is prefilled by a runner that is not decoding, queueing
@@ -334,7 +338,7 @@
         let distance = self.distance_cost_ms(runner, self.demand.zone)
             + off_home_cost_ms(runner, self.prefill_home);
         let deferred =
-            self.prefill_duration_ms(runner, runner.late_tokens_of_all()) * DEFERRED_WORK_WEIGHT;
+            self.prefill_duration_ms(runner, runner.local_overdue_tokens()) * DEFERRED_WORK_WEIGHT;
         self.dedicated_prefill_ms(runner)
             + deferred
             + self.fetch_cost_ms(runner)
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -10,8 +10,8 @@
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, RunnerId, ServiceName, ZoneId};
 use crate::placement::Demand;
+use crate::prefill_speed::PrefillSpeed;
 use crate::prefix::PromptPart;
-use crate::read_pace::ReadPace;
 use crate::runner::{Runner, Stage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
 /// The load of the runners of a service in a region; `None` without a prefill runner.
 pub fn service_load(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     service: &ServiceName,
     region: &RegionId,
     now_us: u64,
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -4,10 +4,10 @@
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, ZoneId};
 use crate::placement::{choose_decode_runner, plan_prefill, Demand, PrefillPlan, RunnerChoice};
+use crate::prefill_speed::PrefillSpeed;
 use crate::prefix::Prompt;
-use crate::read_pace::ReadPace;
 use crate::regions::{regions_in_order, LocalPlacement, RegionBacklogs};
-use crate::reservations::{Reservation, Reserved};
+use crate::reservations::{Reservation, RunnerReservation};
 use crate::runner::Stage;
 use crate::scheduling::{
     CrossRegionReason, PlacementQuery, RemoteRegion, Shard, WireChoice, WirePlan,
@@ -53,7 +53,7 @@
 /// then of the other regions. If `shard` is `None`, the region of the requesting zone comes first.
 pub fn choose_placement(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     demand: &Demand<'_>,
     shard: Option<&Shard>,
     due: ResponseTarget,
@@ -75,7 +75,7 @@
 /// prefilled in one region is not moved to another.
 fn choose_within(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     demand: &Demand<'_>,
     scope: Scope<'_>,
 ) -> Option<PlacementDecision> {
@@ -128,21 +128,21 @@
     const MICROS: u64 = 1_000;
     let reserved = |choice: &WireChoice| {
         let choice = RunnerChoice::from(choice.clone());
-        Reserved { runner: choice.runner, demand: choice.demand }
+        RunnerReservation { runner: choice.runner, demand: choice.demand }
     };
-    let (reader, writer) = match plan {
+    let (prefill, decode) = match plan {
         WirePlan::Split(reader, writer) => (reserved(reader), Some(reserved(writer))),
         WirePlan::Direct(choice) => (reserved(choice), None),
     };
-    let is_idle = fleet.get(&reader.runner).is_some_and(|runner| runner.is_idle(now_us));
+    let is_idle = fleet.get(&prefill.runner).is_some_and(|runner| runner.is_idle(now_us));
     Reservation {
         service: query.service.clone(),
-        met_no_queue: is_idle,
-        reader,
-        writer,
-        shared_parts: prompt.shared_prefix().to_vec(),
+        was_unqueued: is_idle,
+        prefill,
+        decode,
+        shared_prefixes: prompt.shared_prefix().to_vec(),
         deadline_us: now_us + query.remaining_ms * MICROS,
-        is_read: false,
+        is_prefilled: false,
     }
 }
 
@@ -150,7 +150,7 @@
 /// placed. Requests that were already forwarded stay where they are.
 pub fn less_loaded_shard(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     query: &PlacementQuery,
     placed: &PlacementDecision,
     now_us: u64,
@@ -211,7 +211,7 @@
 /// none.
 fn mean_wait_ms(
     fleet: &Fleet,
-    pace: &ReadPace,
+    pace: &PrefillSpeed,
     eligible: &Eligible<'_>,
     now_us: u64,
 ) -> Option<f64> {
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -186,8 +186,8 @@
     fn from(choice: &RunnerChoice) -> Self {
         Self {
             runner: choice.runner.clone(),
-            unread_tokens: choice.demand.unread_tokens,
-            late_tokens: choice.demand.late_tokens,
+            unread_tokens: choice.demand.prefill_tokens,
+            late_tokens: choice.demand.overdue_tokens,
             held_tokens: choice.demand.held_tokens,
             fetch_from: choice.fetch_from.clone(),
             expected_prefill_us: choice.expected_prefill_us,
@@ -201,8 +201,8 @@
         Self {
             runner: wire.runner,
             demand: AttemptDemand {
-                unread_tokens: wire.unread_tokens,
-                late_tokens: wire.late_tokens,
+                prefill_tokens: wire.unread_tokens,
+                overdue_tokens: wire.late_tokens,
                 held_tokens: wire.held_tokens,
             },
             fetch_from: wire.fetch_from,
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -13,8 +13,8 @@
 use pitchstall_serving::placement::{
     choose_decode_runner, choose_least_occupied, plan_prefill, Demand, PrefillPlan,
 };
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
-use pitchstall_serving::read_pace::ReadPace;
 use pitchstall_serving::routing::TrafficSplitter;
 use pitchstall_serving::runner::{AttemptDemand, LoadReport, RunnerRecord, Stage};
 use pitchstall_serving::scheduling::{RunnerLoad, Shard};
@@ -118,7 +118,7 @@
     assert_eq!(fleet.put(record("a", "north", None, 5)), FleetChange::Joined);
     assert_eq!(fleet.put(draining), FleetChange::Draining);
     assert_eq!(fleet.put(record("a", "north", None, 6)), FleetChange::Unchanged);
-    assert!(!fleet.get(&RunnerId::new("a")).unwrap().takes_work());
+    assert!(!fleet.get(&RunnerId::new("a")).unwrap().accepts_work());
     assert_eq!(
         fleet.remove(&RunnerId::new("a"), at(6), None),
         FleetChange::Unchanged,
@@ -198,7 +198,7 @@
 fn all_nodes_choose_the_same_home_and_avoid_it_when_it_is_busy() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
     assert_eq!(planned_runner(plan_prefill(&engines(), &pace, &case.demand())), home);
     // The scheduler reports a long prefill queue at the home.
@@ -222,7 +222,7 @@
 fn a_shared_prefix_is_fetched_from_the_runner_that_holds_it() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
     let other = ["p1", "p2", "p3"].into_iter().find(|id| *id != home).unwrap();
     let held = case.prompt.shared_prefix();
@@ -230,7 +230,7 @@
     let Some(PrefillPlan::Split(choice)) = plan_prefill(&fleet, &pace, &case.demand()) else {
         unreachable!("prefill runners are idle")
     };
-    assert_eq!(choice.demand.unread_tokens, 3_000);
+    assert_eq!(choice.demand.prefill_tokens, 3_000);
     if choice.runner.as_str() != other {
         assert_eq!(choice.fetch_from, Some(RunnerId::new(other)));
     }
@@ -243,10 +243,10 @@
     for id in ["p1", "p2", "p3"] {
         fleet.on_sent(
             &RunnerId::new(id),
-            AttemptDemand { unread_tokens: 200_000, late_tokens: 0, held_tokens: 200_000 },
+            AttemptDemand { prefill_tokens: 200_000, overdue_tokens: 0, held_tokens: 200_000 },
         );
     }
-    let plan = planned_runner(plan_prefill(&fleet, &ReadPace::default(), &case.demand()));
+    let plan = planned_runner(plan_prefill(&fleet, &PrefillSpeed::default(), &case.demand()));
     assert!(plan.starts_with("direct d"), "{plan}");
 }
 
@@ -255,7 +255,7 @@
     let mut fleet = one_region();
     fleet.put(record("p1", "north", Some(Stage::Prefill), 1));
     let case = Case::new(0, 1_000);
-    assert_eq!(plan_prefill(&fleet, &ReadPace::default(), &case.demand()), None);
+    assert_eq!(plan_prefill(&fleet, &PrefillSpeed::default(), &case.demand()), None);
 }
 
 #[test]
@@ -353,7 +353,7 @@
     let case = Case::new(0, 10_000);
     let chosen = |fleet: &Fleet| choose_decode_runner(fleet, &case.demand(), None).unwrap().runner;
     assert_eq!(chosen(&fleet), RunnerId::new("d1"));
-    let demand = AttemptDemand { unread_tokens: 0, late_tokens: 0, held_tokens: CACHE_TOKENS };
+    let demand = AttemptDemand { prefill_tokens: 0, overdue_tokens: 0, held_tokens: CACHE_TOKENS };
     fleet.on_sent(&RunnerId::new("d1"), demand);
     assert_eq!(chosen(&fleet), RunnerId::new("d2"));
     fleet.on_ended(&RunnerId::new("d1"), demand);
@@ -364,7 +364,7 @@
 fn a_failing_runner_is_avoided_and_retried_later() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
     for _ in 0..5 {
         fleet.on_answered(&RunnerId::new(&home), true, 1_000);
@@ -410,10 +410,14 @@
     };
     fleet.on_shard_loads(&only_shard(), &[load], 0);
     let runner = fleet.get(&id).unwrap();
-    assert_eq!((runner.occupancy(0), runner.unread_for_peers(0)), (4.0, 1_000));
-    assert!(runner.occupancy(400_000) < 3.0 && runner.unread_for_peers(400_000) < 600);
-    assert_eq!((runner.occupancy(1_000_000), runner.unread_for_peers(1_000_000)), (0.0, 0));
-    assert_eq!(runner.held_by_all(1_000_000), 50, "memory is released only when the run ends");
+    assert_eq!((runner.occupancy(0), runner.peer_prefill_tokens(0)), (4.0, 1_000));
+    assert!(runner.occupancy(400_000) < 3.0 && runner.peer_prefill_tokens(400_000) < 600);
+    assert_eq!((runner.occupancy(1_000_000), runner.peer_prefill_tokens(1_000_000)), (0.0, 0));
+    assert_eq!(
+        runner.total_held_tokens(1_000_000),
+        50,
+        "memory is released only when the run ends"
+    );
 }
 
 /// A misdirected runner has to be used again after its entry has changed. Otherwise a runner that
@@ -425,7 +429,7 @@
     fleet.put(record("a", "north", Some(Stage::Decode), 3));
     fleet.on_misdirected(&id);
     assert_eq!(fleet.put(record("a", "north", Some(Stage::Decode), 3)), FleetChange::Unchanged);
-    assert!(!fleet.get(&id).unwrap().takes_work(), "the same entry arrives again");
+    assert!(!fleet.get(&id).unwrap().accepts_work(), "the same entry arrives again");
     fleet.replace_all(vec![record("a", "north", Some(Stage::Prefill), 5)], at(6), None);
-    assert!(fleet.get(&id).unwrap().takes_work());
+    assert!(fleet.get(&id).unwrap().accepts_work());
 }
--- a/crates/serving/tests/region_fetch.rs
+++ b/crates/serving/tests/region_fetch.rs
@@ -7,8 +7,8 @@
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::placement::{plan_prefill, Demand, PrefillPlan, RunnerChoice};
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
-use pitchstall_serving::read_pace::ReadPace;
 use pitchstall_serving::regions::CachedPrefixMessage;
 use pitchstall_serving::runner::{RunnerRecord, Stage};
 use pitchstall_serving::topology::Topology;
@@ -64,7 +64,7 @@
         region_move_ms,
         now_us: 1_000_000,
     };
-    match plan_prefill(fleet, &ReadPace::default(), &demand).unwrap() {
+    match plan_prefill(fleet, &PrefillSpeed::default(), &demand).unwrap() {
         PrefillPlan::Split(choice) | PrefillPlan::Direct(choice) => choice,
     }
 }
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -8,8 +8,8 @@
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
 use pitchstall_serving::placement::{choose_least_occupied, Demand, PrefillPlan, RunnerChoice};
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{rendezvous_weight, Prompt, PromptPart};
-use pitchstall_serving::read_pace::ReadPace;
 use pitchstall_serving::regions::{
     service_load, LocalPlacement, RegionBacklogs, RegionLoads, ServiceLoad,
 };
@@ -90,7 +90,7 @@
     }
 
     fn placed(&self, fleet: &Fleet, shard: Option<&Shard>) -> PlacementDecision {
-        choose_placement(fleet, &ReadPace::default(), &self.demand(), shard, DUE)
+        choose_placement(fleet, &PrefillSpeed::default(), &self.demand(), shard, DUE)
     }
 }
 
@@ -99,7 +99,7 @@
 }
 
 fn read_load(tokens: u64) -> AttemptDemand {
-    AttemptDemand { unread_tokens: tokens, late_tokens: 0, held_tokens: 0 }
+    AttemptDemand { prefill_tokens: tokens, overdue_tokens: 0, held_tokens: 0 }
 }
 
 #[test]
@@ -460,7 +460,7 @@
 fn a_regions_load_covers_only_its_own_runners() {
     let mut fleet = fleet(&two_regions());
     let service = ServiceName::new("llm");
-    let pace = ReadPace::default();
+    let pace = PrefillSpeed::default();
     for id in ["p-w-1-0", "p-w-1-1", "p-w-2-0", "p-w-2-1"] {
         fleet.on_sent(&RunnerId::new(id), read_load(20_000));
     }
@@ -468,7 +468,7 @@
         service_load(&fleet, &pace, &service, &RegionId::new(region), SECOND).unwrap()
     };
     assert_eq!((load("w").prefill_runners, load("e").prefill_runners), (4, 4));
-    let expected_prefill_us = (pace.read_ms(20_000.0) * 1_000.0) as u64;
+    let expected_prefill_us = (pace.prefill_ms(20_000.0) * 1_000.0) as u64;
     assert_eq!((load("w").wait_us, load("e").wait_us), (expected_prefill_us, 0));
     assert_eq!(service_load(&fleet, &pace, &service, &RegionId::new("n"), SECOND), None);
 }
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -8,8 +8,8 @@
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
 use pitchstall_serving::placement::{prefill_home, Demand, PrefillPlan};
+use pitchstall_serving::prefill_speed::PrefillSpeed;
 use pitchstall_serving::prefix::{Prompt, PromptPart};
-use pitchstall_serving::read_pace::ReadPace;
 use pitchstall_serving::reservations::Reservations;
 use pitchstall_serving::runner::{RunnerRecord, Stage};
 use pitchstall_serving::scheduler::{
@@ -142,7 +142,7 @@
             };
             let Placer { fleet, reservations } = &mut self.placers[placer];
             if !lost {
-                reservations.on_read(fleet, ticket);
+                reservations.on_prefilled(fleet, ticket);
                 reservations.end(fleet, ticket);
             }
         }
@@ -196,7 +196,7 @@
             Strategy::Schedulers { .. } => shard.number,
             Strategy::EachNode => rng.below(NODES as u64) as usize,
         };
-        let pace = ReadPace::default();
+        let pace = PrefillSpeed::default();
         let mut placed = self.decide(placer, &demand, &query.shard, &pace);
         let reported: Vec<_> = self
             .placers
@@ -229,7 +229,7 @@
         reservations.reserve(fleet, query.ticket, reservation);
         let (WirePlan::Split(prefill, _) | WirePlan::Direct(prefill)) = &plan;
         let slower = if matches!(plan, WirePlan::Direct(_)) { 2.0 } else { 1.0 };
-        let prefill_us = (pace.read_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
+        let prefill_us = (pace.prefill_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
         let (wait_us, prefilled_at_us) = self.queues.add(&prefill.runner, now_us, prefill_us);
         self.waits_us.push(wait_us);
         self.prefills.push(Reverse((prefilled_at_us, placer, query.ticket)));
@@ -240,7 +240,7 @@
         placer: usize,
         demand: &Demand<'_>,
         shard: &Shard,
-        pace: &ReadPace,
+        pace: &PrefillSpeed,
     ) -> PlacementDecision {
         let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
         let shard = matches!(self.strategy, Strategy::Schedulers { .. }).then_some(shard);
@@ -330,9 +330,10 @@
         now_us: 0,
     };
     let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
-    let placed = choose_placement(&fleet, &ReadPace::default(), &demand, Some(&query.shard), due);
+    let placed =
+        choose_placement(&fleet, &PrefillSpeed::default(), &demand, Some(&query.shard), due);
     let prefill = placed.prefill.as_ref().unwrap();
     let (PrefillPlan::Split(choice) | PrefillPlan::Direct(choice)) = prefill;
     assert!(query.shard.contains(fleet.get(&choice.runner).unwrap()));
-    assert_eq!(less_loaded_shard(&fleet, &ReadPace::default(), &query, &placed, 0), None);
+    assert_eq!(less_loaded_shard(&fleet, &PrefillSpeed::default(), &query, &placed, 0), None);
 }
