--- a/crates/gateway/src/quota/asking.rs
+++ b/crates/gateway/src/quota/asking.rs
@@ -7,8 +7,8 @@
 use pitchstall_serving::quota::{
     QuotaAnswer, QuotaQuestion, QuotaReturn, QuotaVerdict, TenantLimit,
 };
-use pitchstall_serving::quota_desk::{DeskStep, QuotaDesk, QuotaRequest};
 use pitchstall_serving::quota_outcome::{QuotaGrant, QuotaOutcome};
+use pitchstall_serving::quota_requester::{DeskStep, QuotaDesk, QuotaRequest};
 use pitchstall_serving::quota_slots::KeeperId;
 use pitchstall_serving::request::RequestFacts;
 use pitchstall_serving::scheduling::Ticket;
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -10,7 +10,7 @@
 //! | [`report`] | what operators are shown |
 //!
 //! Who pays what is decided in [`pitchstall_serving::quota_keeper`], whom to ask in
-//! [`pitchstall_serving::quota_desk`]. Nothing is said, asked or kept while no tenant has a limit.
+//! [`pitchstall_serving::quota_requester`]. Nothing is said, asked or kept while no tenant has a limit.
 
 pub mod asking;
 pub mod figures;
@@ -26,8 +26,8 @@
 use pitchstall_serving::digest::KeptSlot;
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::quota::QuotaBounds;
-use pitchstall_serving::quota_desk::QuotaDesk;
 use pitchstall_serving::quota_keeper::Keeper;
+use pitchstall_serving::quota_requester::QuotaDesk;
 use pitchstall_serving::quota_slots::KeeperId;
 use pitchstall_serving::store_revision::StoreLease;
 use std::cell::{Cell, RefCell};
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -38,9 +38,9 @@
 //! | [`quota`] | what a tenant may have run, and what nodes say to each other for that |
 //! | [`quota_slots`], [`quota_share`] | which keepers a tenant's limit is split among, and into what |
 //! | [`quota_keeper`], [`quota_bucket`] | whether a run is paid for |
-//! | [`quota_grants`], [`quota_turns`] | what may be given back, and how long others wait |
+//! | [`quota_grants`], [`quota_retry`] | what may be given back, and how long others wait |
 //! | [`quota_term`], [`quota_candidacy`] | which node is a keeper, and until when |
-//! | [`quota_desk`], [`quota_outcome`] | which keeper a node asks, and what follows from the answer or from none |
+//! | [`quota_requester`], [`quota_outcome`] | which keeper a node asks, and what follows from the answer or from none |
 //! | [`retry_budget`] | whether one more attempt may be made |
 //! | [`crash_evidence`] | which requests were under way at a runner when it ended |
 //! | [`quarantine`] | which requests end runners, and reach none any more |
@@ -69,14 +69,14 @@
 pub mod quota;
 pub mod quota_bucket;
 pub mod quota_candidacy;
-pub mod quota_desk;
 pub mod quota_grants;
 pub mod quota_keeper;
 pub mod quota_outcome;
+pub mod quota_requester;
+pub mod quota_retry;
 pub mod quota_share;
 pub mod quota_slots;
 pub mod quota_term;
-pub mod quota_turns;
 pub mod read_pace;
 pub mod regions;
 pub mod request;
--- a/crates/serving/src/quota_bucket.rs
+++ b/crates/serving/src/quota_bucket.rs
@@ -9,8 +9,8 @@
 
 use crate::quota::{QuotaQuestion, QuotaUnit, TenantLimit};
 use crate::quota_grants::RememberedGrants;
+use crate::quota_retry::Turns;
 use crate::quota_share::{SlotShare, MICRO};
-use crate::quota_turns::Turns;
 use crate::scheduling::Ticket;
 
 /// Costs up to this share of the burst need no reserve, as a divisor.
--- a/crates/serving/tests/quota_fleet/mod.rs
+++ b/crates/serving/tests/quota_fleet/mod.rs
@@ -1,8 +1,8 @@
 //! A small fleet in virtual time: nodes that ask and nodes that are keepers, the store's keys
 //! under leases, words that take time, are lost or come twice, and faults.
 
-mod holding;
-mod words;
+mod leases;
+mod messages;
 
 use pitchstall_serving::ids::{NodeId, RegionId, TenantName, ZoneId};
 use pitchstall_serving::membership::Member;
@@ -10,9 +10,9 @@
     QuotaAnswer, QuotaBounds, QuotaQuestion, QuotaReturn, QuotaUnit, TenantLimit,
 };
 use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyStep, KeeperKey};
-use pitchstall_serving::quota_desk::{DeskStep, QuotaDesk, QuotaRequest};
 use pitchstall_serving::quota_keeper::{Keeper, KeeperReply};
 use pitchstall_serving::quota_outcome::QuotaOutcome;
+use pitchstall_serving::quota_requester::{DeskStep, QuotaDesk, QuotaRequest};
 use pitchstall_serving::quota_slots::{all_keepers, KeeperId};
 use pitchstall_serving::quota_term::KeeperTerm;
 use pitchstall_serving::scheduling::Ticket;
--- a/crates/serving/tests/quota_keeper.rs
+++ b/crates/serving/tests/quota_keeper.rs
@@ -5,9 +5,9 @@
 use pitchstall_serving::quota::{
     QuotaAnswer, QuotaBounds, QuotaQuestion, QuotaReturn, QuotaUnit, QuotaVerdict, TenantLimit,
 };
-use pitchstall_serving::quota_desk::{DeskStep, QuotaDesk, QuotaRequest};
 use pitchstall_serving::quota_keeper::{Keeper, KeeperReply};
 use pitchstall_serving::quota_outcome::QuotaOutcome;
+use pitchstall_serving::quota_requester::{DeskStep, QuotaDesk, QuotaRequest};
 use pitchstall_serving::quota_slots::{all_keepers, keepers_of, KeeperId};
 use pitchstall_serving::quota_term::KeeperTerm;
 use pitchstall_serving::scheduling::Ticket;
