--- a/crates/gateway/src/peer_words.rs
+++ b/crates/gateway/src/peer_words.rs
@@ -5,7 +5,7 @@
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::membership::Member;
 use pitchstall_serving::quarantine::CrashWord;
-use pitchstall_serving::quota::{QuotaAnswer, QuotaQuestion, QuotaReturn};
+use pitchstall_serving::quota::{QuotaQuery, QuotaRefund, QuotaReply};
 use pitchstall_serving::quota_slots::KeeperId;
 use pitchstall_serving::regions::{PartsRead, RegionLoads};
 use pitchstall_serving::runner_limit::{LimitAnswer, LimitQuestion, LimitWord};
@@ -59,16 +59,16 @@
     Crash(CrashWord),
     /// May a run of this cost begin?
     #[serde(rename = "quota?")]
-    QuotaQuestion(QuotaQuestion),
+    QuotaQuestion(QuotaQuery),
     /// Whether it may.
     #[serde(rename = "quota")]
-    QuotaAnswer(QuotaAnswer),
+    QuotaAnswer(QuotaReply),
     /// This keeper has a question that was handed on to it.
     #[serde(rename = "quota+")]
     QuotaTaken(KeeperId),
     /// It has not begun.
     #[serde(rename = "quota-")]
-    QuotaReturn(QuotaReturn),
+    QuotaReturn(QuotaRefund),
     /// May one request be sent to a runner that names a limit?
     #[serde(rename = "limit?")]
     LimitQuestion(LimitQuestion),
--- a/crates/gateway/src/quota/asking.rs
+++ b/crates/gateway/src/quota/asking.rs
@@ -4,11 +4,9 @@
 use super::{bounds, own_address};
 use crate::node::{topology_of, Node};
 use crate::peer_words::PeerWord;
-use pitchstall_serving::quota::{
-    QuotaAnswer, QuotaQuestion, QuotaReturn, QuotaVerdict, TenantLimit,
-};
+use pitchstall_serving::quota::{QuotaQuery, QuotaRefund, QuotaReply, QuotaVerdict, TenantLimit};
 use pitchstall_serving::quota_outcome::{QuotaGrant, QuotaOutcome};
-use pitchstall_serving::quota_requester::{DeskStep, QuotaDesk, QuotaRequest};
+use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
 use pitchstall_serving::quota_slots::KeeperId;
 use pitchstall_serving::request::RequestFacts;
 use pitchstall_serving::scheduling::Ticket;
@@ -21,7 +19,7 @@
 use tokio::time::timeout;
 
 /// Runs that wait for an answer, with what the desk does next about them.
-pub type Waiting = HashMap<Ticket, oneshot::Sender<DeskStep>>;
+pub type Waiting = HashMap<Ticket, oneshot::Sender<RequesterAction>>;
 
 /// Share by which a told wait is lengthened at random, so that callers that were refused together do
 /// not come back together.
@@ -111,7 +109,7 @@
     fn drop(&mut self) {
         if let Some(grant) = self.grant.take() {
             self.node.metrics.quota.on_returned(self.tenant.name.as_str(), self.cost);
-            give_back(&self.node, grant.into_returns());
+            give_back(&self.node, grant.into_refunds());
         }
     }
 }
@@ -125,8 +123,8 @@
 impl Drop for Asking<'_> {
     fn drop(&mut self) {
         self.node.quotas.waiting.borrow_mut().remove(&self.ticket);
-        let step = with_desk(self.node, |desk, now_us| desk.on_gone(self.ticket, now_us));
-        if let DeskStep::Settled(_, _, words) = step {
+        let step = with_desk(self.node, |desk, now_us| desk.cancel(self.ticket, now_us));
+        if let RequesterAction::Settled(_, _, words) = step {
             give_back(self.node, words);
         }
     }
@@ -184,22 +182,23 @@
         cost: run.cost,
         priority: run.priority,
     };
-    let mut step = with_desk(node, |desk, now_us| desk.ask(request, can_ask(node, now_us), now_us));
+    let mut step =
+        with_desk(node, |desk, now_us| desk.start(request, can_ask(node, now_us), now_us));
     loop {
         step = match step {
-            DeskStep::Ask(question, patience_us) => put(node, question, patience_us).await,
-            DeskStep::Settled(_, outcome, words) => {
+            RequesterAction::Query(question, patience_us) => put(node, question, patience_us).await,
+            RequesterAction::Settled(_, outcome, words) => {
                 drop(asking);
                 give_back(node, words);
                 return outcome;
             }
-            DeskStep::GiveBack(_) | DeskStep::Nothing => return QuotaOutcome::Unreachable,
+            RequesterAction::Refund(_) | RequesterAction::Noop => return QuotaOutcome::Unreachable,
         };
     }
 }
 
 /// Asks a keeper, and waits for what follows.
-async fn put(node: &Rc<Node>, question: QuotaQuestion, patience_us: u64) -> DeskStep {
+async fn put(node: &Rc<Node>, question: QuotaQuery, patience_us: u64) -> RequesterAction {
     let (ticket, keeper) = (question.ticket, question.keeper.clone());
     let (sender, receiver) = oneshot::channel();
     node.quotas.waiting.borrow_mut().insert(ticket, sender);
@@ -209,7 +208,7 @@
     }
     on_missed(node, &keeper);
     with_desk(node, |desk, now_us| {
-        desk.on_patience_over(ticket, &keeper, can_ask(node, now_us), now_us)
+        desk.on_reply_timeout(ticket, &keeper, can_ask(node, now_us), now_us)
     })
 }
 
@@ -220,12 +219,12 @@
     }
 }
 
-fn with_desk<R>(node: &Node, use_desk: impl FnOnce(&mut QuotaDesk, u64) -> R) -> R {
+fn with_desk<R>(node: &Node, use_desk: impl FnOnce(&mut QuotaRequester, u64) -> R) -> R {
     let mut desk = node.quotas.desk.borrow_mut();
     let new_desk = || {
         let settings = node.settings();
         let (bounds, topology) = (bounds(&settings), topology_of(&settings));
-        QuotaDesk::new(node.zone.clone(), settings.listen.peers, bounds, topology)
+        QuotaRequester::new(node.zone.clone(), settings.listen.peers, bounds, topology)
     };
     use_desk(desk.get_or_insert_with(new_desk), node.now_us())
 }
@@ -235,7 +234,7 @@
 }
 
 /// Brings a question to the holder of the keeper that it names; without one it is lost.
-pub(super) fn deliver_question(node: &Node, question: QuotaQuestion) {
+pub(super) fn deliver_question(node: &Node, question: QuotaQuery) {
     let address = node.quotas.holders.borrow().asked_at(&question.keeper, node.now_us());
     match address {
         Some(address) if address == own_address(node) => keeping::on_question(node, &question),
@@ -247,7 +246,7 @@
 }
 
 /// Takes in a keeper's answer.
-pub fn on_answer(node: &Node, answer: &QuotaAnswer) {
+pub fn on_answer(node: &Node, answer: &QuotaReply) {
     let now_us = node.now_us();
     {
         let mut holders = node.quotas.holders.borrow_mut();
@@ -256,33 +255,32 @@
             _ => holders.on_answered(&answer.keeper, now_us),
         }
     }
-    let step =
-        with_desk(node, |desk, now_us| desk.on_answer(answer, can_ask(node, now_us), now_us));
+    let step = with_desk(node, |desk, now_us| desk.on_reply(answer, can_ask(node, now_us), now_us));
     match step {
-        DeskStep::Nothing => {}
-        DeskStep::GiveBack(words) => give_back(node, words),
+        RequesterAction::Noop => {}
+        RequesterAction::Refund(words) => give_back(node, words),
         step => hand_over(node, answer.ticket, step),
     }
 }
 
 /// Hands what follows to the request that waits for it; if that has ended just now, a grant is
 /// given back.
-fn hand_over(node: &Node, ticket: Ticket, step: DeskStep) {
+fn hand_over(node: &Node, ticket: Ticket, step: RequesterAction) {
     let waiting = node.quotas.waiting.borrow_mut().remove(&ticket);
     let unheard = match waiting {
         Some(sender) => sender.send(step).err(),
         None => Some(step),
     };
-    if let Some(DeskStep::Settled(_, outcome, words)) = unheard {
+    if let Some(RequesterAction::Settled(_, outcome, words)) = unheard {
         give_back(node, words);
         if let QuotaOutcome::Granted(grant) = outcome {
-            give_back(node, grant.into_returns());
+            give_back(node, grant.into_refunds());
         }
     }
 }
 
 /// Tells keepers that what they have paid for has not begun.
-fn give_back(node: &Node, words: Vec<QuotaReturn>) {
+fn give_back(node: &Node, words: Vec<QuotaRefund>) {
     for word in words {
         let address = node.quotas.holders.borrow().address_of(&word.keeper);
         match address {
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -27,7 +27,7 @@
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::quota::QuotaBounds;
 use pitchstall_serving::quota_keeper::Keeper;
-use pitchstall_serving::quota_requester::QuotaDesk;
+use pitchstall_serving::quota_requester::QuotaRequester;
 use pitchstall_serving::quota_slots::KeeperId;
 use pitchstall_serving::store_revision::StoreLease;
 use std::cell::{Cell, RefCell};
@@ -49,7 +49,7 @@
 /// What the node knows and keeps of tenants' limits.
 #[derive(Default)]
 pub struct Quotas {
-    desk: RefCell<Option<QuotaDesk>>,
+    desk: RefCell<Option<QuotaRequester>>,
     waiting: RefCell<Waiting>,
     holders: RefCell<Holders>,
     keepers: RefCell<BTreeMap<KeeperId, Keeper>>,
--- a/crates/gateway/src/quota/report.rs
+++ b/crates/gateway/src/quota/report.rs
@@ -36,7 +36,7 @@
     json!({
         "keeper": keeper.id().to_string(),
         "revision": keeper.term().revision.number(),
-        "left_ms": keeper.term().left_us(now_us) / MICROS_PER_MILLI,
+        "left_ms": keeper.term().remaining_us(now_us) / MICROS_PER_MILLI,
         "tenants": tenants,
     })
 }
--- a/crates/gateway/src/quota/slots.rs
+++ b/crates/gateway/src/quota/slots.rs
@@ -10,7 +10,7 @@
 use pitchstall_platform_adapter::quota_slots::{self, KeeperHolder};
 use pitchstall_platform_adapter::store::{self, Item, StoreStatus};
 use pitchstall_serving::ids::NodeId;
-use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyStep};
+use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyAction};
 use pitchstall_serving::quota_keeper::Keeper;
 use pitchstall_serving::quota_slots::{all_keepers, KeeperId};
 use pitchstall_serving::quota_term::KeeperTerm;
@@ -63,9 +63,9 @@
                 continue;
             }
             let revision = match self.decide(&keeper) {
-                CandidacyStep::Wait => continue,
-                CandidacyStep::Take => RevisionNumber::ABSENT,
-                CandidacyStep::TakeOver { revision } => revision.number(),
+                CandidacyAction::Wait => continue,
+                CandidacyAction::Acquire => RevisionNumber::ABSENT,
+                CandidacyAction::TakeOver { revision } => revision.number(),
             };
             self.take(&keeper, lease, revision).await;
         }
@@ -109,7 +109,7 @@
         holders.learn(&keeper, &holder.node, holder.address, revision, now_us);
     }
 
-    fn decide(&mut self, keeper: &KeeperId) -> CandidacyStep {
+    fn decide(&mut self, keeper: &KeeperId) -> CandidacyAction {
         let node = &self.node;
         let (now_us, nodes) = (node.now_us(), node.known_nodes());
         let own = own_name(node);
@@ -125,7 +125,7 @@
         let address = own_address(node);
         let is_own = key.as_ref().is_some_and(|key| key.holder == address);
         if rank > LAST_RANK && !is_own {
-            return CandidacyStep::Wait;
+            return CandidacyAction::Wait;
         }
         let candidacy = self.candidacies.entry(keeper.clone()).or_default();
         candidacy.decide(key.as_ref(), address, rank, now_us)
--- a/crates/serving/src/quota.rs
+++ b/crates/serving/src/quota.rs
@@ -62,13 +62,13 @@
 
 /// A node asks for what one run of a request costs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaQuestion {
+pub struct QuotaQuery {
     /// Identifies the run at the asking node.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// Where the answer goes: the question may have been handed on.
     #[serde(rename = "a")]
-    pub answer_to: SocketAddr,
+    pub reply_to: SocketAddr,
     /// The tenant.
     #[serde(rename = "t")]
     pub tenant: TenantName,
@@ -89,21 +89,21 @@
     pub keeper: KeeperId,
     /// Keepers that have been asked before and were short.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
-    pub asked: Vec<KeeperId>,
+    pub tried: Vec<KeeperId>,
     /// Keepers that have been silent lately: the question is not handed on to them.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub silent: Vec<KeeperId>,
+    pub unresponsive: Vec<KeeperId>,
     /// Units that those that were asked had room for together; below 0 if they are short of the floor.
     #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
-    pub room: i64,
+    pub available_units: i64,
     /// Parts that are paid already: no keeper has room for the whole, but all of them have.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub paid: Vec<QuotaPart>,
+    pub charged: Vec<PartialCharge>,
 }
 
 /// What one keeper paid of a run that none could pay alone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaPart {
+pub struct PartialCharge {
     /// The keeper.
     #[serde(rename = "e")]
     pub keeper: KeeperId,
@@ -136,7 +136,7 @@
 
 /// A keeper's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaAnswer {
+pub struct QuotaReply {
     /// The run.
     #[serde(rename = "i")]
     pub ticket: Ticket,
@@ -151,13 +151,13 @@
     pub level: i64,
     /// Keepers that paid parts, whatever was decided then; empty if there were no parts.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub paid: Vec<KeeperId>,
+    pub charged: Vec<KeeperId>,
 }
 
 /// A run that was paid for has provably not begun: what it cost is given back. The keeper knows
 /// what that was, and a word that comes twice gives back once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaReturn {
+pub struct QuotaRefund {
     /// The run.
     #[serde(rename = "i")]
     pub ticket: Ticket,
--- a/crates/serving/src/quota_bucket.rs
+++ b/crates/serving/src/quota_bucket.rs
@@ -7,18 +7,18 @@
 //! A large run that was refused has its turn booked: until then smaller ones that are no more
 //! urgent are let in only as far as they do not put it off. There is one booking at a time.
 
-use crate::quota::{QuotaQuestion, QuotaUnit, TenantLimit};
-use crate::quota_grants::RememberedGrants;
-use crate::quota_retry::Turns;
-use crate::quota_share::{SlotShare, MICRO};
+use crate::quota::{QuotaQuery, QuotaUnit, TenantLimit};
+use crate::quota_grants::RefundableGrants;
+use crate::quota_retry::RetrySchedule;
+use crate::quota_share::{SlotShare, MICROS_PER_UNIT};
 use crate::scheduling::Ticket;
 
 /// Costs up to this share of the burst need no reserve, as a divisor.
-const SMALL_DIVISOR: i64 = 64;
+const SMALL_COST_DIVISOR: i64 = 64;
 /// Share of burst and debt that each rank leaves to the one before it, as a divisor.
-const RESERVE_DIVISOR: i64 = 16;
+const PRIORITY_RESERVE_DIVISOR: i64 = 16;
 /// Ranks beyond this one leave what it leaves.
-const LAST_RANK: u8 = 2;
+const LOWEST_PRIORITY: u8 = 2;
 
 /// What a question is about.
 #[derive(Clone, Copy, Debug)]
@@ -28,18 +28,18 @@
     /// What it costs, units.
     pub cost: u64,
     /// Its rank, 0 first.
-    pub rank: u8,
+    pub priority: u8,
 }
 
 impl Demand {
     /// What a question is about, by the limit that counts: the asking node may know an older one.
-    pub fn of(question: &QuotaQuestion, limit: &TenantLimit) -> Self {
-        let cost = match (limit.unit, question.limit.unit) {
+    pub fn from_query(query: &QuotaQuery, limit: &TenantLimit) -> Self {
+        let cost = match (limit.unit, query.limit.unit) {
             (QuotaUnit::Requests, QuotaUnit::Tokens) => 1,
             (QuotaUnit::Tokens, QuotaUnit::Requests) => limit.plain_tokens,
-            _ => question.cost,
+            _ => query.cost,
         };
-        Self { ticket: question.ticket, cost, rank: question.priority }
+        Self { ticket: query.ticket, cost, priority: query.priority }
     }
 }
 
@@ -50,10 +50,10 @@
     version: u64,
     share: SlotShare,
     level: i64,
-    updated_at_us: u64,
-    asked_at_us: u64,
-    turns: Turns,
-    grants: RememberedGrants,
+    refilled_at_us: u64,
+    queried_at_us: u64,
+    retries: RetrySchedule,
+    grants: RefundableGrants,
     granted_units: u64,
 }
 
@@ -74,10 +74,10 @@
             version,
             share,
             level,
-            updated_at_us: now_us,
-            asked_at_us: now_us,
-            turns: Turns::default(),
-            grants: RememberedGrants::default(),
+            refilled_at_us: now_us,
+            queried_at_us: now_us,
+            retries: RetrySchedule::default(),
+            grants: RefundableGrants::default(),
             granted_units: 0,
         }
     }
@@ -96,10 +96,10 @@
     /// room for it.
     pub fn set_limit(&mut self, limit: TenantLimit, version: u64, share: SlotShare, now_us: u64) {
         self.refill(now_us);
-        let room = (self.level + self.share.debt).min(share.burst + share.debt);
-        self.level = room - share.debt;
+        let available = (self.level + self.share.debt).min(share.burst + share.debt);
+        self.level = available - share.debt;
         (self.limit, self.version, self.share) = (limit, version, share);
-        self.turns.cancel();
+        self.retries.cancel();
         self.refill(now_us);
     }
 
@@ -110,70 +110,83 @@
 
     /// Takes what a run costs, if there is room for all of it. A run that has been granted is
     /// granted again without a cost: the answer was lost.
-    pub fn take(&mut self, demand: &Demand, now_us: u64) -> bool {
+    pub fn try_charge(&mut self, demand: &Demand, now_us: u64) -> bool {
         self.refill(now_us);
-        self.asked_at_us = now_us;
-        let cost = micros(demand.cost);
-        if let Some(paid) = self.grants.paid(demand.ticket) {
-            return paid >= cost;
+        self.queried_at_us = now_us;
+        let cost = to_micros(demand.cost);
+        if let Some(charged) = self.grants.charged(demand.ticket) {
+            return charged >= cost;
         }
-        let has_room = self.room_for(cost, cost, demand.rank, now_us) >= cost;
-        if has_room {
-            self.book_out(demand, cost, now_us);
+        let is_affordable = self.available_micros(cost, cost, demand.priority, now_us) >= cost;
+        if is_affordable {
+            self.record_charge(demand, cost, now_us);
         }
-        has_room
+        is_affordable
     }
 
     /// Takes as much of what a run costs as there is room for, and no more than `left` units.
     /// Returns the units; what was taken for the run before is among them.
-    pub fn take_part(&mut self, demand: &Demand, left: u64, now_us: u64) -> u64 {
+    pub fn charge_up_to(&mut self, demand: &Demand, remaining_units: u64, now_us: u64) -> u64 {
         self.refill(now_us);
-        if let Some(paid) = self.grants.paid(demand.ticket) {
-            return whole(paid);
+        if let Some(charged) = self.grants.charged(demand.ticket) {
+            return to_units(charged);
         }
-        let room = self.room_for(micros(demand.cost), micros(left), demand.rank, now_us);
-        let part = whole(room.min(micros(left)));
-        if part > 0 {
-            self.book_out(demand, micros(part), now_us);
+        let available = self.available_micros(
+            to_micros(demand.cost),
+            to_micros(remaining_units),
+            demand.priority,
+            now_us,
+        );
+        let charged_units = to_units(available.min(to_micros(remaining_units)));
+        if charged_units > 0 {
+            self.record_charge(demand, to_micros(charged_units), now_us);
         }
-        part
+        charged_units
     }
 
     /// Units that there is room for, below 0 if the level is below the floor.
-    pub fn room_units(&self, demand: &Demand, now_us: u64) -> i64 {
-        let cost = micros(demand.cost);
-        self.room_for(cost, cost, demand.rank, now_us).div_euclid(MICRO)
+    pub fn available_units(&self, demand: &Demand, now_us: u64) -> i64 {
+        let cost = to_micros(demand.cost);
+        self.available_micros(cost, cost, demand.priority, now_us).div_euclid(MICROS_PER_UNIT)
     }
 
     /// A run that was granted has not begun. Returns the units that had been paid; none if this
     /// holder did not grant it, has had it back already or has forgotten it.
-    pub fn give_back(&mut self, ticket: Ticket, now_us: u64) -> u64 {
+    pub fn refund(&mut self, ticket: Ticket, now_us: u64) -> u64 {
         self.refill(now_us);
-        let Some(given_back) = self.grants.give_back(ticket) else { return 0 };
-        self.level = (self.level + given_back.returned).min(self.share.burst);
-        self.grants.note_room(self.share.burst - self.level);
-        let units = whole(given_back.paid);
+        let Some(refund) = self.grants.refund(ticket) else { return 0 };
+        self.level = (self.level + refund.refunded).min(self.share.burst);
+        self.grants.record_headroom(self.share.burst - self.level);
+        let units = to_units(refund.charged);
         self.granted_units = self.granted_units.saturating_sub(units);
         units
     }
 
     /// A run is refused: tells when to come back, microseconds from now, and books the turn.
     /// `room` is what all slots that were asked have room for, so many of them, in units.
-    pub fn refuse(&mut self, demand: &Demand, room: i64, slots: usize, now_us: u64) -> u64 {
-        let cost = micros(demand.cost);
+    pub fn schedule_retry(
+        &mut self,
+        demand: &Demand,
+        available_units: i64,
+        slots: usize,
+        now_us: u64,
+    ) -> u64 {
+        let cost = to_micros(demand.cost);
         let slots = i64::try_from(slots.max(1)).unwrap_or(1);
-        let most = (self.share.burst + self.share.debt).saturating_mul(slots);
-        if cost > most {
-            return Turns::longest_wait(demand.ticket);
+        let limit_micros = (self.share.burst + self.share.debt).saturating_mul(slots);
+        if cost > limit_micros {
+            return RetrySchedule::spread_wait(demand.ticket);
         }
-        let missing = cost.saturating_sub(room.saturating_mul(MICRO)) / slots + MICRO;
-        let time_us = self.share.time_for(missing);
-        let turn_us = self.share.time_for(cost / slots);
-        let wait_us = self.turns.wait(demand.ticket, time_us, turn_us, now_us);
+        let missing = cost.saturating_sub(available_units.saturating_mul(MICROS_PER_UNIT)) / slots
+            + MICROS_PER_UNIT;
+        let refill_us = self.share.refill_time_us(missing);
+        let delay_us = self.share.refill_time_us(cost / slots);
+        let wait_us = self.retries.schedule(demand.ticket, refill_us, delay_us, now_us);
         if !self.is_small(cost) {
-            let need = (cost / slots - self.share.debt + self.reserve(cost, demand.rank))
-                .min(self.share.burst);
-            self.turns.book(cost, demand.rank, need, now_us + wait_us);
+            let required_level = (cost / slots - self.share.debt
+                + self.priority_reserve(cost, demand.priority))
+            .min(self.share.burst);
+            self.retries.reserve(cost, demand.priority, required_level, now_us + wait_us);
         }
         wait_us
     }
@@ -181,24 +194,24 @@
     /// Whether nothing is lost by forgetting it: it is full and has not been asked for a window.
     pub fn is_idle(&mut self, now_us: u64) -> bool {
         self.refill(now_us);
-        self.level >= self.share.burst && now_us >= self.asked_at_us + self.share.window_us
+        self.level >= self.share.burst && now_us >= self.queried_at_us + self.share.window_us
     }
 
     /// Units left, below 0 if it is in debt, as of the last question or return.
     pub fn level_units(&self) -> i64 {
-        self.level.div_euclid(MICRO)
+        self.level.div_euclid(MICROS_PER_UNIT)
     }
 
     /// Units left at a later time, if nothing is asked until then.
     pub fn level_at(&self, now_us: u64) -> i64 {
-        let passed_us = now_us.saturating_sub(self.updated_at_us);
-        let refilled = self.level.saturating_add(self.share.refill(passed_us));
-        refilled.min(self.share.burst).div_euclid(MICRO)
+        let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
+        let refilled = self.level.saturating_add(self.share.refill(elapsed_us));
+        refilled.min(self.share.burst).div_euclid(MICROS_PER_UNIT)
     }
 
     /// Units that may be owed.
     pub fn debt_units(&self) -> u64 {
-        whole(self.share.debt)
+        to_units(self.share.debt)
     }
 
     /// Units granted and not given back since the holder met the tenant.
@@ -207,56 +220,57 @@
     }
 
     /// Room for a run, or for a part of one, that takes no more than `most`.
-    fn room_for(&self, cost: i64, most: i64, rank: u8, now_us: u64) -> i64 {
-        let room = self.level + self.share.debt - self.reserve(cost, rank);
+    fn available_micros(&self, cost: i64, limit_micros: i64, priority: u8, now_us: u64) -> i64 {
+        let available = self.level + self.share.debt - self.priority_reserve(cost, priority);
         let is_small = self.is_small(cost);
-        match self.turns.level_to_leave(cost, rank, is_small, now_us) {
+        match self.retries.reserved_level(cost, priority, is_small, now_us) {
             Some((level, at_us)) => {
                 let refilled = self.share.refill(at_us.saturating_sub(now_us));
-                room.min(self.level + refilled - level)
+                available.min(self.level + refilled - level)
             }
-            None => room,
+            None => available,
         }
-        .min(most)
+        .min(limit_micros)
     }
 
-    fn book_out(&mut self, demand: &Demand, paid: i64, now_us: u64) {
-        let cost = micros(demand.cost);
-        self.turns.on_grant(cost, demand.rank, self.is_small(cost));
-        self.level -= paid;
-        self.granted_units = self.granted_units.saturating_add(whole(paid));
-        self.grants.add(demand.ticket, paid, self.share.burst - self.level, now_us);
+    fn record_charge(&mut self, demand: &Demand, charged: i64, now_us: u64) {
+        let cost = to_micros(demand.cost);
+        self.retries.on_grant(cost, demand.priority, self.is_small(cost));
+        self.level -= charged;
+        self.granted_units = self.granted_units.saturating_add(to_units(charged));
+        self.grants.add(demand.ticket, charged, self.share.burst - self.level, now_us);
     }
 
     /// What a run leaves to more urgent ones.
-    fn reserve(&self, cost: i64, rank: u8) -> i64 {
+    fn priority_reserve(&self, cost: i64, priority: u8) -> i64 {
         if self.is_small(cost) {
             return 0;
         }
-        (self.share.burst + self.share.debt) / RESERVE_DIVISOR * i64::from(rank.min(LAST_RANK))
+        (self.share.burst + self.share.debt) / PRIORITY_RESERVE_DIVISOR
+            * i64::from(priority.min(LOWEST_PRIORITY))
     }
 
     fn is_small(&self, cost: i64) -> bool {
-        cost <= self.share.burst / SMALL_DIVISOR
+        cost <= self.share.burst / SMALL_COST_DIVISOR
     }
 
     fn refill(&mut self, now_us: u64) {
-        let passed_us = now_us.saturating_sub(self.updated_at_us);
-        self.updated_at_us = self.updated_at_us.max(now_us);
-        let refilled = self.level.saturating_add(self.share.refill(passed_us));
+        let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
+        self.refilled_at_us = self.refilled_at_us.max(now_us);
+        let refilled = self.level.saturating_add(self.share.refill(elapsed_us));
         self.level = refilled.min(self.share.burst);
-        self.grants.forget(now_us);
-        self.grants.note_room(self.share.burst - self.level);
-        self.turns.forget(now_us);
+        self.grants.expire(now_us);
+        self.grants.record_headroom(self.share.burst - self.level);
+        self.retries.expire(now_us);
     }
 }
 
 /// Units in millionths. Costs too large to count are larger than any slot.
-fn micros(units: u64) -> i64 {
-    i64::try_from(units).unwrap_or(i64::MAX).saturating_mul(MICRO)
+fn to_micros(units: u64) -> i64 {
+    i64::try_from(units).unwrap_or(i64::MAX).saturating_mul(MICROS_PER_UNIT)
 }
 
 /// Whole units, none if below 0.
-fn whole(micros: i64) -> u64 {
-    u64::try_from(micros / MICRO).unwrap_or_default()
+fn to_units(micros: i64) -> u64 {
+    u64::try_from(micros / MICROS_PER_UNIT).unwrap_or_default()
 }
--- a/crates/serving/src/quota_candidacy.rs
+++ b/crates/serving/src/quota_candidacy.rs
@@ -14,14 +14,14 @@
 
 /// Time for which the key has to be absent before the first candidate tries, microseconds: a copy
 /// of the store that has just been read anew may lack it for a moment.
-const FIRST_TRY_AFTER_US: u64 = 200_000;
+const FIRST_ATTEMPT_DELAY_US: u64 = 200_000;
 /// Time that each further candidate leaves to the one before it, microseconds: a write in the
 /// store and the word of it take less than half of it.
-const RANK_SPREAD_US: u64 = 300_000;
+const ATTEMPT_STAGGER_US: u64 = 300_000;
 /// Ranks beyond this one try with it.
-const LAST_RANK: u64 = 10;
+const MAX_DELAYED_RANK: u64 = 10;
 /// Time until a candidate that tried in vain tries again, microseconds.
-const RETRY_AFTER_US: u64 = 1_000_000;
+const RETRY_INTERVAL_US: u64 = 1_000_000;
 
 /// The rank of a node as candidate for a keeper, 0 first. Nodes of the keeper's zone come before
 /// all others, stronger ones before weaker ones.
@@ -31,15 +31,15 @@
     members: impl Iterator<Item = (&'a NodeId, &'a Member)> + Clone,
 ) -> usize {
     let key = format!("quota/{keeper}");
-    let standing = |name: &NodeId, member: &Member| {
+    let preference = |name: &NodeId, member: &Member| {
         let weight = rendezvous_weight(&key, name.as_str());
         (member.zone == keeper.zone, member.processor, weight)
     };
     let Some((_, own_member)) = members.clone().find(|(name, _)| *name == own) else {
         return usize::MAX;
     };
-    let own_standing = standing(own, own_member);
-    members.filter(|(name, member)| standing(name, member) > own_standing).count()
+    let own_preference = preference(own, own_member);
+    members.filter(|(name, member)| preference(name, member) > own_preference).count()
 }
 
 /// The key of a keeper, as this node's copy of the store has it.
@@ -53,11 +53,11 @@
 
 /// What a node does about a keeper that it does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CandidacyStep {
+pub enum CandidacyAction {
     /// Nothing.
     Wait,
     /// It tries to write the key, if it is absent.
-    Take,
+    Acquire,
     /// It tries to write the key over the one of this revision: that was written by a process at
     /// this node's own address, which cannot be up any more.
     TakeOver {
@@ -70,13 +70,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidacy {
     absent_since_us: Option<u64>,
-    tried_at_us: Option<u64>,
+    attempted_at_us: Option<u64>,
 }
 
 impl Candidacy {
     /// A node that has not looked yet.
     pub fn new() -> Self {
-        Self { absent_since_us: None, tried_at_us: None }
+        Self { absent_since_us: None, attempted_at_us: None }
     }
 
     /// Looks at the key and decides. To be asked a few times a second while the node's copy of
@@ -88,30 +88,33 @@
         own_address: SocketAddr,
         rank: usize,
         now_us: u64,
-    ) -> CandidacyStep {
-        let step = match key {
+    ) -> CandidacyAction {
+        let action = match key {
             Some(key) if key.holder == own_address => {
                 self.absent_since_us = None;
-                CandidacyStep::TakeOver { revision: key.revision }
+                CandidacyAction::TakeOver { revision: key.revision }
             }
             Some(_) => {
                 *self = Self::new();
-                return CandidacyStep::Wait;
+                return CandidacyAction::Wait;
             }
             None => {
                 let since_us = *self.absent_since_us.get_or_insert(now_us);
-                let rank = u64::try_from(rank).unwrap_or(u64::MAX).min(LAST_RANK);
-                if now_us < since_us + FIRST_TRY_AFTER_US + rank * RANK_SPREAD_US {
-                    return CandidacyStep::Wait;
+                let rank = u64::try_from(rank).unwrap_or(u64::MAX).min(MAX_DELAYED_RANK);
+                if now_us < since_us + FIRST_ATTEMPT_DELAY_US + rank * ATTEMPT_STAGGER_US {
+                    return CandidacyAction::Wait;
                 }
-                CandidacyStep::Take
+                CandidacyAction::Acquire
             }
         };
-        if self.tried_at_us.is_some_and(|tried_us| now_us < tried_us + RETRY_AFTER_US) {
-            return CandidacyStep::Wait;
+        if self
+            .attempted_at_us
+            .is_some_and(|attempted_us| now_us < attempted_us + RETRY_INTERVAL_US)
+        {
+            return CandidacyAction::Wait;
         }
-        self.tried_at_us = Some(now_us);
-        step
+        self.attempted_at_us = Some(now_us);
+        action
     }
 }
 
--- a/crates/serving/src/quota_keeper.rs
+++ b/crates/serving/src/quota_keeper.rs
@@ -6,11 +6,11 @@
 
 use crate::ids::TenantName;
 use crate::quota::{
-    QuotaAnswer, QuotaBounds, QuotaPart, QuotaQuestion, QuotaReturn, QuotaVerdict, TenantLimit,
+    PartialCharge, QuotaBounds, QuotaQuery, QuotaRefund, QuotaReply, QuotaVerdict, TenantLimit,
 };
 use crate::quota_bucket::{Bucket, Demand};
 use crate::quota_share::SlotShare;
-use crate::quota_slots::{keepers_of, order_for, KeeperId};
+use crate::quota_slots::{keepers_of, query_order, KeeperId};
 use crate::quota_term::KeeperTerm;
 use crate::topology::Topology;
 use std::collections::HashMap;
@@ -19,11 +19,11 @@
 
 /// What a keeper does about a question.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeeperReply {
+pub enum KeeperAction {
     /// It answers, to the address in the question.
-    Answer(QuotaAnswer),
+    Reply(QuotaReply),
     /// It is short and hands the question on to the keeper that the new question names.
-    HandOn(QuotaQuestion),
+    Forward(QuotaQuery),
 }
 
 /// What a keeper knows of one tenant, for operators. Amounts are in units.
@@ -52,7 +52,7 @@
     /// The latest version of the configuration heard of, and since when.
     version: u64,
     version_since_us: u64,
-    swept_at_us: u64,
+    evicted_at_us: u64,
 }
 
 impl Keeper {
@@ -67,7 +67,7 @@
             buckets: HashMap::new(),
             version: 0,
             version_since_us: started_at_us,
-            swept_at_us: started_at_us,
+            evicted_at_us: started_at_us,
         }
     }
 
@@ -87,32 +87,32 @@
     }
 
     /// A node asks. `can_ask` says whether another keeper has a holder that is in touch.
-    pub fn on_question(
+    pub fn on_query(
         &mut self,
-        question: &QuotaQuestion,
-        can_ask: impl Fn(&KeeperId) -> bool,
+        query: &QuotaQuery,
+        is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperReply {
-        if !self.term.is_valid(now_us) || question.keeper != self.id {
-            return self.answer(question, QuotaVerdict::NotKeeper, 0);
+    ) -> KeeperAction {
+        if !self.term.is_valid(now_us) || query.keeper != self.id {
+            return self.reply(query, QuotaVerdict::NotKeeper, 0);
         }
-        self.on_version(question.version, now_us);
-        self.sweep(now_us);
-        if !self.meet(question, now_us) {
-            return self.pass_by(question, can_ask);
+        self.on_version(query.version, now_us);
+        self.evict_idle(now_us);
+        if !self.ensure_bucket(query, now_us) {
+            return self.forward_unowned(query, is_reachable);
         }
-        if question.paid.is_empty() {
-            self.pay_whole(question, can_ask, now_us)
+        if query.charged.is_empty() {
+            self.charge_whole(query, is_reachable, now_us)
         } else {
-            self.pay_part(question, can_ask, now_us)
+            self.charge_part(query, is_reachable, now_us)
         }
     }
 
     /// A run has provably not begun. Returns the units given back; none if this holder did not
     /// grant it or has had it back.
-    pub fn on_return(&mut self, word: &QuotaReturn, now_us: u64) -> u64 {
-        let bucket = self.buckets.get_mut(&word.tenant).filter(|_| word.keeper == self.id);
-        bucket.map_or(0, |bucket| bucket.give_back(word.ticket, now_us))
+    pub fn on_refund(&mut self, refund: &QuotaRefund, now_us: u64) -> u64 {
+        let bucket = self.buckets.get_mut(&refund.tenant).filter(|_| refund.keeper == self.id);
+        bucket.map_or(0, |bucket| bucket.refund(refund.ticket, now_us))
     }
 
     /// What is left for each tenant that was asked about lately, by name.
@@ -130,118 +130,121 @@
     }
 
     /// Pays for a run alone, or hands the question on.
-    fn pay_whole(
+    fn charge_whole(
         &mut self,
-        question: &QuotaQuestion,
-        can_ask: impl Fn(&KeeperId) -> bool,
+        query: &QuotaQuery,
+        is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperReply {
-        let Some(bucket) = self.buckets.get_mut(&question.tenant) else {
-            return self.answer(question, QuotaVerdict::NotKeeper, 0);
+    ) -> KeeperAction {
+        let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
+            return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
-        let demand = Demand::of(question, bucket.limit());
-        if bucket.take(&demand, now_us) {
+        let demand = Demand::from_query(query, bucket.limit());
+        if bucket.try_charge(&demand, now_us) {
             let level = bucket.level_units();
-            return self.answer(question, QuotaVerdict::Granted, level);
+            return self.reply(query, QuotaVerdict::Granted, level);
         }
         let limit = *bucket.limit();
-        let mut asked_on = question.clone();
-        asked_on.room = question.room.saturating_add(bucket.room_units(&demand, now_us));
-        asked_on.asked.push(self.id.clone());
-        if let Some(next) = self.next(&asked_on, &limit, &asked_on.asked, &can_ask) {
-            asked_on.keeper = next;
-            return KeeperReply::HandOn(asked_on);
+        let mut forwarded = query.clone();
+        forwarded.available_units =
+            query.available_units.saturating_add(bucket.available_units(&demand, now_us));
+        forwarded.tried.push(self.id.clone());
+        if let Some(next) = self.next_keeper(&forwarded, &limit, &forwarded.tried, &is_reachable) {
+            forwarded.keeper = next;
+            return KeeperAction::Forward(forwarded);
         }
         let cost = i64::try_from(demand.cost).unwrap_or(i64::MAX);
-        if asked_on.asked.len() > 1 && asked_on.room >= cost {
-            return self.pay_part(&asked_on, can_ask, now_us);
+        if forwarded.tried.len() > 1 && forwarded.available_units >= cost {
+            return self.charge_part(&forwarded, is_reachable, now_us);
         }
-        self.refuse(&asked_on, &demand, now_us)
+        self.refuse(&forwarded, &demand, now_us)
     }
 
     /// Pays what it has room for, and hands the rest on.
-    fn pay_part(
+    fn charge_part(
         &mut self,
-        question: &QuotaQuestion,
-        can_ask: impl Fn(&KeeperId) -> bool,
+        query: &QuotaQuery,
+        is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperReply {
-        let Some(bucket) = self.buckets.get_mut(&question.tenant) else {
-            return self.answer(question, QuotaVerdict::NotKeeper, 0);
+    ) -> KeeperAction {
+        let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
+            return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
-        let demand = Demand::of(question, bucket.limit());
+        let demand = Demand::from_query(query, bucket.limit());
         let limit = *bucket.limit();
-        let paid: u64 = question.paid.iter().map(|part| part.units).sum();
-        let units = bucket.take_part(&demand, demand.cost.saturating_sub(paid), now_us);
+        let charged_units: u64 = query.charged.iter().map(|part| part.units).sum();
+        let units = bucket.charge_up_to(&demand, demand.cost.saturating_sub(charged_units), now_us);
         let level = bucket.level_units();
-        let mut asked_on = question.clone();
-        asked_on.paid.push(QuotaPart { keeper: self.id.clone(), units });
-        if paid.saturating_add(units) >= demand.cost {
-            return self.answer(&asked_on, QuotaVerdict::Granted, level);
+        let mut forwarded = query.clone();
+        forwarded.charged.push(PartialCharge { keeper: self.id.clone(), units });
+        if charged_units.saturating_add(units) >= demand.cost {
+            return self.reply(&forwarded, QuotaVerdict::Granted, level);
         }
-        let payers: Vec<KeeperId> = asked_on.paid.iter().map(|part| part.keeper.clone()).collect();
-        if let Some(next) = self.next(&asked_on, &limit, &payers, &can_ask) {
-            asked_on.keeper = next;
-            return KeeperReply::HandOn(asked_on);
+        let charged_keepers: Vec<KeeperId> =
+            forwarded.charged.iter().map(|part| part.keeper.clone()).collect();
+        if let Some(next) = self.next_keeper(&forwarded, &limit, &charged_keepers, &is_reachable) {
+            forwarded.keeper = next;
+            return KeeperAction::Forward(forwarded);
         }
-        self.refuse(&asked_on, &demand, now_us)
+        self.refuse(&forwarded, &demand, now_us)
     }
 
     /// This keeper has no slot of the tenant: those who have are asked.
-    fn pass_by(
+    fn forward_unowned(
         &self,
-        question: &QuotaQuestion,
-        can_ask: impl Fn(&KeeperId) -> bool,
-    ) -> KeeperReply {
-        let mut asked_on = question.clone();
-        asked_on.asked.push(self.id.clone());
-        let next = self.next(question, &question.limit, &asked_on.asked, &can_ask);
-        match next.filter(|_| question.paid.is_empty()) {
+        query: &QuotaQuery,
+        is_reachable: impl Fn(&KeeperId) -> bool,
+    ) -> KeeperAction {
+        let mut forwarded = query.clone();
+        forwarded.tried.push(self.id.clone());
+        let next = self.next_keeper(query, &query.limit, &forwarded.tried, &is_reachable);
+        match next.filter(|_| query.charged.is_empty()) {
             Some(next) => {
-                asked_on.keeper = next;
-                KeeperReply::HandOn(asked_on)
+                forwarded.keeper = next;
+                KeeperAction::Forward(forwarded)
             }
-            None => self.answer(question, QuotaVerdict::NotKeeper, 0),
+            None => self.reply(query, QuotaVerdict::NotKeeper, 0),
         }
     }
 
-    fn refuse(&mut self, question: &QuotaQuestion, demand: &Demand, now_us: u64) -> KeeperReply {
-        let Some(bucket) = self.buckets.get_mut(&question.tenant) else {
-            return self.answer(question, QuotaVerdict::NotKeeper, 0);
+    fn refuse(&mut self, query: &QuotaQuery, demand: &Demand, now_us: u64) -> KeeperAction {
+        let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
+            return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
         // Parts that were collected in vain are given back, so they are no room.
-        let room = question.room.min(i64::try_from(demand.cost).unwrap_or(i64::MAX));
-        let wait_us = bucket.refuse(demand, room, question.asked.len(), now_us);
+        let available_units =
+            query.available_units.min(i64::try_from(demand.cost).unwrap_or(i64::MAX));
+        let wait_us = bucket.schedule_retry(demand, available_units, query.tried.len(), now_us);
         let level = bucket.level_units();
         let wait_ms = wait_us.div_ceil(MICROS_PER_MILLI).max(1);
-        self.answer(question, QuotaVerdict::Refused { wait_ms }, level)
+        self.reply(query, QuotaVerdict::Refused { wait_ms }, level)
     }
 
     /// Makes sure that the tenant's bucket is there with the limit that counts: the one of the
     /// latest version. Returns whether this keeper has a slot of the tenant.
-    fn meet(&mut self, question: &QuotaQuestion, now_us: u64) -> bool {
-        let is_known = match self.buckets.get_mut(&question.tenant) {
-            Some(bucket) if question.version <= bucket.version() => return true,
-            Some(bucket) if question.limit == *bucket.limit() => {
-                bucket.set_version(question.version);
+    fn ensure_bucket(&mut self, query: &QuotaQuery, now_us: u64) -> bool {
+        let is_known = match self.buckets.get_mut(&query.tenant) {
+            Some(bucket) if query.version <= bucket.version() => return true,
+            Some(bucket) if query.limit == *bucket.limit() => {
+                bucket.set_version(query.version);
                 return true;
             }
             found => found.is_some(),
         };
-        let limit = question.limit;
-        let keepers = keepers_of(&question.tenant, &limit, &self.bounds, &self.topology);
+        let limit = query.limit;
+        let keepers = keepers_of(&query.tenant, &limit, &self.bounds, &self.topology);
         if !keepers.contains(&self.id) {
-            self.buckets.remove(&question.tenant);
+            self.buckets.remove(&query.tenant);
             return false;
         }
-        let share = SlotShare::of(&limit, &self.bounds, keepers.len());
-        if let Some(bucket) = self.buckets.get_mut(&question.tenant).filter(|_| is_known) {
-            bucket.set_limit(limit, question.version, share, now_us);
+        let share = SlotShare::new(&limit, &self.bounds, keepers.len());
+        if let Some(bucket) = self.buckets.get_mut(&query.tenant).filter(|_| is_known) {
+            bucket.set_limit(limit, query.version, share, now_us);
             return true;
         }
         let since_us = self.version_since_us;
-        let bucket = Bucket::new(limit, question.version, share, since_us, now_us);
-        self.buckets.insert(question.tenant.clone(), bucket);
+        let bucket = Bucket::new(limit, query.version, share, since_us, now_us);
+        self.buckets.insert(query.tenant.clone(), bucket);
         true
     }
 
@@ -257,35 +260,35 @@
     }
 
     /// Forgets idle tenants, once a window.
-    fn sweep(&mut self, now_us: u64) {
-        if now_us >= self.swept_at_us + self.bounds.window_us {
-            self.swept_at_us = now_us;
+    fn evict_idle(&mut self, now_us: u64) {
+        if now_us >= self.evicted_at_us + self.bounds.window_us {
+            self.evicted_at_us = now_us;
             self.buckets.retain(|_, bucket| !bucket.is_idle(now_us));
         }
     }
 
     /// The next keeper of the tenant that can be asked and is not among some others.
-    fn next(
+    fn next_keeper(
         &self,
-        question: &QuotaQuestion,
+        query: &QuotaQuery,
         limit: &TenantLimit,
-        others: &[KeeperId],
-        can_ask: impl Fn(&KeeperId) -> bool,
+        excluded: &[KeeperId],
+        is_reachable: impl Fn(&KeeperId) -> bool,
     ) -> Option<KeeperId> {
-        let keepers = keepers_of(&question.tenant, limit, &self.bounds, &self.topology);
-        let is_left =
-            |keeper: &KeeperId| *keeper != self.id && !others.contains(keeper) && can_ask(keeper);
-        order_for(&keepers, &self.id.zone, &self.topology).into_iter().find(is_left)
+        let keepers = keepers_of(&query.tenant, limit, &self.bounds, &self.topology);
+        let is_candidate =
+            |id: &KeeperId| *id != self.id && !excluded.contains(id) && is_reachable(id);
+        query_order(&keepers, &self.id.zone, &self.topology).into_iter().find(is_candidate)
     }
 
-    fn answer(&self, question: &QuotaQuestion, verdict: QuotaVerdict, level: i64) -> KeeperReply {
-        let payers = question.paid.iter().filter(|part| part.units > 0);
-        KeeperReply::Answer(QuotaAnswer {
-            ticket: question.ticket,
+    fn reply(&self, query: &QuotaQuery, verdict: QuotaVerdict, level: i64) -> KeeperAction {
+        let charged_keepers = query.charged.iter().filter(|part| part.units > 0);
+        KeeperAction::Reply(QuotaReply {
+            ticket: query.ticket,
             keeper: self.id.clone(),
             verdict,
             level,
-            paid: payers.map(|part| part.keeper.clone()).collect(),
+            charged: charged_keepers.map(|part| part.keeper.clone()).collect(),
         })
     }
 }
--- a/crates/serving/src/quota_outcome.rs
+++ b/crates/serving/src/quota_outcome.rs
@@ -1,7 +1,7 @@
 //! What comes of a question: a grant that is used or given back, a refusal, or nobody to ask.
 
 use crate::ids::TenantName;
-use crate::quota::{QuotaAnswer, QuotaReturn, QuotaVerdict};
+use crate::quota::{QuotaRefund, QuotaReply, QuotaVerdict};
 use crate::quota_slots::KeeperId;
 use crate::scheduling::Ticket;
 
@@ -9,10 +9,10 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct QuotaGrant {
     ticket: Ticket,
-    payers: Vec<KeeperId>,
+    keepers: Vec<KeeperId>,
     tenant: TenantName,
     /// The run may be sent before this time, microseconds.
-    pub use_before_us: u64,
+    pub expires_at_us: u64,
 }
 
 impl QuotaGrant {
@@ -20,25 +20,25 @@
     pub fn new(
         ticket: Ticket,
         tenant: TenantName,
-        payers: Vec<KeeperId>,
-        use_before_us: u64,
+        keepers: Vec<KeeperId>,
+        expires_at_us: u64,
     ) -> Self {
-        Self { ticket, payers, tenant, use_before_us }
+        Self { ticket, keepers, tenant, expires_at_us }
     }
 
     /// Who paid.
-    pub fn payers(&self) -> &[KeeperId] {
-        &self.payers
+    pub fn keepers(&self) -> &[KeeperId] {
+        &self.keepers
     }
 
     /// Whether the run may still be sent.
     pub fn is_usable(&self, now_us: u64) -> bool {
-        now_us < self.use_before_us
+        now_us < self.expires_at_us
     }
 
     /// The words by which it is given back, each to the holder of the keeper that it names.
-    pub fn into_returns(self) -> Vec<QuotaReturn> {
-        returns(self.ticket, &self.tenant, self.payers)
+    pub fn into_refunds(self) -> Vec<QuotaRefund> {
+        refunds(self.ticket, &self.tenant, self.keepers)
     }
 }
 
@@ -61,16 +61,16 @@
 }
 
 /// The keepers that paid, by an answer.
-pub fn payers(answer: &QuotaAnswer) -> Vec<KeeperId> {
-    let is_whole = answer.paid.is_empty() && answer.verdict == QuotaVerdict::Granted;
-    if is_whole {
-        return vec![answer.keeper.clone()];
+pub fn charged_keepers(reply: &QuotaReply) -> Vec<KeeperId> {
+    let is_single_charge = reply.charged.is_empty() && reply.verdict == QuotaVerdict::Granted;
+    if is_single_charge {
+        return vec![reply.keeper.clone()];
     }
-    answer.paid.clone()
+    reply.charged.clone()
 }
 
 /// The words by which payers are told that a run has not begun.
-pub fn returns(ticket: Ticket, tenant: &TenantName, payers: Vec<KeeperId>) -> Vec<QuotaReturn> {
-    let word = |keeper| QuotaReturn { ticket, keeper, tenant: tenant.clone() };
-    payers.into_iter().map(word).collect()
+pub fn refunds(ticket: Ticket, tenant: &TenantName, keepers: Vec<KeeperId>) -> Vec<QuotaRefund> {
+    let refund = |keeper| QuotaRefund { ticket, keeper, tenant: tenant.clone() };
+    keepers.into_iter().map(refund).collect()
 }
--- a/crates/serving/src/quota_share.rs
+++ b/crates/serving/src/quota_share.rs
@@ -15,27 +15,27 @@
 use crate::quota::{QuotaBounds, QuotaUnit, TenantLimit};
 
 /// Time from the question within which a grant is used or given back, microseconds.
-pub const GRANT_LIFE_US: u64 = 500_000;
+pub const GRANT_TTL_US: u64 = 500_000;
 /// Tokens of a large request: each slot has room for one. Twice a mean long prompt; what is
 /// larger is paid in parts.
-const LARGE_TOKENS: i64 = 32_768;
+const LARGE_REQUEST_TOKENS: i64 = 32_768;
 /// Requests that each slot has room for, if requests are counted.
-const LARGE_REQUESTS: i64 = 4;
+const MIN_REQUESTS_PER_SLOT: i64 = 4;
 /// Millionths of a unit: what levels are counted in.
-pub const MICRO: i64 = 1_000_000;
-const MICROS_A_SECOND: i128 = 1_000_000;
+pub const MICROS_PER_UNIT: i64 = 1_000_000;
+const MICROS_PER_SECOND: i128 = 1_000_000;
 /// Largest figure that is counted with, units: a million millionths of it fit into an `i64`.
-const MOST_UNITS: u64 = 1_000_000_000_000;
+const MAX_UNITS: u64 = 1_000_000_000_000;
 /// Largest overage that is counted with: what the settings allow.
-const MOST_OVERAGE: f64 = 10.0;
+const MAX_OVERAGE: f64 = 10.0;
 /// Longest window that is counted with, microseconds: a day.
-const MOST_WINDOW_US: u64 = 86_400 * 1_000_000;
+const MAX_WINDOW_US: u64 = 86_400 * 1_000_000;
 
 /// What one slot may spend, in millionths of a unit unless said otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotShare {
     /// Refill of all slots together, millionths a second.
-    pub refill_of_all: i64,
+    pub total_refill_per_s: i64,
     /// How many slots there are.
     pub slots: i64,
     /// Most that the slot saves up.
@@ -48,63 +48,64 @@
 
 impl SlotShare {
     /// One of so many slots of a limit.
-    pub fn of(limit: &TenantLimit, bounds: &QuotaBounds, slots: usize) -> Self {
+    pub fn new(limit: &TenantLimit, bounds: &QuotaBounds, slots: usize) -> Self {
         let slots = i128::try_from(slots.max(1)).unwrap_or(1);
-        let rate = i128::from(limit.rate_per_s.min(MOST_UNITS));
-        let burst = i128::from(limit.burst.min(MOST_UNITS)) * i128::from(MICRO);
-        let window_us = bounds.window_us.clamp(1, MOST_WINDOW_US);
-        let granted_us = i128::from(window_us + GRANT_LIFE_US);
+        let rate = i128::from(limit.rate_per_s.min(MAX_UNITS));
+        let burst = i128::from(limit.burst.min(MAX_UNITS)) * i128::from(MICROS_PER_UNIT);
+        let window_us = bounds.window_us.clamp(1, MAX_WINDOW_US);
+        let grant_span_us = i128::from(window_us + GRANT_TTL_US);
         let allowed = allowed(rate, burst, bounds, window_us);
         // A limit that leaves nothing beside its refill gives up refill for one request a slot.
-        let least = burst.max(i128::from(MICRO) * slots);
-        let evenly = rate * i128::from(MICRO) + burst * MICROS_A_SECOND / i128::from(window_us);
-        let most = (allowed - least).max(0) * MICROS_A_SECOND / granted_us;
-        let refill = evenly.min(most);
-        let left = (allowed - refill * granted_us / MICROS_A_SECOND).max(0);
-        let saved = least.min(left);
-        let debt = (left - saved) / slots;
+        let min_burst = burst.max(i128::from(MICROS_PER_UNIT) * slots);
+        let even_refill =
+            rate * i128::from(MICROS_PER_UNIT) + burst * MICROS_PER_SECOND / i128::from(window_us);
+        let max_refill = (allowed - min_burst).max(0) * MICROS_PER_SECOND / grant_span_us;
+        let refill = even_refill.min(max_refill);
+        let remaining = (allowed - refill * grant_span_us / MICROS_PER_SECOND).max(0);
+        let total_burst = min_burst.min(remaining);
+        let debt = (remaining - total_burst) / slots;
         Self {
-            refill_of_all: narrow(refill),
-            slots: narrow(slots),
-            burst: narrow(saved / slots),
-            debt: narrow(debt),
+            total_refill_per_s: saturating_i64(refill),
+            slots: saturating_i64(slots),
+            burst: saturating_i64(total_burst / slots),
+            debt: saturating_i64(debt),
             window_us,
         }
     }
 
     /// Refill of the slot in some time, microseconds.
     pub fn refill(&self, time_us: u64) -> i64 {
-        let refill = i128::from(self.refill_of_all) * i128::from(time_us) / MICROS_A_SECOND;
-        narrow(refill / i128::from(self.slots))
+        let refill = i128::from(self.total_refill_per_s) * i128::from(time_us) / MICROS_PER_SECOND;
+        saturating_i64(refill / i128::from(self.slots))
     }
 
     /// Time in which the slot gets so much, microseconds, rounded up.
-    pub fn time_for(&self, micros: i64) -> u64 {
-        let refill = i128::from(self.refill_of_all.max(1));
-        let needed = i128::from(micros.max(0)) * i128::from(self.slots) * MICROS_A_SECOND;
+    pub fn refill_time_us(&self, micros: i64) -> u64 {
+        let refill = i128::from(self.total_refill_per_s.max(1));
+        let needed = i128::from(micros.max(0)) * i128::from(self.slots) * MICROS_PER_SECOND;
         let time = (needed + refill - 1) / refill;
         u64::try_from(time).unwrap_or(u64::MAX)
     }
 
     /// Whether a large request fits between the burst and the debt.
-    pub fn has_room_for_large(&self, unit: QuotaUnit) -> bool {
+    pub fn fits_large_request(&self, unit: QuotaUnit) -> bool {
         let large = match unit {
-            QuotaUnit::Requests => LARGE_REQUESTS,
-            QuotaUnit::Tokens => LARGE_TOKENS,
+            QuotaUnit::Requests => MIN_REQUESTS_PER_SLOT,
+            QuotaUnit::Tokens => LARGE_REQUEST_TOKENS,
         };
-        self.burst + self.debt >= large * MICRO
+        self.burst + self.debt >= large * MICROS_PER_UNIT
     }
 }
 
 /// What may run in a window, millionths.
 fn allowed(rate: i128, burst: i128, bounds: &QuotaBounds, window_us: u64) -> i128 {
-    let within = rate * i128::from(window_us) + burst;
-    let slack = i128::from(bounds.slack.min(MOST_UNITS)) * i128::from(MICRO);
+    let nominal = rate * i128::from(window_us) + burst;
+    let slack = i128::from(bounds.slack.min(MAX_UNITS)) * i128::from(MICROS_PER_UNIT);
     // Rounded down to a millionth share, so that it is never more than the bound.
-    let overage = (bounds.overage.clamp(0.0, MOST_OVERAGE) * MICRO as f64).floor() as i128;
-    within + within * overage / i128::from(MICRO) + slack
+    let overage = (bounds.overage.clamp(0.0, MAX_OVERAGE) * MICROS_PER_UNIT as f64).floor() as i128;
+    nominal + nominal * overage / i128::from(MICROS_PER_UNIT) + slack
 }
 
-fn narrow(value: i128) -> i64 {
+fn saturating_i64(value: i128) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/crates/serving/src/quota_slots.rs
+++ b/crates/serving/src/quota_slots.rs
@@ -14,10 +14,10 @@
 use std::fmt;
 
 /// Keepers of a zone: the loss of one leaves half of the zone's tenants untouched.
-pub const KEEPERS_A_ZONE: u8 = 2;
+pub const KEEPERS_PER_ZONE: u8 = 2;
 /// Fewest slots of a tenant whose limit is large enough: two of three are more than the 0.56 of
 /// its limit that a tenant usually sends, so the loss of one is felt at peaks only.
-const FEWEST_SLOTS: usize = 3;
+const MIN_SLOTS: usize = 3;
 
 /// One of the keepers of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -39,9 +39,9 @@
 /// All keepers there are, in order. Without a told zone, those of one zone without a name.
 pub fn all_keepers(topology: &Topology) -> Vec<KeeperId> {
     let of_zone = |zone: ZoneId| {
-        (0..KEEPERS_A_ZONE).map(move |number| KeeperId { zone: zone.clone(), number })
+        (0..KEEPERS_PER_ZONE).map(move |number| KeeperId { zone: zone.clone(), number })
     };
-    told_zones(topology).into_iter().flat_map(of_zone).collect()
+    configured_zones(topology).into_iter().flat_map(of_zone).collect()
 }
 
 /// The keepers of a tenant, one for each slot of its limit.
@@ -51,15 +51,15 @@
     bounds: &QuotaBounds,
     topology: &Topology,
 ) -> Vec<KeeperId> {
-    let mut zones = told_zones(topology);
-    let weight = |place: &str| rendezvous_weight(tenant.as_str(), place);
+    let mut zones = configured_zones(topology);
+    let weight = |node: &str| rendezvous_weight(tenant.as_str(), node);
     zones.sort_by_cached_key(|zone| (std::cmp::Reverse(weight(zone.as_str())), zone.clone()));
     let slots = slot_count(limit, bounds, zones.len());
     let keeper_of_slot = |slot: usize| {
         let zone = &zones[slot % zones.len()];
-        let first = weight(&format!("keeper/{zone}"));
+        let first_number = weight(&format!("keeper/{zone}"));
         let round = (slot / zones.len()) as u64;
-        let number = (first.wrapping_add(round) % u64::from(KEEPERS_A_ZONE)) as u8;
+        let number = (first_number.wrapping_add(round) % u64::from(KEEPERS_PER_ZONE)) as u8;
         KeeperId { zone: zone.clone(), number }
     };
     (0..slots).map(keeper_of_slot).collect()
@@ -67,14 +67,14 @@
 
 /// Keepers in the order in which one of a zone asks them: its own zone, its own region, the
 /// others; among equals each zone has its own order.
-pub fn order_for(keepers: &[KeeperId], zone: &ZoneId, topology: &Topology) -> Vec<KeeperId> {
+pub fn query_order(keepers: &[KeeperId], zone: &ZoneId, topology: &Topology) -> Vec<KeeperId> {
     let region = topology.region_of(zone);
     let mut ordered = keepers.to_vec();
     ordered.sort_by_cached_key(|keeper| {
-        let is_elsewhere = keeper.zone != *zone;
-        let is_far = topology.region_of(&keeper.zone) != region;
-        let place = keeper.to_string();
-        (is_elsewhere, is_far, rendezvous_weight(zone.as_str(), &place), place)
+        let is_other_zone = keeper.zone != *zone;
+        let is_remote_region = topology.region_of(&keeper.zone) != region;
+        let name = keeper.to_string();
+        (is_other_zone, is_remote_region, rendezvous_weight(zone.as_str(), &name), name)
     });
     ordered
 }
@@ -82,12 +82,12 @@
 /// How many slots a limit has: as many as zones, three at the least, and no more than leave
 /// each slot room for a large request.
 fn slot_count(limit: &TenantLimit, bounds: &QuotaBounds, zones: usize) -> usize {
-    let most = zones.max(FEWEST_SLOTS).min(zones * usize::from(KEEPERS_A_ZONE));
-    let fits = |slots: &usize| SlotShare::of(limit, bounds, *slots).has_room_for_large(limit.unit);
-    (1..=most).rev().find(fits).unwrap_or(1)
+    let max_slots = zones.max(MIN_SLOTS).min(zones * usize::from(KEEPERS_PER_ZONE));
+    let fits = |slots: &usize| SlotShare::new(limit, bounds, *slots).fits_large_request(limit.unit);
+    (1..=max_slots).rev().find(fits).unwrap_or(1)
 }
 
-fn told_zones(topology: &Topology) -> Vec<ZoneId> {
+fn configured_zones(topology: &Topology) -> Vec<ZoneId> {
     let zones: Vec<ZoneId> = topology.zones().map(|(zone, _)| zone.clone()).collect();
     if zones.is_empty() {
         return vec![ZoneId::default()];
--- a/crates/serving/src/quota_term.rs
+++ b/crates/serving/src/quota_term.rs
@@ -9,7 +9,7 @@
 
 /// Part of the lease's time that is left unused, in hundredths: clocks differ in pace, and a
 /// grant takes time to be used.
-const UNUSED_PERCENT: u64 = 15;
+const LEASE_MARGIN_PERCENT: u64 = 15;
 
 /// One term as a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,11 +45,11 @@
     }
 
     /// Microseconds for which the node may still grant.
-    pub fn left_us(&self, now_us: u64) -> u64 {
+    pub fn remaining_us(&self, now_us: u64) -> u64 {
         self.valid_until_us.saturating_sub(now_us)
     }
 }
 
 fn valid_until(sent_at_us: u64, ttl_us: u64) -> u64 {
-    sent_at_us + ttl_us * (100 - UNUSED_PERCENT) / 100
+    sent_at_us + ttl_us * (100 - LEASE_MARGIN_PERCENT) / 100
 }
--- a/crates/serving/tests/quota_bucket.rs
+++ b/crates/serving/tests/quota_bucket.rs
@@ -3,7 +3,7 @@
 
 use pitchstall_serving::quota::{QuotaBounds, QuotaUnit, TenantLimit};
 use pitchstall_serving::quota_bucket::{Bucket, Demand};
-use pitchstall_serving::quota_share::{SlotShare, GRANT_LIFE_US};
+use pitchstall_serving::quota_share::{SlotShare, GRANT_TTL_US};
 use pitchstall_serving::scheduling::Ticket;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
     TenantLimit { rate_per_s, burst: rate_per_s, unit: QuotaUnit::Tokens, plain_tokens: 200 }
 }
 
-fn demand(number: u64, cost: u64, rank: u8) -> Demand {
-    Demand { ticket: Ticket { incarnation: 1, number }, cost, rank }
+fn demand(number: u64, cost: u64, priority: u8) -> Demand {
+    Demand { ticket: Ticket { incarnation: 1, number }, cost, priority }
 }
 
 fn bucket(limit: TenantLimit, slots: usize, since_us: u64, now_us: u64) -> Bucket {
-    Bucket::new(limit, 1, SlotShare::of(&limit, &BOUNDS, slots), since_us, now_us)
+    Bucket::new(limit, 1, SlotShare::new(&limit, &BOUNDS, slots), since_us, now_us)
 }
 
 /// What may run in a window.
@@ -32,20 +32,21 @@
 
 /// Takes runs of one cost until one is refused; returns the units.
 fn drain(bucket: &mut Bucket, first: u64, cost: u64, now_us: u64) -> u64 {
-    (first..).take_while(|number| bucket.take(&demand(*number, cost, 0), now_us)).count() as u64
+    (first..).take_while(|number| bucket.try_charge(&demand(*number, cost, 0), now_us)).count()
+        as u64
         * cost
 }
 
 #[test]
 fn a_new_holder_has_nothing_to_spend() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 0);
-    assert!(!bucket.take(&demand(1, 1, 0), 0));
+    assert!(!bucket.try_charge(&demand(1, 1, 0), 0));
 }
 
 #[test]
 fn a_holder_of_old_spends_its_burst_and_its_debt() {
     let limit = limit(47_000);
-    let share = SlotShare::of(&limit, &BOUNDS, SLOTS);
+    let share = SlotShare::new(&limit, &BOUNDS, SLOTS);
     let mut bucket = bucket(limit, SLOTS, 0, 60 * SECOND);
     let spent = drain(&mut bucket, 1, 100, 60 * SECOND) as i64 * 1_000_000;
     assert!(spent <= share.burst + share.debt);
@@ -55,9 +56,9 @@
 #[test]
 fn a_run_that_was_granted_is_granted_again_without_a_cost() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
-    assert!(bucket.take(&demand(1, 10_000, 0), 60 * SECOND));
+    assert!(bucket.try_charge(&demand(1, 10_000, 0), 60 * SECOND));
     let level = bucket.level_units();
-    assert!(bucket.take(&demand(1, 10_000, 0), 60 * SECOND));
+    assert!(bucket.try_charge(&demand(1, 10_000, 0), 60 * SECOND));
     assert_eq!(bucket.level_units(), level);
 }
 
@@ -65,11 +66,11 @@
 fn what_is_given_back_twice_counts_once() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     let full = bucket.level_units();
-    assert!(bucket.take(&demand(1, 10_000, 0), 60 * SECOND));
-    assert!(bucket.take(&demand(2, 10_000, 0), 60 * SECOND));
+    assert!(bucket.try_charge(&demand(1, 10_000, 0), 60 * SECOND));
+    assert!(bucket.try_charge(&demand(2, 10_000, 0), 60 * SECOND));
     let ticket = demand(1, 0, 0).ticket;
-    assert_eq!(bucket.give_back(ticket, 60 * SECOND), 10_000);
-    assert_eq!(bucket.give_back(ticket, 60 * SECOND), 0);
+    assert_eq!(bucket.refund(ticket, 60 * SECOND), 10_000);
+    assert_eq!(bucket.refund(ticket, 60 * SECOND), 0);
     assert_eq!(bucket.level_units(), full - 10_000);
     assert_eq!(bucket.granted_units(), 10_000);
 }
@@ -78,17 +79,17 @@
 fn what_this_holder_did_not_grant_is_not_given_back() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     drain(&mut bucket, 1, 1_000, 60 * SECOND);
-    assert_eq!(bucket.give_back(Ticket { incarnation: 2, number: 1 }, 60 * SECOND), 0);
+    assert_eq!(bucket.refund(Ticket { incarnation: 2, number: 1 }, 60 * SECOND), 0);
 }
 
 #[test]
 fn what_a_full_bucket_would_have_lost_is_not_given_back() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     let full = bucket.level_units();
-    assert!(bucket.take(&demand(1, 5_000, 0), 60 * SECOND));
+    assert!(bucket.try_charge(&demand(1, 5_000, 0), 60 * SECOND));
     // Refilled meanwhile: without the first run it would have been full all the time.
-    assert!(bucket.take(&demand(2, 5_000, 0), 61 * SECOND));
-    bucket.give_back(demand(1, 0, 0).ticket, 61 * SECOND);
+    assert!(bucket.try_charge(&demand(2, 5_000, 0), 61 * SECOND));
+    bucket.refund(demand(1, 0, 0).ticket, 61 * SECOND);
     assert_eq!(bucket.level_units(), full - 5_000);
 }
 
@@ -98,15 +99,15 @@
     let high = limit(470_000);
     let mut bucket = bucket(high, SLOTS, 0, 60 * SECOND);
     let full = bucket.level_units();
-    assert!(bucket.take(&demand(1, 60_000, 0), 60 * SECOND));
-    assert!(bucket.take(&demand(2, 60_000, 0), 60 * SECOND));
+    assert!(bucket.try_charge(&demand(1, 60_000, 0), 60 * SECOND));
+    assert!(bucket.try_charge(&demand(2, 60_000, 0), 60 * SECOND));
     // The limit is lowered: with the two the bucket lacks 60,000 of being full.
     let lower = TenantLimit { burst: 3 * (full as u64 - 60_000), ..high };
-    bucket.set_limit(lower, 2, SlotShare::of(&lower, &BOUNDS, SLOTS), 60 * SECOND);
-    assert!(bucket.take(&demand(3, 20_000, 0), 60 * SECOND));
-    bucket.give_back(demand(1, 0, 0).ticket, 60 * SECOND);
-    assert!(bucket.take(&demand(4, 50_000, 0), 60 * SECOND));
-    bucket.give_back(demand(2, 0, 0).ticket, 60 * SECOND);
+    bucket.set_limit(lower, 2, SlotShare::new(&lower, &BOUNDS, SLOTS), 60 * SECOND);
+    assert!(bucket.try_charge(&demand(3, 20_000, 0), 60 * SECOND));
+    bucket.refund(demand(1, 0, 0).ticket, 60 * SECOND);
+    assert!(bucket.try_charge(&demand(4, 50_000, 0), 60 * SECOND));
+    bucket.refund(demand(2, 0, 0).ticket, 60 * SECOND);
     // Without the two it would have been full then, and 70,000 were taken since.
     assert!(bucket.level_units() <= full - 60_000 - 70_000);
 }
@@ -115,27 +116,27 @@
 fn a_lower_limit_cuts_the_level_at_once() {
     let mut bucket = bucket(limit(470_000), SLOTS, 0, 60 * SECOND);
     let lower = limit(47_000);
-    bucket.set_limit(lower, 2, SlotShare::of(&lower, &BOUNDS, SLOTS), 60 * SECOND);
+    bucket.set_limit(lower, 2, SlotShare::new(&lower, &BOUNDS, SLOTS), 60 * SECOND);
     assert!(bucket.level_units() <= 47_000 / 3);
 }
 
 #[test]
 fn less_urgent_ones_leave_a_reserve() {
     let mut bucket = bucket(limit(470_000), SLOTS, 0, 60 * SECOND);
-    let rank_of = |rank| move |number: u64| demand(number, 10_000, rank);
+    let priority_of = |priority| move |number: u64| demand(number, 10_000, priority);
     let taken = |bucket: &mut Bucket, first: u64, of: &dyn Fn(u64) -> Demand| {
-        (first..).take_while(|number| bucket.take(&of(*number), 60 * SECOND)).count()
+        (first..).take_while(|number| bucket.try_charge(&of(*number), 60 * SECOND)).count()
     };
-    assert!(taken(&mut bucket, 100, &rank_of(2)) > 0);
-    assert!(taken(&mut bucket, 200, &rank_of(1)) > 0, "rank 2 leaves room to rank 1");
-    assert!(taken(&mut bucket, 300, &rank_of(0)) > 0, "rank 1 leaves room to rank 0");
+    assert!(taken(&mut bucket, 100, &priority_of(2)) > 0);
+    assert!(taken(&mut bucket, 200, &priority_of(1)) > 0, "priority 2 leaves room to priority 1");
+    assert!(taken(&mut bucket, 300, &priority_of(0)) > 0, "priority 1 leaves room to priority 0");
 }
 
 #[test]
 fn small_ones_need_no_reserve() {
     let mut bucket = bucket(limit(470_000), SLOTS, 0, 60 * SECOND);
-    while bucket.take(&demand(bucket.granted_units() + 1, 10_000, 2), 60 * SECOND) {}
-    assert!(bucket.take(&demand(1, 200, 2), 60 * SECOND));
+    while bucket.try_charge(&demand(bucket.granted_units() + 1, 10_000, 2), 60 * SECOND) {}
+    assert!(bucket.try_charge(&demand(1, 200, 2), 60 * SECOND));
 }
 
 /// Requests of 8,000 tokens come far faster than the limit, and one of 60,000 comes back whenever
@@ -150,16 +151,16 @@
     let mut comings = 0;
     loop {
         let large = demand(2_000_000 + comings, 60_000, 1);
-        if bucket.take(&large, now_us) {
+        if bucket.try_charge(&large, now_us) {
             break;
         }
         comings += 1;
         assert!(comings < 3, "refused {comings} times");
-        let room = bucket.room_units(&large, now_us);
-        let back_at_us = now_us + bucket.refuse(&large, room, 1, now_us);
+        let room = bucket.available_units(&large, now_us);
+        let back_at_us = now_us + bucket.schedule_retry(&large, room, 1, now_us);
         while now_us < back_at_us {
             number += 1;
-            bucket.take(&demand(number, 8_000, 1), now_us);
+            bucket.try_charge(&demand(number, 8_000, 1), now_us);
             now_us += 5_000;
         }
     }
@@ -170,10 +171,10 @@
     let mut bucket = bucket(limit(470_000), SLOTS, 0, 60 * SECOND);
     drain(&mut bucket, 1, 1_000, 60 * SECOND);
     let large = demand(2_000_000, 60_000, 1);
-    let room = bucket.room_units(&large, 60 * SECOND);
-    bucket.refuse(&large, room, 1, 60 * SECOND);
+    let room = bucket.available_units(&large, 60 * SECOND);
+    bucket.schedule_retry(&large, room, 1, 60 * SECOND);
     let let_in = (0..100).filter(|number| {
-        bucket.take(&demand(3_000_000 + number, 200, 2), 60 * SECOND + 5_000 * number)
+        bucket.try_charge(&demand(3_000_000 + number, 200, 2), 60 * SECOND + 5_000 * number)
     });
     assert!(let_in.count() >= 98);
 }
@@ -185,8 +186,8 @@
     let mut waits = Vec::new();
     for number in 0..6 {
         let demand = demand(1_000 + number, 20_000, 0);
-        let room = bucket.room_units(&demand, 60 * SECOND);
-        waits.push(bucket.refuse(&demand, room, 1, 60 * SECOND));
+        let room = bucket.available_units(&demand, 60 * SECOND);
+        waits.push(bucket.schedule_retry(&demand, room, 1, 60 * SECOND));
     }
     let steps: Vec<u64> = waits.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(steps.iter().all(|step| (370_000..390_000).contains(step)), "{waits:?}");
@@ -197,26 +198,26 @@
     let mut bucket = bucket(limit(47_000), 1, 0, 60 * SECOND);
     drain(&mut bucket, 1, 1_000, 60 * SECOND);
     let demand = demand(2_000, 30_000, 0);
-    let room = bucket.room_units(&demand, 60 * SECOND);
-    let wait_us = bucket.refuse(&demand, room, 1, 60 * SECOND);
-    assert!(!bucket.take(&demand, 60 * SECOND + wait_us / 2), "long before its turn");
-    assert!(bucket.take(&demand, 60 * SECOND + wait_us));
+    let room = bucket.available_units(&demand, 60 * SECOND);
+    let wait_us = bucket.schedule_retry(&demand, room, 1, 60 * SECOND);
+    assert!(!bucket.try_charge(&demand, 60 * SECOND + wait_us / 2), "long before its turn");
+    assert!(bucket.try_charge(&demand, 60 * SECOND + wait_us));
 }
 
 #[test]
 fn a_limit_of_one_request_a_second_without_any_tolerance_is_served() {
     let limit = TenantLimit { rate_per_s: 1, burst: 1, unit: QuotaUnit::Requests, plain_tokens: 0 };
     let bounds = QuotaBounds { overage: 0.0, slack: 0, ..BOUNDS };
-    let mut bucket = Bucket::new(limit, 1, SlotShare::of(&limit, &bounds, 1), 0, 0);
+    let mut bucket = Bucket::new(limit, 1, SlotShare::new(&limit, &bounds, 1), 0, 0);
     let asked = (0..80 * SECOND).step_by(100_000);
-    let served = asked.filter(|now_us| bucket.take(&demand(*now_us, 1, 0), *now_us)).count();
+    let served = asked.filter(|now_us| bucket.try_charge(&demand(*now_us, 1, 0), *now_us)).count();
     assert!((70..=90).contains(&served), "{served} in 80 s");
 }
 
 #[test]
 fn a_bucket_that_rested_for_a_window_is_idle() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
-    assert!(bucket.take(&demand(1, 10_000, 0), 60 * SECOND));
+    assert!(bucket.try_charge(&demand(1, 10_000, 0), 60 * SECOND));
     assert!(!bucket.is_idle(67 * SECOND));
     assert!(bucket.is_idle(69 * SECOND));
 }
@@ -230,7 +231,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// A run is asked for; it arrives so long after, or is given back then.
-    Whole { slot: usize, cost: u64, rank: u8, is_used: bool, after_us: u64 },
+    Whole { slot: usize, cost: u64, priority: u8, is_used: bool, after_us: u64 },
     /// All slots pay for it together.
     Parts { cost: u64, is_used: bool, after_us: u64 },
     /// The holder of a slot is lost and another one begins.
@@ -239,10 +240,16 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let cost = prop_oneof![3 => 1_u64..30_000, 1 => 30_000_u64..200_000];
-    let whole = (0..SLOTS, cost, 0_u8..3, any::<bool>(), 0..=GRANT_LIFE_US).prop_map(
-        |(slot, cost, rank, is_used, after_us)| Step::Whole { slot, cost, rank, is_used, after_us },
+    let whole = (0..SLOTS, cost, 0_u8..3, any::<bool>(), 0..=GRANT_TTL_US).prop_map(
+        |(slot, cost, priority, is_used, after_us)| Step::Whole {
+            slot,
+            cost,
+            priority,
+            is_used,
+            after_us,
+        },
     );
-    let parts = (10_000_u64..200_000, any::<bool>(), 0..=GRANT_LIFE_US)
+    let parts = (10_000_u64..200_000, any::<bool>(), 0..=GRANT_TTL_US)
         .prop_map(|(cost, is_used, after_us)| Step::Parts { cost, is_used, after_us });
     prop_oneof![
         30 => whole,
@@ -268,7 +275,7 @@
 impl Play {
     fn new(limit: TenantLimit, bounds: QuotaBounds, is_old: bool) -> Self {
         let now_us = if is_old { 100 * SECOND } else { 0 };
-        let share = SlotShare::of(&limit, &bounds, SLOTS);
+        let share = SlotShare::new(&limit, &bounds, SLOTS);
         let bucket = |_| Bucket::new(limit, 1, share, 0, now_us);
         let buckets = (0..SLOTS).map(bucket).collect();
         Self {
@@ -288,9 +295,9 @@
         self.number += 1;
         let number = self.number;
         match *step {
-            Step::Whole { slot, cost, rank, is_used, after_us } => {
-                let demand = demand(number, cost, rank);
-                if self.buckets[slot].take(&demand, self.now_us) {
+            Step::Whole { slot, cost, priority, is_used, after_us } => {
+                let demand = demand(number, cost, priority);
+                if self.buckets[slot].try_charge(&demand, self.now_us) {
                     self.settle(&[(slot, cost)], demand, is_used, after_us);
                 }
             }
@@ -299,14 +306,14 @@
                 let mut left = cost;
                 let mut parts = Vec::new();
                 for (slot, bucket) in self.buckets.iter_mut().enumerate() {
-                    let part = bucket.take_part(&demand, left, self.now_us);
+                    let part = bucket.charge_up_to(&demand, left, self.now_us);
                     left = left.saturating_sub(part);
                     parts.push((slot, part));
                 }
                 self.settle(&parts, demand, is_used && left == 0, after_us);
             }
             Step::Lose { slot } => {
-                let share = SlotShare::of(&self.limit, &self.bounds, SLOTS);
+                let share = SlotShare::new(&self.limit, &self.bounds, SLOTS);
                 self.buckets[slot] = Bucket::new(self.limit, 1, share, self.now_us, self.now_us);
                 self.starts[slot] = self.now_us;
             }
@@ -332,7 +339,7 @@
     /// The most by which a holder has paid more, between any two of its grants, than its burst,
     /// its debt and its refill; and, from its start, than its refill.
     fn overspent(&self) -> i64 {
-        let share = SlotShare::of(&self.limit, &self.bounds, SLOTS);
+        let share = SlotShare::new(&self.limit, &self.bounds, SLOTS);
         let mut overspent = i64::MIN;
         for ((_, start_us), used) in &self.used {
             let sum_from = |first: usize, last: usize| {
@@ -359,7 +366,7 @@
         self.returns.sort_unstable();
         let due = self.returns.partition_point(|(at_us, ..)| *at_us <= until_us);
         for (at_us, slot, ticket) in self.returns.drain(..due) {
-            self.buckets[slot].give_back(ticket, at_us);
+            self.buckets[slot].refund(ticket, at_us);
         }
         self.now_us = until_us;
     }
@@ -416,10 +423,10 @@
     ) {
         let limit = TenantLimit { burst, ..limit(rate) };
         let bounds = QuotaBounds { window_us, overage, slack };
-        let share = SlotShare::of(&limit, &bounds, slots);
-        prop_assert!(share.burst >= 0 && share.debt >= 0 && share.refill_of_all >= 0);
+        let share = SlotShare::new(&limit, &bounds, slots);
+        prop_assert!(share.burst >= 0 && share.debt >= 0 && share.total_refill_per_s >= 0);
         let of_all = |micros: i64| micros as f64 / 1e6 * slots as f64;
-        let refill = share.refill_of_all as f64 * (window_us + GRANT_LIFE_US) as f64 / 1e12;
+        let refill = share.total_refill_per_s as f64 * (window_us + GRANT_TTL_US) as f64 / 1e12;
         // However many holders follow each other: the later ones begin with nothing.
         let most = of_all(share.burst) + of_all(share.debt) + refill;
         prop_assert!(most <= allowed(&limit, &bounds) * (1.0 + 1e-9) + 1e-3, "{most}");
@@ -438,7 +445,7 @@
             }
             for slot in 0..SLOTS {
                 for cost in [5_000, 500, 50] {
-                    let take = Step::Whole { slot, cost, rank: 0, is_used: true, after_us: 0 };
+                    let take = Step::Whole { slot, cost, priority: 0, is_used: true, after_us: 0 };
                     play.on_step(&take);
                 }
             }
--- a/crates/serving/tests/quota_comparison.rs
+++ b/crates/serving/tests/quota_comparison.rs
@@ -160,7 +160,7 @@
 }
 
 fn bucket(limit: &TenantLimit, count: usize, since_us: u64, now_us: u64) -> Bucket {
-    let share = SlotShare::of(limit, &BOUNDS, count);
+    let share = SlotShare::new(limit, &BOUNDS, count);
     Bucket::new(*limit, 1, share, since_us, now_us)
 }
 
@@ -229,7 +229,7 @@
 
     fn on_request(&mut self, number: usize, request: &Request) {
         let ticket = Ticket { incarnation: 1, number: number as u64 };
-        let demand = Demand { ticket, cost: request.cost, rank: 0 };
+        let demand = Demand { ticket, cost: request.cost, priority: 0 };
         let order = self.slots[request.tenant].order(self.way, request.node);
         let order: Vec<usize> =
             order.into_iter().filter(|slot| !self.is_lost(request, *slot)).collect();
@@ -254,11 +254,11 @@
         for (asked, slot) in order.iter().enumerate() {
             at_us += self.word(asked == 0);
             let bucket = &mut self.slots[request.tenant].buckets[*slot];
-            is_granted = bucket.take(demand, at_us);
+            is_granted = bucket.try_charge(demand, at_us);
             if is_granted {
                 break;
             }
-            room += bucket.room_units(demand, at_us);
+            room += bucket.available_units(demand, at_us);
         }
         if self.way == Way::HandedOn && !is_granted && room >= request.cost as i64 {
             is_granted = self.ask_for_parts(request, demand, order, &mut at_us);
@@ -266,7 +266,7 @@
         let last = order.last().filter(|_| !is_granted);
         if let Some(last) = last {
             let bucket = &mut self.slots[request.tenant].buckets[*last];
-            bucket.refuse(demand, room, order.len(), at_us);
+            bucket.schedule_retry(demand, room, order.len(), at_us);
         }
         if !order.is_empty() {
             at_us += self.word(true);
@@ -284,7 +284,7 @@
         let mut left = request.cost;
         for slot in order.iter().rev() {
             let bucket = &mut self.slots[request.tenant].buckets[*slot];
-            left = left.saturating_sub(bucket.take_part(demand, left, *at_us));
+            left = left.saturating_sub(bucket.charge_up_to(demand, left, *at_us));
             if left == 0 {
                 break;
             }
--- a/crates/serving/tests/quota_fleet/leases.rs
+++ b/crates/serving/tests/quota_fleet/leases.rs
@@ -62,7 +62,7 @@
         let rank = if key.is_none() { self.rank(node, &keeper) } else { 0 };
         let candidacy = self.nodes[node].candidacies.entry(keeper.clone()).or_default();
         let step = candidacy.decide(told.as_ref(), address(node), rank, now_us);
-        if step == CandidacyStep::Wait {
+        if step == CandidacyAction::Wait {
             return;
         }
         let start = self.nodes[node].start;
--- a/crates/serving/tests/quota_fleet/messages.rs
+++ b/crates/serving/tests/quota_fleet/messages.rs
@@ -34,24 +34,24 @@
         self.nodes[node].asked.insert(ticket, Asked { tenant, cost });
         let can_ask = self.can_ask(node);
         let now_us = self.now_us;
-        let step = self.nodes[node].desk.ask(request, can_ask, now_us);
+        let step = self.nodes[node].desk.start(request, can_ask, now_us);
         self.on_step(node, step);
     }
 
-    pub(super) fn on_step(&mut self, node: usize, step: DeskStep) {
+    pub(super) fn on_step(&mut self, node: usize, step: RequesterAction) {
         match step {
-            DeskStep::Ask(question, patience_us) => {
+            RequesterAction::Query(question, patience_us) => {
                 let (ticket, keeper) = (question.ticket, question.keeper.clone());
                 let start = self.nodes[node].start;
                 self.push(patience_us, Event::Patience { node, start, ticket, keeper });
                 self.send_to_keeper(node, question.keeper.clone(), Word::Question(question));
             }
-            DeskStep::Settled(ticket, outcome, returns) => {
+            RequesterAction::Settled(ticket, outcome, returns) => {
                 self.settle(node, ticket, outcome);
                 self.give_back(node, returns);
             }
-            DeskStep::GiveBack(returns) => self.give_back(node, returns),
-            DeskStep::Nothing => {}
+            RequesterAction::Refund(returns) => self.give_back(node, returns),
+            RequesterAction::Noop => {}
         }
     }
 
@@ -62,7 +62,7 @@
                 // One in fifty is declined.
                 let is_declined = self.random.random_range(0..50) == 0;
                 if is_declined || !grant.is_usable(self.now_us) {
-                    self.give_back(node, grant.into_returns());
+                    self.give_back(node, grant.into_refunds());
                 } else {
                     let arrival = (self.now_us + SEND_US, asked.cost);
                     self.figures.arrivals[asked.tenant].push(arrival);
@@ -73,7 +73,7 @@
         }
     }
 
-    fn give_back(&mut self, node: usize, returns: Vec<QuotaReturn>) {
+    fn give_back(&mut self, node: usize, returns: Vec<QuotaRefund>) {
         for word in returns {
             self.send_to_keeper(node, word.keeper.clone(), Word::Return(word));
         }
@@ -109,22 +109,22 @@
         match word {
             Word::Question(question) => {
                 let Some(keeper) = self.nodes[to].keepers.get_mut(&question.keeper) else { return };
-                match keeper.on_question(&question, can_ask, now_us) {
-                    KeeperReply::Answer(answer) => {
-                        self.send(to, node_at(question.answer_to), Word::Answer(answer));
+                match keeper.on_query(&question, can_ask, now_us) {
+                    KeeperAction::Reply(answer) => {
+                        self.send(to, node_at(question.reply_to), Word::Answer(answer));
                     }
-                    KeeperReply::HandOn(next) => {
+                    KeeperAction::Forward(next) => {
                         self.send_to_keeper(to, next.keeper.clone(), Word::Question(next));
                     }
                 }
             }
             Word::Answer(answer) => {
-                let step = self.nodes[to].desk.on_answer(&answer, can_ask, now_us);
+                let step = self.nodes[to].desk.on_reply(&answer, can_ask, now_us);
                 self.on_step(to, step);
             }
             Word::Return(word) => {
                 if let Some(keeper) = self.nodes[to].keepers.get_mut(&word.keeper) {
-                    keeper.on_return(&word, now_us);
+                    keeper.on_refund(&word, now_us);
                 }
             }
         }
--- a/crates/serving/tests/quota_fleet/mod.rs
+++ b/crates/serving/tests/quota_fleet/mod.rs
@@ -7,12 +7,12 @@
 use pitchstall_serving::ids::{NodeId, RegionId, TenantName, ZoneId};
 use pitchstall_serving::membership::Member;
 use pitchstall_serving::quota::{
-    QuotaAnswer, QuotaBounds, QuotaQuestion, QuotaReturn, QuotaUnit, TenantLimit,
+    QuotaBounds, QuotaQuery, QuotaRefund, QuotaReply, QuotaUnit, TenantLimit,
 };
-use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyStep, KeeperKey};
-use pitchstall_serving::quota_keeper::{Keeper, KeeperReply};
+use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyAction, KeeperKey};
+use pitchstall_serving::quota_keeper::{Keeper, KeeperAction};
 use pitchstall_serving::quota_outcome::QuotaOutcome;
-use pitchstall_serving::quota_requester::{DeskStep, QuotaDesk, QuotaRequest};
+use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
 use pitchstall_serving::quota_slots::{all_keepers, KeeperId};
 use pitchstall_serving::quota_term::KeeperTerm;
 use pitchstall_serving::scheduling::Ticket;
@@ -53,9 +53,9 @@
 }
 
 enum Word {
-    Question(QuotaQuestion),
-    Answer(QuotaAnswer),
-    Return(QuotaReturn),
+    Question(QuotaQuery),
+    Answer(QuotaReply),
+    Return(QuotaRefund),
 }
 
 enum Event {
@@ -83,7 +83,7 @@
     is_cut: bool,
     has_store: bool,
     knows_nobody: bool,
-    desk: QuotaDesk,
+    desk: QuotaRequester,
     keepers: BTreeMap<KeeperId, Keeper>,
     candidacies: BTreeMap<KeeperId, Candidacy>,
     copy: BTreeMap<KeeperId, usize>,
@@ -254,7 +254,7 @@
             Event::Patience { node, start, ticket, keeper } if self.is_at(node, start) => {
                 let can_ask = self.can_ask(node);
                 let now_us = self.now_us;
-                let step = self.nodes[node].desk.on_patience_over(ticket, &keeper, can_ask, now_us);
+                let step = self.nodes[node].desk.on_reply_timeout(ticket, &keeper, can_ask, now_us);
                 self.on_step(node, step);
             }
             Event::Renew { node, start } if self.is_at(node, start) => self.renew(node),
@@ -344,7 +344,7 @@
         is_cut: false,
         has_store: true,
         knows_nobody: false,
-        desk: QuotaDesk::new(zone(node), address(node), BOUNDS, topology.clone()),
+        desk: QuotaRequester::new(zone(node), address(node), BOUNDS, topology.clone()),
         keepers: BTreeMap::new(),
         candidacies: BTreeMap::new(),
         copy: BTreeMap::new(),
--- a/crates/serving/tests/quota_keeper.rs
+++ b/crates/serving/tests/quota_keeper.rs
@@ -3,11 +3,11 @@
 
 use pitchstall_serving::ids::{RegionId, TenantName, ZoneId};
 use pitchstall_serving::quota::{
-    QuotaAnswer, QuotaBounds, QuotaQuestion, QuotaReturn, QuotaUnit, QuotaVerdict, TenantLimit,
+    QuotaBounds, QuotaQuery, QuotaRefund, QuotaReply, QuotaUnit, QuotaVerdict, TenantLimit,
 };
-use pitchstall_serving::quota_keeper::{Keeper, KeeperReply};
+use pitchstall_serving::quota_keeper::{Keeper, KeeperAction};
 use pitchstall_serving::quota_outcome::QuotaOutcome;
-use pitchstall_serving::quota_requester::{DeskStep, QuotaDesk, QuotaRequest};
+use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
 use pitchstall_serving::quota_slots::{all_keepers, keepers_of, KeeperId};
 use pitchstall_serving::quota_term::KeeperTerm;
 use pitchstall_serving::scheduling::Ticket;
@@ -61,13 +61,13 @@
     }
 
     /// Asks, with every hand-on.
-    fn ask(&mut self, mut question: QuotaQuestion, now_us: u64) -> QuotaAnswer {
+    fn ask(&mut self, mut question: QuotaQuery, now_us: u64) -> QuotaReply {
         loop {
             self.words += 1;
             let keeper = self.held.get_mut(&question.keeper).unwrap();
-            match keeper.on_question(&question, anyone, now_us) {
-                KeeperReply::Answer(answer) => return answer,
-                KeeperReply::HandOn(next) => question = next,
+            match keeper.on_query(&question, anyone, now_us) {
+                KeeperAction::Reply(answer) => return answer,
+                KeeperAction::Forward(next) => question = next,
             }
         }
     }
@@ -77,29 +77,29 @@
         levels.map(|tenant| tenant.level).sum()
     }
 
-    fn give_back(&mut self, word: &QuotaReturn) -> u64 {
-        self.held.get_mut(&word.keeper).unwrap().on_return(word, NOW_US)
+    fn give_back(&mut self, word: &QuotaRefund) -> u64 {
+        self.held.get_mut(&word.keeper).unwrap().on_refund(word, NOW_US)
     }
 }
 
-fn question(number: u64, cost: u64, limit: TenantLimit, version: u64) -> QuotaQuestion {
-    QuotaQuestion {
+fn question(number: u64, cost: u64, limit: TenantLimit, version: u64) -> QuotaQuery {
+    QuotaQuery {
         ticket: Ticket { incarnation: 1, number },
-        answer_to: address(),
+        reply_to: address(),
         tenant: tenant(),
         limit,
         version,
         cost,
         priority: 0,
         keeper: Keepers::slots(&limit)[0].clone(),
-        asked: Vec::new(),
-        silent: Vec::new(),
-        room: 0,
-        paid: Vec::new(),
+        tried: Vec::new(),
+        unresponsive: Vec::new(),
+        available_units: 0,
+        charged: Vec::new(),
     }
 }
 
-fn is_granted(answer: &QuotaAnswer) -> bool {
+fn is_granted(answer: &QuotaReply) -> bool {
     answer.verdict == QuotaVerdict::Granted
 }
 
@@ -126,7 +126,7 @@
     let mut keepers = Keepers::new();
     let answer = keepers.ask(question(1, 150_000, limit(47_000), 1), NOW_US);
     assert!(is_granted(&answer));
-    assert_eq!(answer.paid.len(), 3);
+    assert_eq!(answer.charged.len(), 3);
     assert!(keepers.words <= 5, "{} words", keepers.words);
     let level = 47_000 - 150_000;
     assert!((level - 3..=level).contains(&keepers.level()), "rounded down at each keeper");
@@ -137,11 +137,11 @@
     let mut keepers = Keepers::new();
     let answer = keepers.ask(question(1, 120_000, limit(47_000), 1), NOW_US);
     let returned: u64 = answer
-        .paid
+        .charged
         .iter()
         .map(|keeper| {
             let word =
-                QuotaReturn { ticket: answer.ticket, keeper: keeper.clone(), tenant: tenant() };
+                QuotaRefund { ticket: answer.ticket, keeper: keeper.clone(), tenant: tenant() };
             keepers.give_back(&word) + keepers.give_back(&word)
         })
         .sum();
@@ -153,7 +153,7 @@
     let mut keepers = Keepers::new();
     let answer = keepers.ask(question(1, 500_000, limit(47_000), 1), NOW_US);
     assert!(matches!(answer.verdict, QuotaVerdict::Refused { wait_ms } if wait_ms > 1_000));
-    assert!(answer.paid.is_empty());
+    assert!(answer.charged.is_empty());
     assert_eq!(keepers.level(), 47_000 - 2, "rounded down at two keepers");
 }
 
@@ -178,19 +178,19 @@
     let id = Keepers::slots(&limit(300_000))[0].clone();
     let term = KeeperTerm::new(StoreRevision::without_era(1), 0, 0, 15 * SECOND);
     let mut keeper = Keeper::new(id.clone(), term, BOUNDS, topology());
-    let mut ask = |number, now_us| match keeper.on_question(
+    let mut ask = |number, now_us| match keeper.on_query(
         &question(number, 200, limit(300_000), 1),
         anyone,
         now_us,
     ) {
-        KeeperReply::Answer(answer) => answer.verdict,
-        KeeperReply::HandOn(_) => unreachable!("there is room"),
+        KeeperAction::Reply(answer) => answer.verdict,
+        KeeperAction::Forward(_) => unreachable!("there is room"),
     };
     assert_eq!(ask(1, 12 * SECOND), QuotaVerdict::Granted);
     assert_eq!(ask(2, 13 * SECOND), QuotaVerdict::NotKeeper);
     keeper.renew(10 * SECOND, 15 * SECOND);
-    let renewed = keeper.on_question(&question(3, 200, limit(300_000), 1), anyone, 13 * SECOND);
-    assert!(matches!(renewed, KeeperReply::Answer(answer) if is_granted(&answer)));
+    let renewed = keeper.on_query(&question(3, 200, limit(300_000), 1), anyone, 13 * SECOND);
+    assert!(matches!(renewed, KeeperAction::Reply(answer) if is_granted(&answer)));
 }
 
 #[test]
@@ -216,11 +216,11 @@
     let mut other = question(1, 200, limit(300_000), 5);
     other.tenant = TenantName::new("other");
     let keeper = keepers.held.get_mut(&id).unwrap();
-    keeper.on_question(&other, anyone, NOW_US);
+    keeper.on_query(&other, anyone, NOW_US);
     other.version = 6;
-    keeper.on_question(&other, anyone, NOW_US + 1);
-    let reply = keeper.on_question(&question(2, 50_000, limit(300_000), 6), anyone, NOW_US + 2);
-    assert!(matches!(reply, KeeperReply::HandOn(_)), "{reply:?}");
+    keeper.on_query(&other, anyone, NOW_US + 1);
+    let reply = keeper.on_query(&question(2, 50_000, limit(300_000), 6), anyone, NOW_US + 2);
+    assert!(matches!(reply, KeeperAction::Forward(_)), "{reply:?}");
 }
 
 #[test]
@@ -242,7 +242,7 @@
         let mut question = question(number, 200, limit(300_000), 1);
         question.tenant = TenantName::new(name);
         question.keeper = id.clone();
-        keeper.on_question(&question, |_| false, now_us);
+        keeper.on_query(&question, |_| false, now_us);
         keeper.levels(now_us).len()
     };
     let met = (0..2_300).map(|number| ask(format!("t-{number}"), number, NOW_US)).max().unwrap();
@@ -251,8 +251,8 @@
     assert!(ask("busy".into(), 10_000, later_us) <= 1);
 }
 
-fn desk() -> QuotaDesk {
-    QuotaDesk::new(ZoneId::new("a1"), address(), BOUNDS, topology())
+fn desk() -> QuotaRequester {
+    QuotaRequester::new(ZoneId::new("a1"), address(), BOUNDS, topology())
 }
 
 fn request(number: u64) -> QuotaRequest {
@@ -266,114 +266,114 @@
     }
 }
 
-fn asked(step: DeskStep) -> QuotaQuestion {
+fn asked(step: RequesterAction) -> QuotaQuery {
     match step {
-        DeskStep::Ask(question, _) => question,
+        RequesterAction::Query(question, _) => question,
         other => unreachable!("{other:?}"),
     }
 }
 
-fn answer(question: &QuotaQuestion, verdict: QuotaVerdict) -> QuotaAnswer {
+fn answer(question: &QuotaQuery, verdict: QuotaVerdict) -> QuotaReply {
     let (ticket, keeper) = (question.ticket, question.keeper.clone());
-    QuotaAnswer { ticket, keeper, verdict, level: 0, paid: Vec::new() }
+    QuotaReply { ticket, keeper, verdict, level: 0, charged: Vec::new() }
 }
 
 #[test]
 fn the_keeper_of_the_own_zone_is_asked_first() {
-    let question = asked(desk().ask(request(1), anyone, 0));
+    let question = asked(desk().start(request(1), anyone, 0));
     assert_eq!(question.keeper.zone.as_str(), "a1");
 }
 
 #[test]
 fn a_keeper_that_does_not_answer_is_passed_over_and_asked_last_for_a_while() {
     let mut desk = desk();
-    let first = asked(desk.ask(request(1), anyone, 0));
-    let second = asked(desk.on_patience_over(first.ticket, &first.keeper, anyone, 30_000));
+    let first = asked(desk.start(request(1), anyone, 0));
+    let second = asked(desk.on_reply_timeout(first.ticket, &first.keeper, anyone, 30_000));
     assert_ne!(second.keeper, first.keeper);
-    assert_eq!(second.silent, vec![first.keeper.clone()], "nor is it handed on to it");
-    let other = asked(desk.ask(request(2), anyone, 40_000));
+    assert_eq!(second.unresponsive, vec![first.keeper.clone()], "nor is it handed on to it");
+    let other = asked(desk.start(request(2), anyone, 40_000));
     assert_ne!(other.keeper, first.keeper);
-    let later = asked(desk.ask(request(3), anyone, 2 * SECOND));
+    let later = asked(desk.start(request(3), anyone, 2 * SECOND));
     assert_eq!(later.keeper, first.keeper);
 }
 
 #[test]
 fn a_grant_that_comes_after_another_one_is_given_back_once() {
     let mut desk = desk();
-    let first = asked(desk.ask(request(1), anyone, 0));
-    let second = asked(desk.on_patience_over(first.ticket, &first.keeper, anyone, 30_000));
-    let settled = desk.on_answer(&answer(&second, QuotaVerdict::Granted), anyone, 31_000);
-    assert!(matches!(settled, DeskStep::Settled(_, QuotaOutcome::Granted(_), _)));
+    let first = asked(desk.start(request(1), anyone, 0));
+    let second = asked(desk.on_reply_timeout(first.ticket, &first.keeper, anyone, 30_000));
+    let settled = desk.on_reply(&answer(&second, QuotaVerdict::Granted), anyone, 31_000);
+    assert!(matches!(settled, RequesterAction::Settled(_, QuotaOutcome::Granted(_), _)));
     let late = answer(&first, QuotaVerdict::Granted);
-    match desk.on_answer(&late, anyone, 90_000) {
-        DeskStep::GiveBack(words) => assert_eq!(words[0].keeper, first.keeper),
+    match desk.on_reply(&late, anyone, 90_000) {
+        RequesterAction::Refund(words) => assert_eq!(words[0].keeper, first.keeper),
         other => unreachable!("{other:?}"),
     }
-    assert_eq!(desk.on_answer(&late, anyone, 91_000), DeskStep::Nothing);
+    assert_eq!(desk.on_reply(&late, anyone, 91_000), RequesterAction::Noop);
 }
 
 #[test]
 fn a_grant_that_comes_twice_is_neither_used_twice_nor_given_back() {
     let mut desk = desk();
-    let question = asked(desk.ask(request(1), anyone, 0));
+    let question = asked(desk.start(request(1), anyone, 0));
     let granted = answer(&question, QuotaVerdict::Granted);
-    desk.on_answer(&granted, anyone, 1_000);
-    assert_eq!(desk.on_answer(&granted, anyone, 2_000), DeskStep::Nothing);
+    desk.on_reply(&granted, anyone, 1_000);
+    assert_eq!(desk.on_reply(&granted, anyone, 2_000), RequesterAction::Noop);
 }
 
 #[test]
 fn a_grant_is_usable_for_half_a_second_from_the_first_question() {
     let mut desk = desk();
-    let first = asked(desk.ask(request(1), anyone, 0));
-    let second = asked(desk.on_patience_over(first.ticket, &first.keeper, anyone, 30_000));
-    let step = desk.on_answer(&answer(&second, QuotaVerdict::Granted), anyone, 31_000);
-    let DeskStep::Settled(_, QuotaOutcome::Granted(grant), _) = step else { unreachable!() };
+    let first = asked(desk.start(request(1), anyone, 0));
+    let second = asked(desk.on_reply_timeout(first.ticket, &first.keeper, anyone, 30_000));
+    let step = desk.on_reply(&answer(&second, QuotaVerdict::Granted), anyone, 31_000);
+    let RequesterAction::Settled(_, QuotaOutcome::Granted(grant), _) = step else { unreachable!() };
     assert!(grant.is_usable(499_999) && !grant.is_usable(500_000));
-    assert_eq!(grant.into_returns()[0].keeper, second.keeper);
+    assert_eq!(grant.into_refunds()[0].keeper, second.keeper);
 }
 
 #[test]
 fn a_node_that_can_ask_nobody_says_so_at_once() {
-    let step = desk().ask(request(1), |_| false, 0);
-    assert!(matches!(step, DeskStep::Settled(_, QuotaOutcome::Unreachable, _)));
+    let step = desk().start(request(1), |_| false, 0);
+    assert!(matches!(step, RequesterAction::Settled(_, QuotaOutcome::Unreachable, _)));
 }
 
 #[test]
 fn a_node_that_nobody_answers_gives_up_in_time() {
     let mut desk = desk();
-    let mut question = asked(desk.ask(request(1), anyone, 0));
+    let mut question = asked(desk.start(request(1), anyone, 0));
     let mut questions = 1;
     for now_us in (30_000..).step_by(30_000) {
-        match desk.on_patience_over(question.ticket, &question.keeper, anyone, now_us) {
-            DeskStep::Ask(next, _) => question = next,
-            DeskStep::Settled(_, QuotaOutcome::Unreachable, _) => break,
+        match desk.on_reply_timeout(question.ticket, &question.keeper, anyone, now_us) {
+            RequesterAction::Query(next, _) => question = next,
+            RequesterAction::Settled(_, QuotaOutcome::Unreachable, _) => break,
             other => unreachable!("{other:?}"),
         }
         questions += 1;
     }
     assert_eq!(questions, 6);
-    assert_eq!(desk.waiting(), 0);
+    assert_eq!(desk.pending_count(), 0);
 }
 
 #[test]
 fn one_that_is_no_keeper_is_not_asked_again_for_the_run() {
     let mut desk = desk();
-    let first = asked(desk.ask(request(1), anyone, 0));
-    let second = asked(desk.on_answer(&answer(&first, QuotaVerdict::NotKeeper), anyone, 1_000));
-    let third = asked(desk.on_answer(&answer(&second, QuotaVerdict::NotKeeper), anyone, 2_000));
-    let step = desk.on_answer(&answer(&third, QuotaVerdict::NotKeeper), anyone, 3_000);
-    assert!(matches!(step, DeskStep::Settled(_, QuotaOutcome::Unreachable, _)));
+    let first = asked(desk.start(request(1), anyone, 0));
+    let second = asked(desk.on_reply(&answer(&first, QuotaVerdict::NotKeeper), anyone, 1_000));
+    let third = asked(desk.on_reply(&answer(&second, QuotaVerdict::NotKeeper), anyone, 2_000));
+    let step = desk.on_reply(&answer(&third, QuotaVerdict::NotKeeper), anyone, 3_000);
+    assert!(matches!(step, RequesterAction::Settled(_, QuotaOutcome::Unreachable, _)));
 }
 
 #[test]
 fn parts_that_were_paid_in_vain_are_given_back() {
     let mut desk = desk();
-    let question = asked(desk.ask(request(1), anyone, 0));
+    let question = asked(desk.start(request(1), anyone, 0));
     let payer = KeeperId { zone: ZoneId::new("a2"), number: 1 };
     let mut refused = answer(&question, QuotaVerdict::Refused { wait_ms: 10 });
-    refused.paid.push(payer.clone());
-    match desk.on_answer(&refused, anyone, 1_000) {
-        DeskStep::Settled(_, QuotaOutcome::Refused { .. }, words) => {
+    refused.charged.push(payer.clone());
+    match desk.on_reply(&refused, anyone, 1_000) {
+        RequesterAction::Settled(_, QuotaOutcome::Refused { .. }, words) => {
             assert_eq!(words[0].keeper, payer);
         }
         other => unreachable!("{other:?}"),
@@ -383,8 +383,8 @@
 #[test]
 fn a_grant_for_a_caller_that_has_gone_is_given_back() {
     let mut desk = desk();
-    let question = asked(desk.ask(request(1), anyone, 0));
-    desk.on_gone(question.ticket, 500);
-    let step = desk.on_answer(&answer(&question, QuotaVerdict::Granted), anyone, 1_000);
-    assert!(matches!(step, DeskStep::GiveBack(words) if words.len() == 1));
+    let question = asked(desk.start(request(1), anyone, 0));
+    desk.cancel(question.ticket, 500);
+    let step = desk.on_reply(&answer(&question, QuotaVerdict::Granted), anyone, 1_000);
+    assert!(matches!(step, RequesterAction::Refund(words) if words.len() == 1));
 }
--- a/crates/serving/tests/quota_slots.rs
+++ b/crates/serving/tests/quota_slots.rs
@@ -5,8 +5,8 @@
 use pitchstall_serving::ids::{NodeId, RegionId, TenantName, ZoneId};
 use pitchstall_serving::membership::Member;
 use pitchstall_serving::quota::{QuotaBounds, QuotaUnit, TenantLimit};
-use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyStep, KeeperKey};
-use pitchstall_serving::quota_slots::{all_keepers, keepers_of, order_for, KeeperId};
+use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyAction, KeeperKey};
+use pitchstall_serving::quota_slots::{all_keepers, keepers_of, query_order, KeeperId};
 use pitchstall_serving::quota_term::KeeperTerm;
 use pitchstall_serving::store_revision::StoreRevision;
 use pitchstall_serving::topology::Topology;
@@ -88,10 +88,10 @@
     let topology = topology(2, 2);
     let keepers = all_keepers(&topology);
     let zone = ZoneId::new("b1");
-    let ordered = order_for(&keepers, &zone, &topology);
+    let ordered = query_order(&keepers, &zone, &topology);
     let zones: Vec<&str> = ordered.iter().map(|keeper| keeper.zone.as_str()).collect();
     assert_eq!(zones[..4], ["b1", "b1", "b2", "b2"]);
-    assert_eq!(ordered, order_for(&keepers, &zone, &topology), "and always in that order");
+    assert_eq!(ordered, query_order(&keepers, &zone, &topology), "and always in that order");
 }
 
 #[test]
@@ -142,7 +142,7 @@
         let mut candidacy = Candidacy::new();
         (0..100 * SECOND)
             .step_by(50_000)
-            .find(|now_us| candidacy.decide(None, address(1), rank, *now_us) == CandidacyStep::Take)
+            .find(|us| candidacy.decide(None, address(1), rank, *us) == CandidacyAction::Acquire)
     };
     let tries: Vec<u64> = (0..5).map(|rank| first_try(rank).unwrap()).collect();
     assert!(tries[0] >= 200_000);
@@ -155,7 +155,7 @@
     let mut candidacy = Candidacy::new();
     let tries = (0..10 * SECOND)
         .step_by(50_000)
-        .filter(|now_us| candidacy.decide(None, address(1), 0, *now_us) != CandidacyStep::Wait);
+        .filter(|now_us| candidacy.decide(None, address(1), 0, *now_us) != CandidacyAction::Wait);
     assert_eq!(tries.count(), 10);
 }
 
@@ -165,7 +165,7 @@
     let key = KeeperKey { holder: address(2), revision: StoreRevision::without_era(7) };
     for now_us in (0..10 * SECOND).step_by(50_000) {
         let step = candidacy.decide(Some(&key), address(1), 0, now_us);
-        assert_eq!(step, CandidacyStep::Wait);
+        assert_eq!(step, CandidacyAction::Wait);
     }
 }
 
@@ -173,7 +173,7 @@
 fn a_process_that_starts_anew_takes_over_the_key_of_the_one_before_at_once() {
     let key = KeeperKey { holder: address(1), revision: StoreRevision::without_era(7) };
     let step = Candidacy::new().decide(Some(&key), address(1), 5, 0);
-    assert_eq!(step, CandidacyStep::TakeOver { revision: StoreRevision::without_era(7) });
+    assert_eq!(step, CandidacyAction::TakeOver { revision: StoreRevision::without_era(7) });
 }
 
 #[test]
@@ -185,5 +185,9 @@
     term.renew(10 * SECOND, ttl_us);
     assert!(term.is_valid(22 * SECOND) && !term.is_valid(23 * SECOND));
     term.renew(3 * SECOND, ttl_us);
-    assert_eq!(term.left_us(22 * SECOND), 750_000, "an answer that comes late shortens nothing");
+    assert_eq!(
+        term.remaining_us(22 * SECOND),
+        750_000,
+        "an answer that comes late shortens nothing"
+    );
 }
