--- a/crates/serving/src/quota_bucket.rs
+++ b/crates/serving/src/quota_bucket.rs
@@ -173,8 +173,8 @@
     ) -> u64 {
         let cost = to_micros(demand.cost);
         let slots = i64::try_from(slots.max(1)).unwrap_or(1);
-        let limit_micros = (self.share.burst + self.share.debt).saturating_mul(slots);
-        if cost > limit_micros {
+        let max_micros = (self.share.burst + self.share.debt).saturating_mul(slots);
+        if cost > max_micros {
             return RetrySchedule::spread_wait(demand.ticket);
         }
         let missing = cost.saturating_sub(available_units.saturating_mul(MICROS_PER_UNIT)) / slots
@@ -220,7 +220,7 @@
     }
 
     /// Room for a run, or for a part of one, that takes no more than `most`.
-    fn available_micros(&self, cost: i64, limit_micros: i64, priority: u8, now_us: u64) -> i64 {
+    fn available_micros(&self, cost: i64, max_micros: i64, priority: u8, now_us: u64) -> i64 {
         let available = self.level + self.share.debt - self.priority_reserve(cost, priority);
         let is_small = self.is_small(cost);
         match self.retries.reserved_level(cost, priority, is_small, now_us) {
@@ -230,7 +230,7 @@
             }
             None => available,
         }
-        .min(limit_micros)
+        .min(max_micros)
     }
 
     fn record_charge(&mut self, demand: &Demand, charged: i64, now_us: u64) {
