--- a/crates/serving/src/quota.rs
+++ b/crates/serving/src/quota.rs
@@ -1,7 +1,8 @@
-//! Limits on what a tenant may have run, and what nodes say to each other to keep them.
+//! Tenants' quotas: the limits and the messages that nodes exchange to enforce them.
 //!
-//! The limit of a tenant is split among a few keepers, one node each. A node that has taken a
-//! request asks a keeper for what the request costs before it is sent to a runner.
+//! A tenant's limit is split among a few keepers, each held by one node. Before a node sends a
+//! request to a runner, it queries a keeper, which charges the cost of the request against the
+//! limit.
 
 use crate::ids::TenantName;
 use crate::prefix::Prompt;
@@ -10,36 +11,38 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a limit counts.
+/// The unit in which a limit is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaUnit {
-    /// Each request is one.
+    /// Each request costs one unit.
     #[serde(rename = "r")]
     Requests,
-    /// Each request is its prompt's tokens and the most that it may write.
+    /// Each request costs its prompt tokens plus its maximum output tokens.
     #[serde(rename = "t")]
     Tokens,
 }
 
-/// What a tenant may have run, over all nodes.
+/// The limit on a tenant's runs, summed over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantLimit {
-    /// Units a second, more than 0.
+    /// Sustained rate, units per second; greater than 0.
     #[serde(rename = "r")]
     pub rate_per_s: u64,
-    /// Units above that which may come at once.
+    /// Units that may be used in a burst on top of the rate.
     #[serde(rename = "b")]
     pub burst: u64,
-    /// What is counted.
+    /// The unit of the rate, the burst and the cost.
     #[serde(rename = "u")]
     pub unit: QuotaUnit,
-    /// Units of a request that tells no tokens, if tokens are counted.
+    /// Cost, in tokens, of a request that states no token counts. Used only if `unit` is
+    /// [`QuotaUnit::Tokens`].
     #[serde(rename = "p")]
     pub plain_tokens: u64,
 }
 
 impl TenantLimit {
-    /// Units that one run of a request costs; `None` as prompt: it tells no tokens.
+    /// The cost, in units, of one run of a request. `prompt` is `None` if the request states no
+    /// token counts.
     pub fn cost(&self, prompt: Option<&Prompt>) -> u64 {
         match (self.unit, prompt) {
             (QuotaUnit::Requests, _) => 1,
@@ -49,65 +52,68 @@
     }
 }
 
-/// How far the sum over all nodes may lie above a tenant's limit, in any window.
+/// How far the total of all nodes may exceed a tenant's limit in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
     /// Length of the window, microseconds.
     pub window_us: u64,
-    /// Share of what the limit allows in a window.
+    /// Permitted excess as a share of what the limit allows in a window.
     pub overage: f64,
-    /// Units besides.
+    /// Permitted excess in units, in addition to `overage`.
     pub slack: u64,
 }
 
-/// A node asks for what one run of a request costs.
+/// The query by which a node asks a keeper to charge the cost of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaQuery {
-    /// Identifies the run at the asking node.
+    /// Identifies the run at the node that sent the query.
     #[serde(rename = "i")]
     pub ticket: Ticket,
-    /// Where the answer goes: the question may have been handed on.
+    /// The address that receives the reply. It differs from the sender's if the query was
+    /// forwarded.
     #[serde(rename = "a")]
     pub reply_to: SocketAddr,
-    /// The tenant.
+    /// The tenant whose quota is charged.
     #[serde(rename = "t")]
     pub tenant: TenantName,
-    /// Its limit as the asking node knows it, and the version of the configuration that says so.
+    /// The tenant's limit as known to the node that sent the query.
     #[serde(rename = "l")]
     pub limit: TenantLimit,
-    /// That version.
+    /// The version of the configuration that `limit` was read from.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Units that the run costs.
+    /// Cost of the run, units.
     #[serde(rename = "c")]
     pub cost: u64,
-    /// Rank of the request, 0 first.
+    /// Priority of the request; 0 is the most urgent.
     #[serde(rename = "k")]
     pub priority: u8,
-    /// The keeper that is asked: a node may hold several.
+    /// The keeper that is queried. A node may hold several keepers.
     #[serde(rename = "e")]
     pub keeper: KeeperId,
-    /// Keepers that have been asked before and were short.
+    /// Keepers that have been queried before and had too few units available.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub tried: Vec<KeeperId>,
-    /// Keepers that have been silent lately: the question is not handed on to them.
+    /// Keepers that have not replied lately. The query is not forwarded to them.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub unresponsive: Vec<KeeperId>,
-    /// Units that those that were asked had room for together; below 0 if they are short of the floor.
+    /// Sum of the units available at the keepers in `tried`; negative if they are below their
+    /// floor.
     #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
     pub available_units: i64,
-    /// Parts that are paid already: no keeper has room for the whole, but all of them have.
+    /// Partial charges made so far. The cost is charged in parts if no keeper alone has enough
+    /// units available, but all of them together have.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub charged: Vec<PartialCharge>,
 }
 
-/// What one keeper paid of a run that none could pay alone.
+/// What one keeper charged for a run whose cost is split among several keepers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialCharge {
-    /// The keeper.
+    /// The keeper that made the charge.
     #[serde(rename = "e")]
     pub keeper: KeeperId,
-    /// Units, perhaps none.
+    /// Units charged; may be 0.
     #[serde(rename = "c")]
     pub units: u64,
 }
@@ -116,52 +122,52 @@
     *units == 0
 }
 
-/// What a keeper decided.
+/// A keeper's decision on a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaVerdict {
-    /// The run is paid for.
+    /// The cost has been charged, and the run may be sent.
     #[serde(rename = "g")]
     Granted,
-    /// There will be room for a run of this cost in so many milliseconds.
+    /// The tenant has too few units available.
     #[serde(rename = "r")]
     Refused {
-        /// Milliseconds.
+        /// Time until there are units for a run of this cost, milliseconds.
         #[serde(rename = "w")]
         wait_ms: u64,
     },
-    /// The node is no keeper, or does not know whether it still is.
+    /// The node does not hold the keeper, or cannot be sure that it still does.
     #[serde(rename = "n")]
     NotKeeper,
 }
 
-/// A keeper's answer.
+/// A keeper's reply to a [`QuotaQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReply {
-    /// The run.
+    /// The run that was queried.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// The keeper that decided.
     #[serde(rename = "k")]
     pub keeper: KeeperId,
-    /// What it decided.
+    /// Its decision.
     #[serde(rename = "d")]
     pub verdict: QuotaVerdict,
-    /// Units left there for the tenant, below 0 if it is in debt; for the logs.
+    /// Units left in the keeper's bucket for the tenant, negative if it is in debt; for logs.
     #[serde(rename = "l")]
     pub level: i64,
-    /// Keepers that paid parts, whatever was decided then; empty if there were no parts.
+    /// Keepers that made partial charges, whatever the verdict; empty if the cost was not split.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub charged: Vec<KeeperId>,
 }
 
-/// A run that was paid for has provably not begun: what it cost is given back. The keeper knows
-/// what that was, and a word that comes twice gives back once.
+/// Refunds the charge of a run that has provably not started. The keeper knows the amount, and
+/// refunds it only once if the message arrives twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRefund {
     /// The run.
     #[serde(rename = "i")]
     pub ticket: Ticket,
-    /// The keeper that granted it.
+    /// The keeper that charged for it.
     #[serde(rename = "e")]
     pub keeper: KeeperId,
     /// The tenant.
--- a/crates/serving/src/quota_bucket.rs
+++ b/crates/serving/src/quota_bucket.rs
@@ -1,11 +1,13 @@
-//! One slot of a tenant's limit: a bucket that fills steadily and may go into debt.
+//! The token bucket of one slot of a tenant's limit. It refills at a constant rate and may go into
+//! debt.
 //!
-//! A run is paid for if the level is its cost above the floor. The floor is the debt that the slot
-//! may have, and above it a reserve that the less urgent leave to the more urgent. What
-//! costs less than a small share of the burst needs no reserve.
+//! A run is granted if the level minus its cost stays at or above a floor. The floor is the
+//! negative of the slot's maximum debt, plus a reserve that less urgent runs leave to more urgent
+//! ones. Runs that cost less than a small share of the burst ignore the reserve.
 //!
-//! A large run that was refused has its turn booked: until then smaller ones that are no more
-//! urgent are let in only as far as they do not put it off. There is one booking at a time.
+//! When a large run is refused, the level that it needs is reserved for the time at which it is
+//! told to retry. Until then, smaller runs that are no more urgent are granted only as far as they
+//! do not delay it. There is one reservation at a time.
 
 use crate::quota::{QuotaQuery, QuotaUnit, TenantLimit};
 use crate::quota_grants::RefundableGrants;
@@ -13,26 +15,27 @@
 use crate::quota_share::{SlotShare, MICROS_PER_UNIT};
 use crate::scheduling::Ticket;
 
-/// Costs up to this share of the burst need no reserve, as a divisor.
+/// Costs of up to `burst / SMALL_COST_DIVISOR` ignore the priority reserve.
 const SMALL_COST_DIVISOR: i64 = 64;
-/// Share of burst and debt that each rank leaves to the one before it, as a divisor.
+/// Each priority leaves `(burst + debt) / PRIORITY_RESERVE_DIVISOR` to the next more urgent one.
 const PRIORITY_RESERVE_DIVISOR: i64 = 16;
-/// Ranks beyond this one leave what it leaves.
+/// Priorities beyond this one are treated like it.
 const LOWEST_PRIORITY: u8 = 2;
 
-/// What a question is about.
+/// The demand of one run, as far as a bucket needs it.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    /// The run.
+    /// Identifies the run.
     pub ticket: Ticket,
-    /// What it costs, units.
+    /// Cost of the run, units.
     pub cost: u64,
-    /// Its rank, 0 first.
+    /// Priority of the run; 0 is the most urgent.
     pub priority: u8,
 }
 
 impl Demand {
-    /// What a question is about, by the limit that counts: the asking node may know an older one.
+    /// Converts a query's cost to the unit of `limit`, the limit in force at the keeper. The node
+    /// that sent the query may know an older one.
     pub fn from_query(query: &QuotaQuery, limit: &TenantLimit) -> Self {
         let cost = match (limit.unit, query.limit.unit) {
             (QuotaUnit::Requests, QuotaUnit::Tokens) => 1,
@@ -43,7 +46,7 @@
     }
 }
 
-/// One slot of a tenant's limit, as its holder keeps it. Amounts are in millionths of a unit.
+/// The token bucket of one slot, kept by the slot's holder. Amounts are in millionths of a unit.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     limit: TenantLimit,
@@ -58,8 +61,8 @@
 }
 
 impl Bucket {
-    /// The slot of a tenant that was not met before by a holder that counts since `since_us`: as
-    /// if it had owed all of its debt then and nothing had been asked since.
+    /// Creates the bucket of a tenant that is new to this holder. It starts in full debt at
+    /// `since_us`, from which the holder counts, and has refilled without a charge until `now_us`.
     pub fn new(
         limit: TenantLimit,
         version: u64,
@@ -82,18 +85,18 @@
         }
     }
 
-    /// The limit that counts here.
+    /// The limit in force.
     pub fn limit(&self) -> &TenantLimit {
         &self.limit
     }
 
-    /// The version of the configuration that says so.
+    /// The version of the configuration that the limit in force was read from.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Another limit counts from now on. What there was room for stays, as far as the new limit has
-    /// room for it.
+    /// Replaces the limit. The available units are kept, up to the capacity under the new limit; a
+    /// reservation made under the old limit is dropped.
     pub fn set_limit(&mut self, limit: TenantLimit, version: u64, share: SlotShare, now_us: u64) {
         self.refill(now_us);
         let available = (self.level + self.share.debt).min(share.burst + share.debt);
@@ -103,13 +106,14 @@
         self.refill(now_us);
     }
 
-    /// The configuration has a later version with the same limit.
+    /// Records a later version of the configuration that leaves the limit unchanged.
     pub fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// Takes what a run costs, if there is room for all of it. A run that has been granted is
-    /// granted again without a cost: the answer was lost.
+    /// Charges the whole cost of a run if it is available, and returns whether the run is granted.
+    /// A run that was granted before is granted again without a charge, since the reply may have
+    /// been lost.
     pub fn try_charge(&mut self, demand: &Demand, now_us: u64) -> bool {
         self.refill(now_us);
         self.queried_at_us = now_us;
@@ -124,8 +128,8 @@
         is_affordable
     }
 
-    /// Takes as much of what a run costs as there is room for, and no more than `left` units.
-    /// Returns the units; what was taken for the run before is among them.
+    /// Charges as much of a run's cost as is available, at most `remaining_units`. Returns the
+    /// units charged, including those of an earlier charge for the same run.
     pub fn charge_up_to(&mut self, demand: &Demand, remaining_units: u64, now_us: u64) -> u64 {
         self.refill(now_us);
         if let Some(charged) = self.grants.charged(demand.ticket) {
@@ -144,14 +148,15 @@
         charged_units
     }
 
-    /// Units that there is room for, below 0 if the level is below the floor.
+    /// Units available to a run of this cost and priority; negative if the level is below the
+    /// floor.
     pub fn available_units(&self, demand: &Demand, now_us: u64) -> i64 {
         let cost = to_micros(demand.cost);
         self.available_micros(cost, cost, demand.priority, now_us).div_euclid(MICROS_PER_UNIT)
     }
 
-    /// A run that was granted has not begun. Returns the units that had been paid; none if this
-    /// holder did not grant it, has had it back already or has forgotten it.
+    /// Refunds a run that was granted and has not started. Returns the units that were charged; 0
+    /// if this holder did not grant the run, has refunded it already or no longer remembers it.
     pub fn refund(&mut self, ticket: Ticket, now_us: u64) -> u64 {
         self.refill(now_us);
         let Some(refund) = self.grants.refund(ticket) else { return 0 };
@@ -162,8 +167,9 @@
         units
     }
 
-    /// A run is refused: tells when to come back, microseconds from now, and books the turn.
-    /// `room` is what all slots that were asked have room for, so many of them, in units.
+    /// Returns how long a refused run should wait before it retries, microseconds, and reserves the
+    /// level that it needs then. `available_units` is the sum available at all `slots` that were
+    /// queried.
     pub fn schedule_retry(
         &mut self,
         demand: &Demand,
@@ -191,35 +197,36 @@
         wait_us
     }
 
-    /// Whether nothing is lost by forgetting it: it is full and has not been asked for a window.
+    /// Whether the bucket can be dropped without loss: it is full and has not been queried for a
+    /// window.
     pub fn is_idle(&mut self, now_us: u64) -> bool {
         self.refill(now_us);
         self.level >= self.share.burst && now_us >= self.queried_at_us + self.share.window_us
     }
 
-    /// Units left, below 0 if it is in debt, as of the last question or return.
+    /// Level in units as of the last query or refund; negative if the bucket is in debt.
     pub fn level_units(&self) -> i64 {
         self.level.div_euclid(MICROS_PER_UNIT)
     }
 
-    /// Units left at a later time, if nothing is asked until then.
+    /// Level in units at `now_us`, assuming that nothing is charged until then.
     pub fn level_at(&self, now_us: u64) -> i64 {
         let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
         let refilled = self.level.saturating_add(self.share.refill(elapsed_us));
         refilled.min(self.share.burst).div_euclid(MICROS_PER_UNIT)
     }
 
-    /// Units that may be owed.
+    /// Maximum debt, units.
     pub fn debt_units(&self) -> u64 {
         to_units(self.share.debt)
     }
 
-    /// Units granted and not given back since the holder met the tenant.
+    /// Units granted and not refunded since this holder created the bucket.
     pub fn granted_units(&self) -> u64 {
         self.granted_units
     }
 
-    /// Room for a run, or for a part of one, that takes no more than `most`.
+    /// Amount available to a run, or to a part of one, capped at `max_micros`.
     fn available_micros(&self, cost: i64, max_micros: i64, priority: u8, now_us: u64) -> i64 {
         let available = self.level + self.share.debt - self.priority_reserve(cost, priority);
         let is_small = self.is_small(cost);
@@ -241,7 +248,7 @@
         self.grants.add(demand.ticket, charged, self.share.burst - self.level, now_us);
     }
 
-    /// What a run leaves to more urgent ones.
+    /// The amount that a run of this cost and priority leaves to more urgent runs.
     fn priority_reserve(&self, cost: i64, priority: u8) -> i64 {
         if self.is_small(cost) {
             return 0;
@@ -265,12 +272,12 @@
     }
 }
 
-/// Units in millionths. Costs too large to count are larger than any slot.
+/// Converts units to millionths. The result saturates: costs that overflow exceed any slot.
 fn to_micros(units: u64) -> i64 {
     i64::try_from(units).unwrap_or(i64::MAX).saturating_mul(MICROS_PER_UNIT)
 }
 
-/// Whole units, none if below 0.
+/// Converts millionths to units, rounded down; 0 if negative.
 fn to_units(micros: i64) -> u64 {
     u64::try_from(micros / MICROS_PER_UNIT).unwrap_or_default()
 }
--- a/crates/serving/src/quota_candidacy.rs
+++ b/crates/serving/src/quota_candidacy.rs
@@ -1,9 +1,9 @@
-//! Which node tries to become a keeper, and when.
+//! Election of keepers: which node tries to take over a keeper, and when.
 //!
-//! The nodes of a keeper's zone are ranked, the strongest first, the same way at each node. The
-//! first one tries as soon as the key has been seen to be absent for a while; the next ones give
-//! it some time each. Two that try at once cost a call: the store writes the key only if it is
-//! absent.
+//! The nodes of a keeper's zone are ranked by strength, and every node computes the same ranking.
+//! The first one attempts to write the keeper's key as soon as the key has been absent for a while;
+//! each further one waits a little longer. Concurrent attempts cost only a wasted call, since the
+//! store writes the key only if it is absent.
 
 use crate::ids::NodeId;
 use crate::membership::Member;
@@ -12,19 +12,20 @@
 use crate::store_revision::StoreRevision;
 use std::net::SocketAddr;
 
-/// Time for which the key has to be absent before the first candidate tries, microseconds: a copy
-/// of the store that has just been read anew may lack it for a moment.
+/// Time for which the key must be absent before the first candidate attempts to write it,
+/// microseconds. A replica of the store that has just been reloaded may lack the key for a moment.
 const FIRST_ATTEMPT_DELAY_US: u64 = 200_000;
-/// Time that each further candidate leaves to the one before it, microseconds: a write in the
-/// store and the word of it take less than half of it.
+/// Additional delay for each further rank, microseconds. A write to the store and its notification
+/// take less than half of it.
 const ATTEMPT_STAGGER_US: u64 = 300_000;
-/// Ranks beyond this one try with it.
+/// Ranks beyond this one wait no longer than it.
 const MAX_DELAYED_RANK: u64 = 10;
-/// Time until a candidate that tried in vain tries again, microseconds.
+/// Minimum time between two attempts of the same candidate, microseconds.
 const RETRY_INTERVAL_US: u64 = 1_000_000;
 
-/// The rank of a node as candidate for a keeper, 0 first. Nodes of the keeper's zone come before
-/// all others, stronger ones before weaker ones.
+/// The rank of node `own` among the candidates for a keeper; 0 is the first. Nodes in the keeper's
+/// zone rank before all others, and nodes with more processing power before those with less.
+/// Returns `usize::MAX` if the node is not a member.
 pub fn candidate_rank<'a>(
     keeper: &KeeperId,
     own: &NodeId,
@@ -42,26 +43,26 @@
     members.filter(|(name, member)| preference(name, member) > own_preference).count()
 }
 
-/// The key of a keeper, as this node's copy of the store has it.
+/// A keeper's key as found in this node's replica of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeeperKey {
-    /// Where the holder is reached.
+    /// Address of the node that holds the keeper.
     pub holder: SocketAddr,
-    /// The store's revision at which the key was written.
+    /// Revision of the store at which the key was written.
     pub revision: StoreRevision,
 }
 
 /// What a node does about a keeper that it does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidacyAction {
-    /// Nothing.
+    /// Do nothing for now.
     Wait,
-    /// It tries to write the key, if it is absent.
+    /// Write the key if it is absent.
     Acquire,
-    /// It tries to write the key over the one of this revision: that was written by a process at
-    /// this node's own address, which cannot be up any more.
+    /// Overwrite the key of this revision. It was written by an earlier process at this node's own
+    /// address, which cannot be running any more.
     TakeOver {
-        /// The revision that the key must still have.
+        /// The write succeeds only if the key still has this revision.
         revision: StoreRevision,
     },
 }
@@ -74,14 +75,14 @@
 }
 
 impl Candidacy {
-    /// A node that has not looked yet.
+    /// The candidacy of a node that has not observed the key yet.
     pub fn new() -> Self {
         Self { absent_since_us: None, attempted_at_us: None }
     }
 
-    /// Looks at the key and decides. To be asked a few times a second while the node's copy of
-    /// the store is confirmed, and not while the node holds the keeper or a try is under way.
-    /// `rank` is that of [`candidate_rank`].
+    /// Decides what to do given the observed key. To be called a few times per second while the
+    /// node's replica of the store is confirmed, but not while the node holds the keeper or an
+    /// attempt is in progress. `rank` is the result of [`candidate_rank`].
     pub fn decide(
         &mut self,
         key: Option<&KeeperKey>,
--- a/crates/serving/src/quota_grants.rs
+++ b/crates/serving/src/quota_grants.rs
@@ -1,22 +1,23 @@
-//! Grants that may still be given back.
+//! Grants that can still be refunded.
 //!
-//! A run that was granted and has not begun is given back as if it had never been granted. Had it
-//! not been, the bucket would have been fuller since, and might have been full: what would have
-//! run over then is not given back. So a grant remembers the least room that the bucket has had
-//! since; what is given back for another one takes its part of that room. Each grant is given
-//! back once; one that is not remembered is not given back.
+//! A grant is refunded for a run that has not started, and the bucket is then left as if the run
+//! had never been granted. Without the grant, the bucket would have been fuller since and might
+//! have overflowed; the overflow must not be refunded. Each grant therefore records the minimum
+//! headroom of the bucket since it was made, and a refund reduces the headroom recorded for the
+//! other grants. Each grant is refunded at most once, and a grant that is no longer remembered is
+//! not refunded.
 
 use crate::scheduling::Ticket;
 use std::collections::VecDeque;
 
-/// Time within which a grant can be given back, microseconds: a prompt that waits to be read may
-/// take as long as callers wait, and the grant that has lapsed meanwhile is given back after it.
+/// Time within which a grant can be refunded, microseconds. A prompt may wait for its prefill as
+/// long as its client waits, and a grant that has expired meanwhile is refunded after that.
 const REFUND_WINDOW_US: u64 = 8_000_000;
-/// Grants that are remembered: later ones push out the earliest. A tenant of 50 runs a second at a
-/// keeper has 400 in that time.
+/// Maximum number of grants to remember; the oldest are dropped first. A tenant with 50 runs per
+/// second at one keeper has 400 within [`REFUND_WINDOW_US`].
 const MAX_GRANTS: usize = 1_024;
 
-/// A grant, in millionths of a unit.
+/// A grant that can be refunded. Amounts are in millionths of a unit.
 #[derive(Clone, Copy, Debug)]
 struct RefundableGrant {
     ticket: Ticket,
@@ -26,29 +27,29 @@
 }
 
 impl RefundableGrant {
-    /// What may be given back of it.
+    /// The part of the charge that would not have overflowed the bucket.
     fn refundable(&self) -> i64 {
         self.charged.min(self.min_headroom).max(0)
     }
 }
 
-/// A grant that was given back, in millionths of a unit.
+/// The refund of a grant. Amounts are in millionths of a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refund {
-    /// What had been paid.
+    /// The amount that was charged for the run.
     pub charged: i64,
-    /// What of it the bucket gets back.
+    /// The part of `charged` that is returned to the bucket.
     pub refunded: i64,
 }
 
-/// The grants of one bucket, the earliest first.
+/// The refundable grants of one bucket, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct RefundableGrants {
     grants: VecDeque<RefundableGrant>,
 }
 
 impl RefundableGrants {
-    /// A run was granted, which left so much room below a full bucket.
+    /// Records a grant. `headroom` is the space below a full bucket after the charge.
     pub fn add(&mut self, ticket: Ticket, charged: i64, headroom: i64, now_us: u64) {
         if self.grants.len() == MAX_GRANTS {
             self.grants.pop_front();
@@ -61,18 +62,19 @@
         });
     }
 
-    /// What was paid for a run.
+    /// The amount charged for a run; `None` if no grant is remembered.
     pub fn charged(&self, ticket: Ticket) -> Option<i64> {
         let grant = self.grants.iter().find(|grant| grant.ticket == ticket)?;
         Some(grant.charged)
     }
 
-    /// A run is given back.
+    /// Removes a run's grant and returns its refund; `None` if no grant is remembered.
     pub fn refund(&mut self, ticket: Ticket) -> Option<Refund> {
         let index = self.grants.iter().position(|grant| grant.ticket == ticket)?;
         let grant = self.grants.remove(index)?;
         let refunded = grant.refundable();
-        // Without it the bucket would have been full at some time: what others leave then is lost.
+        // After a partial refund, the bucket would have been full at some time without this grant,
+        // so no headroom is left for the other grants.
         let is_full_refund = refunded == grant.charged;
         for other in &mut self.grants {
             other.min_headroom = if is_full_refund { other.min_headroom - refunded } else { 0 };
@@ -80,8 +82,8 @@
         Some(Refund { charged: grant.charged, refunded })
     }
 
-    /// The bucket has so much room now. An earlier grant has seen all that a later one has, so its
-    /// least room is never more.
+    /// Records the current headroom of the bucket. Minimum headroom never decreases from older to
+    /// newer grants, since an older grant has observed everything that a newer one has.
     pub fn record_headroom(&mut self, headroom: i64) {
         for grant in self.grants.iter_mut().rev().take_while(|grant| grant.min_headroom > headroom)
         {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Forgets what is too old to be given back.
+    /// Drops grants that are too old to be refunded.
     pub fn expire(&mut self, now_us: u64) {
         let is_expired = |grant: &RefundableGrant| now_us >= grant.granted_at_us + REFUND_WINDOW_US;
         while self.grants.front().is_some_and(is_expired) {
--- a/crates/serving/src/quota_keeper.rs
+++ b/crates/serving/src/quota_keeper.rs
@@ -1,8 +1,10 @@
-//! What a keeper decides: whether a run is paid for, who else may pay, or how long it waits.
+//! A keeper's decisions: whether a run is granted, which other keeper to query, or how long to
+//! wait.
 //!
-//! A keeper keeps one slot of each tenant that it was asked about. It starts with nothing and
-//! remembers nothing of the holder before it. If it is short it hands the question on; the last
-//! one refuses, unless all of them together have room: then each pays a part.
+//! A keeper manages one slot of each tenant that it has been queried for. A new holder starts with
+//! nothing to spend and no state of the previous one. If a keeper has too few units available, it
+//! forwards the query. The last keeper refuses the run, unless all keepers together have enough
+//! units: then each of them charges a part.
 
 use crate::ids::TenantName;
 use crate::quota::{
@@ -17,31 +19,31 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// What a keeper does about a question.
+/// What a keeper does with a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeeperAction {
-    /// It answers, to the address in the question.
+    /// Send the reply to the address in the query.
     Reply(QuotaReply),
-    /// It is short and hands the question on to the keeper that the new question names.
+    /// Forward the query, for lack of units, to the keeper that the updated query names.
     Forward(QuotaQuery),
 }
 
-/// What a keeper knows of one tenant, for operators. Amounts are in units.
+/// The state of one tenant at a keeper, for operators. Amounts are in units.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantLevel {
     /// The tenant.
     pub tenant: TenantName,
-    /// Left, below 0 if it is in debt.
+    /// Units left; negative if the bucket is in debt.
     pub level: i64,
-    /// May be owed.
+    /// Maximum debt.
     pub debt: u64,
-    /// Granted and not given back since this holder met the tenant.
+    /// Units granted and not refunded since this holder created the tenant's bucket.
     pub granted: u64,
-    /// The version of the configuration that its limit is from.
+    /// The version of the configuration that the tenant's limit was read from.
     pub version: u64,
 }
 
-/// One keeper, as the node that holds it.
+/// The state of a keeper at the node that holds it.
 #[derive(Clone, Debug)]
 pub struct Keeper {
     id: KeeperId,
@@ -49,14 +51,14 @@
     bounds: QuotaBounds,
     topology: Topology,
     buckets: HashMap<TenantName, Bucket>,
-    /// The latest version of the configuration heard of, and since when.
+    /// The latest version of the configuration received, and the time since which it is known.
     version: u64,
     version_since_us: u64,
     evicted_at_us: u64,
 }
 
 impl Keeper {
-    /// A new holder.
+    /// A keeper that has just been taken over by this node.
     pub fn new(id: KeeperId, term: KeeperTerm, bounds: QuotaBounds, topology: Topology) -> Self {
         let started_at_us = term.started_at_us();
         Self {
@@ -71,22 +73,23 @@
         }
     }
 
-    /// Which keeper it is.
+    /// The keeper's identity.
     pub fn id(&self) -> &KeeperId {
         &self.id
     }
 
-    /// Its term.
+    /// The term for which this node holds the keeper.
     pub fn term(&self) -> &KeeperTerm {
         &self.term
     }
 
-    /// The node's lease was renewed by a call sent at the given time.
+    /// Extends the term after the node's lease was renewed by a call sent at `sent_at_us`.
     pub fn renew(&mut self, sent_at_us: u64, ttl_us: u64) {
         self.term.renew(sent_at_us, ttl_us);
     }
 
-    /// A node asks. `can_ask` says whether another keeper has a holder that is in touch.
+    /// Handles a query. `is_reachable` tells whether another keeper has a holder that this node is
+    /// in contact with.
     pub fn on_query(
         &mut self,
         query: &QuotaQuery,
@@ -108,14 +111,14 @@
         }
     }
 
-    /// A run has provably not begun. Returns the units given back; none if this holder did not
-    /// grant it or has had it back.
+    /// Handles the refund of a run that has provably not started. Returns the units that had been
+    /// charged; 0 if this holder did not grant the run or has refunded it already.
     pub fn on_refund(&mut self, refund: &QuotaRefund, now_us: u64) -> u64 {
         let bucket = self.buckets.get_mut(&refund.tenant).filter(|_| refund.keeper == self.id);
         bucket.map_or(0, |bucket| bucket.refund(refund.ticket, now_us))
     }
 
-    /// What is left for each tenant that was asked about lately, by name.
+    /// The state of each tenant that was queried recently, sorted by name.
     pub fn levels(&self, now_us: u64) -> Vec<TenantLevel> {
         let level = |(tenant, bucket): (&TenantName, &Bucket)| TenantLevel {
             tenant: tenant.clone(),
@@ -129,7 +132,7 @@
         levels
     }
 
-    /// Pays for a run alone, or hands the question on.
+    /// Charges the whole cost of a run here, or forwards the query.
     fn charge_whole(
         &mut self,
         query: &QuotaQuery,
@@ -160,7 +163,7 @@
         self.refuse(&forwarded, &demand, now_us)
     }
 
-    /// Pays what it has room for, and hands the rest on.
+    /// Charges the part of the cost that is available here, and forwards the query for the rest.
     fn charge_part(
         &mut self,
         query: &QuotaQuery,
@@ -189,7 +192,7 @@
         self.refuse(&forwarded, &demand, now_us)
     }
 
-    /// This keeper has no slot of the tenant: those who have are asked.
+    /// Forwards a query for a tenant that has no slot at this keeper to one that has.
     fn forward_unowned(
         &self,
         query: &QuotaQuery,
@@ -211,7 +214,7 @@
         let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
-        // Parts that were collected in vain are given back, so they are no room.
+        // Partial charges that do not cover the cost are refunded, so they do not count as available.
         let available_units =
             query.available_units.min(i64::try_from(demand.cost).unwrap_or(i64::MAX));
         let wait_us = bucket.schedule_retry(demand, available_units, query.tried.len(), now_us);
@@ -220,8 +223,8 @@
         self.reply(query, QuotaVerdict::Refused { wait_ms }, level)
     }
 
-    /// Makes sure that the tenant's bucket is there with the limit that counts: the one of the
-    /// latest version. Returns whether this keeper has a slot of the tenant.
+    /// Makes sure that the tenant's bucket exists and uses the limit of the latest known version.
+    /// Returns whether this keeper has a slot of the tenant.
     fn ensure_bucket(&mut self, query: &QuotaQuery, now_us: u64) -> bool {
         let is_known = match self.buckets.get_mut(&query.tenant) {
             Some(bucket) if query.version <= bucket.version() => return true,
@@ -248,8 +251,8 @@
         true
     }
 
-    /// A new version may have changed the number of a tenant's slots, so what was not met before
-    /// is counted from then. The first version that is heard of is no change.
+    /// A new version may change a tenant's number of slots, so buckets created from now on refill
+    /// only from now. The first version received is not a change.
     fn on_version(&mut self, version: u64, now_us: u64) {
         if version > self.version {
             if self.version > 0 {
@@ -259,7 +262,7 @@
         }
     }
 
-    /// Forgets idle tenants, once a window.
+    /// Drops the buckets of idle tenants, once per window.
     fn evict_idle(&mut self, now_us: u64) {
         if now_us >= self.evicted_at_us + self.bounds.window_us {
             self.evicted_at_us = now_us;
@@ -267,7 +270,7 @@
         }
     }
 
-    /// The next keeper of the tenant that can be asked and is not among some others.
+    /// The next keeper of the tenant that is reachable and not excluded.
     fn next_keeper(
         &self,
         query: &QuotaQuery,
--- a/crates/serving/src/quota_outcome.rs
+++ b/crates/serving/src/quota_outcome.rs
@@ -1,22 +1,23 @@
-//! What comes of a question: a grant that is used or given back, a refusal, or nobody to ask.
+//! The outcome of a quota query: a grant that is used or refunded, a refusal, or no reply.
 
 use crate::ids::TenantName;
 use crate::quota::{QuotaRefund, QuotaReply, QuotaVerdict};
 use crate::quota_slots::KeeperId;
 use crate::scheduling::Ticket;
 
-/// A run that is paid for. It is used once, by sending the run, or given back once.
+/// A charge that permits one run. It is either used, by sending the run, or refunded, and only
+/// once.
 #[derive(Debug, PartialEq, Eq)]
 pub struct QuotaGrant {
     ticket: Ticket,
     keepers: Vec<KeeperId>,
     tenant: TenantName,
-    /// The run may be sent before this time, microseconds.
+    /// Time before which the run must be sent, microseconds.
     pub expires_at_us: u64,
 }
 
 impl QuotaGrant {
-    /// A run of a tenant that these keepers have paid for.
+    /// A grant for a run of `tenant` that was charged by `keepers`.
     pub fn new(
         ticket: Ticket,
         tenant: TenantName,
@@ -26,7 +27,7 @@
         Self { ticket, keepers, tenant, expires_at_us }
     }
 
-    /// Who paid.
+    /// The keepers that charged for the run.
     pub fn keepers(&self) -> &[KeeperId] {
         &self.keepers
     }
@@ -36,31 +37,31 @@
         now_us < self.expires_at_us
     }
 
-    /// The words by which it is given back, each to the holder of the keeper that it names.
+    /// Converts the grant into refunds, each for the holder of the keeper that it names.
     pub fn into_refunds(self) -> Vec<QuotaRefund> {
         refunds(self.ticket, &self.tenant, self.keepers)
     }
 }
 
-/// What became of a run's question.
+/// The outcome of querying the keepers for a run.
 #[derive(Debug, PartialEq, Eq)]
 pub enum QuotaOutcome {
-    /// It is paid for.
+    /// The run's cost has been charged.
     Granted(QuotaGrant),
     /// The tenant has reached its limit.
     Refused {
-        /// Milliseconds until there is room for a run of this cost.
+        /// Time until there are units for a run of this cost, milliseconds.
         wait_ms: u64,
-        /// Who said so.
+        /// The keeper that refused.
         keeper: KeeperId,
-        /// Units left there, for the logs.
+        /// Units left at that keeper, for logs.
         level: i64,
     },
-    /// No keeper of the tenant could be asked, or none answered.
+    /// No keeper of the tenant could be queried, or none replied.
     Unreachable,
 }
 
-/// The keepers that paid, by an answer.
+/// The keepers that charged for the run, according to a reply.
 pub fn charged_keepers(reply: &QuotaReply) -> Vec<KeeperId> {
     let is_single_charge = reply.charged.is_empty() && reply.verdict == QuotaVerdict::Granted;
     if is_single_charge {
@@ -69,7 +70,7 @@
     reply.charged.clone()
 }
 
-/// The words by which payers are told that a run has not begun.
+/// The refunds to send to `keepers` for a run that has not started.
 pub fn refunds(ticket: Ticket, tenant: &TenantName, keepers: Vec<KeeperId>) -> Vec<QuotaRefund> {
     let refund = |keeper| QuotaRefund { ticket, keeper, tenant: tenant.clone() };
     keepers.into_iter().map(refund).collect()
--- a/crates/serving/src/quota_requester.rs
+++ b/crates/serving/src/quota_requester.rs
@@ -1,8 +1,9 @@
-//! What a node does to have its runs paid for: whom it asks, for how long, and what follows.
+//! The client side of quotas on a node: which keeper is queried for a run, how long a reply is
+//! awaited, and how its outcome is settled.
 //!
-//! A question goes to one keeper at a time. A keeper that does not answer soon is passed over, and
-//! asked last for a while; if it answers later all the same, and another one has paid, its grant
-//! is given back. A grant is used within [`GRANT_LIFE_US`] of the first question or given back.
+//! A run is queried at one keeper at a time. A keeper that does not reply in time is skipped and
+//! queried last for a while. If its grant arrives after another keeper has granted the run, that
+//! late grant is refunded. A grant is used within [`GRANT_TTL_US`] of the first query or refunded.
 
 use crate::ids::{TenantName, ZoneId};
 use crate::quota::{QuotaBounds, QuotaQuery, QuotaRefund, QuotaReply, QuotaVerdict, TenantLimit};
@@ -14,53 +15,56 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Time for which a keeper of the own region is waited for, microseconds: some ten times what an
-/// answer takes, also if the question is handed on twice.
+/// Time to wait for a keeper in the node's own region, microseconds: about ten times what a reply
+/// takes, even if the query is forwarded twice.
 const REPLY_TIMEOUT_US: u64 = 30_000;
-/// The same for a keeper of another region: two crossings of 30 ms, twice.
+/// Time to wait for a keeper in a remote region, microseconds: two round trips with 30 ms each way,
+/// and some margin.
 const CROSS_REGION_REPLY_TIMEOUT_US: u64 = 130_000;
-/// Time for which a keeper that has not answered in time is asked last, microseconds: a lost word
-/// costs little, and one that is gone costs few callers a patience.
+/// Time for which a keeper that has not replied in time is queried last, microseconds. A lost
+/// datagram thus has little effect, and only few requests wait for a keeper that is gone.
 const UNRESPONSIVE_FOR_US: u64 = 1_000_000;
-/// Time after the first question until which keepers are asked, microseconds; then nobody can be
-/// reached. It leaves a grant that comes at the end time to be used.
+/// Time after the first query at which no further keeper is queried and the quota counts as
+/// unreachable, microseconds. A grant that arrives at the end still has time to be used.
 const QUERY_DEADLINE_US: u64 = 400_000;
-/// Questions for one run: each keeper of a tenant of three twice.
+/// Maximum number of queries for one run: twice each of the three keepers of a tenant.
 const MAX_QUERIES: usize = 6;
-/// Time for which a run that is settled is remembered, microseconds: late answers are told by it.
+/// Time for which a settled run is remembered to recognize late replies, microseconds.
 const SETTLED_RUN_TTL_US: u64 = 3_000_000;
-/// Runs that are remembered: far more than a node settles in that time.
+/// Maximum number of settled runs to remember: far more than a node settles within
+/// [`SETTLED_RUN_TTL_US`].
 const MAX_SETTLED_RUNS: usize = 16_384;
 
-/// A run that is to be paid for.
+/// A run whose cost is to be charged against its tenant's quota.
 #[derive(Clone, Debug)]
 pub struct QuotaRequest {
-    /// Identifies the run at this node; a further run of the same request has another one.
+    /// Identifies the run at this node. Another run of the same request has another ticket.
     pub ticket: Ticket,
-    /// The tenant.
+    /// The tenant whose quota is charged.
     pub tenant: TenantName,
-    /// Its limit.
+    /// The tenant's limit.
     pub limit: TenantLimit,
-    /// The version of the configuration that says so.
+    /// The version of the configuration that `limit` was read from.
     pub version: u64,
-    /// What the run costs, see [`TenantLimit::cost`].
+    /// Cost of the run in units, see [`TenantLimit::cost`].
     pub cost: u64,
-    /// Rank of the request, 0 first.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// What the node does next about a run.
+/// The next action of the node for a run.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RequesterAction {
-    /// It sends the question to the holder of the keeper that it names, and calls
-    /// [`QuotaDesk::on_patience_over`] after so many microseconds.
+    /// Send the query to the holder of the keeper that it names, and call
+    /// [`QuotaRequester::on_reply_timeout`] if no reply arrives within the given time,
+    /// microseconds.
     Query(QuotaQuery, u64),
-    /// It is settled. What was paid in vain is given back: each word goes to the holder of the
+    /// The run is settled. Send each refund, for charges that were not used, to the holder of the
     /// keeper that it names.
     Settled(Ticket, QuotaOutcome, Vec<QuotaRefund>),
-    /// A grant came too late and is given back.
+    /// A grant arrived too late. Send the refunds to the holders of the keepers that they name.
     Refund(Vec<QuotaRefund>),
-    /// Nothing.
+    /// Nothing to do.
     Noop,
 }
 
@@ -68,30 +72,29 @@
 struct PendingRun {
     request: QuotaRequest,
     first_queried_at_us: u64,
-    /// Keepers that were asked, the last one last.
+    /// Keepers that were queried, in order.
     tried: Vec<KeeperId>,
-    /// Those that said that they are none.
+    /// Keepers that replied that they are not held by the node queried.
     not_keepers: Vec<KeeperId>,
-    /// Those that paid parts for a question that came to nothing.
+    /// Keepers that made partial charges for a query that was not granted.
     unused_charges: Vec<KeeperId>,
 }
 
 #[derive(Debug)]
 struct SettledRun {
     tenant: TenantName,
-    /// Keepers that paid and are not to give back any more: the run is paid by them, or they have
-    /// been told.
+    /// Keepers whose charges are accounted for: they paid for the run or have been sent a refund.
     handled: Vec<KeeperId>,
 }
 
-/// A node's questions.
+/// The state of all quota queries of a node.
 #[derive(Debug)]
 pub struct QuotaRequester {
     zone: ZoneId,
     bounds: QuotaBounds,
     topology: Topology,
     reply_to: SocketAddr,
-    /// Until when keepers that did not answer are asked last.
+    /// Time until which each unresponsive keeper is queried last, microseconds.
     unresponsive_until_us: BTreeMap<KeeperId, u64>,
     pending: HashMap<Ticket, PendingRun>,
     settled: HashMap<Ticket, SettledRun>,
@@ -99,7 +102,7 @@
 }
 
 impl QuotaRequester {
-    /// A node of a zone that is answered at this address.
+    /// Creates the requester of a node in `zone` that receives replies at `reply_to`.
     pub fn new(
         zone: ZoneId,
         reply_to: SocketAddr,
@@ -118,7 +121,8 @@
         }
     }
 
-    /// A run is to be paid for. `can_ask` says whether a keeper has a holder that is in touch.
+    /// Starts to query keepers for a run. `is_reachable` tells whether a keeper has a holder that
+    /// this node is in contact with.
     pub fn start(
         &mut self,
         request: QuotaRequest,
@@ -138,7 +142,8 @@
         self.query_next(ticket, is_reachable, now_us)
     }
 
-    /// The keeper that was asked last has not answered in time.
+    /// Handles that `keeper` has not replied in time. Ignored unless it was the last one queried
+    /// for the run.
     pub fn on_reply_timeout(
         &mut self,
         ticket: Ticket,
@@ -154,7 +159,7 @@
         self.query_next(ticket, is_reachable, now_us)
     }
 
-    /// A keeper answers.
+    /// Handles a keeper's reply, which may be late or duplicated.
     pub fn on_reply(
         &mut self,
         reply: &QuotaReply,
@@ -180,7 +185,7 @@
                 self.settle(ticket, refused, now_us)
             }
             QuotaVerdict::NotKeeper => {
-                // They are not told yet: the next question may be paid by what they have paid.
+                // No refund yet: the next query may use the charges that these keepers have made.
                 pending.unused_charges.extend(charged_keepers(reply));
                 pending.not_keepers.push(reply.keeper.clone());
                 self.query_next(ticket, is_reachable, now_us)
@@ -188,12 +193,12 @@
         }
     }
 
-    /// The caller has gone: a grant that comes is given back.
+    /// Abandons a run whose client has disconnected. A grant that arrives later is refunded.
     pub fn cancel(&mut self, ticket: Ticket, now_us: u64) -> RequesterAction {
         self.settle(ticket, QuotaOutcome::Unreachable, now_us)
     }
 
-    /// Runs that wait for an answer.
+    /// Number of runs that wait for a reply.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
@@ -259,8 +264,8 @@
         RequesterAction::Settled(ticket, outcome, refund_messages)
     }
 
-    /// What others than those that paid for the run have paid is given back, once. What is not
-    /// remembered is not given back: the run may have been sent.
+    /// Refunds, once, the charges of keepers other than those that paid for the run. A run that is
+    /// no longer remembered is not refunded, since it may have been sent.
     fn on_late_reply(&mut self, reply: &QuotaReply) -> RequesterAction {
         let Some(run) = self.settled.get_mut(&reply.ticket) else { return RequesterAction::Noop };
         let to_refund = insert_new(&mut run.handled, charged_keepers(reply));
@@ -282,7 +287,7 @@
     }
 }
 
-/// Adds those that are not yet in a list, and returns them.
+/// Adds the keepers that are not yet in `handled`, and returns those added.
 fn insert_new(handled: &mut Vec<KeeperId>, keepers: Vec<KeeperId>) -> Vec<KeeperId> {
     let mut added = Vec::new();
     for keeper in keepers {
--- a/crates/serving/src/quota_retry.rs
+++ b/crates/serving/src/quota_retry.rs
@@ -1,24 +1,26 @@
-//! When those that were refused are to come back, and whose turn is kept for it.
+//! When refused runs should retry, and for which of them a level is reserved.
 //!
-//! Each refusal puts off the turns after it by what it costs, so those that come back come one
-//! after the other. One of them, a large or urgent one, has its turn booked: others leave what it
-//! needs by then. Nobody is known by name when it comes back: the booking is for any run that is
-//! as large and as urgent.
+//! Each refusal delays the retries after it by the time in which the refused cost is refilled, so
+//! that retries arrive one after the other. For one of them, a large or urgent one, a reservation
+//! is kept: other runs must leave the level that it needs when it is due. A retry is not
+//! identified; the reservation serves any run that is at least as large and as urgent.
 
 use crate::scheduling::Ticket;
 
-/// Time for which a booked turn is kept after it is due, microseconds: callers are told to come
-/// back in whole seconds.
+/// Time for which a reservation is kept after it is due, microseconds. Clients are told to retry
+/// after whole seconds.
 const RESERVATION_GRACE_US: u64 = 1_200_000;
-/// Share of a booked run that small ones may take meanwhile, as a divisor.
+/// Small runs may use up to `cost / SMALL_REQUEST_SHARE_DIVISOR` of a reserved run's cost before
+/// it.
 const SMALL_REQUEST_SHARE_DIVISOR: i64 = 2;
-/// Longest wait that is told, microseconds: about the time within which callers want an answer.
+/// Upper bound of the wait that is returned, microseconds: about the time within which clients
+/// expect a response.
 const MAX_WAIT_US: u64 = 4_000_000;
 
-/// The turns at one bucket. Amounts are in millionths of a unit.
+/// The retries scheduled at one bucket. Amounts are in millionths of a unit.
 #[derive(Clone, Debug, Default)]
 pub struct RetrySchedule {
-    /// When all turns that were told will have passed.
+    /// Time at which all scheduled retries are served, microseconds.
     end_us: u64,
     reservation: Option<Reservation>,
 }
@@ -33,8 +35,8 @@
 }
 
 impl RetrySchedule {
-    /// The wait of a run for which there is room after `time_us`, after the turns before it;
-    /// `turn_us` is the time that it puts off the next ones by.
+    /// Returns the wait of a run whose cost is refilled after `refill_us`, behind the retries that
+    /// are scheduled already. The next retries are delayed by `delay_us`.
     pub fn schedule(&mut self, ticket: Ticket, refill_us: u64, delay_us: u64, now_us: u64) -> u64 {
         let wait_us = refill_us.saturating_add(self.end_us.saturating_sub(now_us));
         if wait_us >= MAX_WAIT_US {
@@ -44,15 +46,16 @@
         wait_us
     }
 
-    /// Some time up to the longest wait: what is refused in numbers comes back spread.
+    /// A wait between half of [`MAX_WAIT_US`] and all of it, derived from the ticket, so that many
+    /// runs refused together do not retry at the same time.
     pub fn spread_wait(ticket: Ticket) -> u64 {
         const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
         let hash = (ticket.number ^ ticket.incarnation).wrapping_mul(HASH_MULTIPLIER) >> 32;
         MAX_WAIT_US / 2 + hash % (MAX_WAIT_US / 2)
     }
 
-    /// Books the turn of a run that needs a level of `need` at `due_us`, unless one is booked
-    /// that is as urgent.
+    /// Reserves a level of `required_level` at `due_us`, unless a run that is at least as urgent
+    /// has a reservation.
     pub fn reserve(&mut self, cost: i64, priority: u8, required_level: i64, due_us: u64) {
         if self.reservation.is_none_or(|reservation| priority < reservation.priority) {
             self.reservation =
@@ -60,7 +63,8 @@
         }
     }
 
-    /// The level that another run has to leave, and by when; `None`: it need leave none.
+    /// The level that another run must leave and the time at which it must be reached; `None` if no
+    /// reservation applies to that run.
     pub fn reserved_level(
         &self,
         cost: i64,
@@ -77,7 +81,7 @@
         Some((reservation.required_level, reservation.due_us.max(now_us)))
     }
 
-    /// A run is let in: it may be the booked one, or one that may go before it.
+    /// Accounts for a granted run: it consumes the reservation, or uses up the share of small runs.
     pub fn on_grant(&mut self, cost: i64, priority: u8, is_small: bool) {
         let Some(reservation) = &mut self.reservation else { return };
         if cost >= reservation.cost && priority <= reservation.priority {
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Forgets a booking whose run has not come back.
+    /// Drops a reservation whose run has not come back in time.
     pub fn expire(&mut self, now_us: u64) {
         if self
             .reservation
@@ -97,7 +101,7 @@
         }
     }
 
-    /// The limit has changed: what was booked by the old one counts no more.
+    /// Drops the reservation, since it was made under a limit that is no longer in force.
     pub fn cancel(&mut self) {
         self.reservation = None;
     }
--- a/crates/serving/src/quota_slots.rs
+++ b/crates/serving/src/quota_slots.rs
@@ -1,9 +1,9 @@
-//! Which keepers a tenant's limit is split among.
+//! The assignment of a tenant's limit to keepers.
 //!
-//! A limit is split into a few equal slots, and each slot belongs to a keeper: one of a fixed
-//! number in each zone, held by one node at a time. All of it follows from the tenant's name, its
-//! limit, the bounds and the zones that the settings tell, so every node finds the same keepers
-//! without talking to others, whoever is up.
+//! A limit is split into a few equal slots, each of which belongs to a keeper. Each zone has a
+//! fixed number of keepers, and each keeper is held by one node at a time. The assignment depends
+//! only on the tenant's name, its limit, the bounds and the zones in the settings, so every node
+//! computes the same keepers without communication, whichever nodes are up.
 
 use crate::ids::{TenantName, ZoneId};
 use crate::prefix::rendezvous_weight;
@@ -13,19 +13,19 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Keepers of a zone: the loss of one leaves half of the zone's tenants untouched.
+/// Keepers per zone. With two, the loss of one leaves half of the zone's tenants unaffected.
 pub const KEEPERS_PER_ZONE: u8 = 2;
-/// Fewest slots of a tenant whose limit is large enough: two of three are more than the 0.56 of
-/// its limit that a tenant usually sends, so the loss of one is felt at peaks only.
+/// Minimum number of slots of a tenant whose limit is large enough. Two of three slots exceed the
+/// 0.56 of its limit that a tenant usually uses, so the loss of one slot shows only at load peaks.
 const MIN_SLOTS: usize = 3;
 
-/// One of the keepers of a zone.
+/// Identifies one of the keepers of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeeperId {
     /// The zone.
     #[serde(rename = "z")]
     pub zone: ZoneId,
-    /// Its number in the zone, less than [`KEEPERS_A_ZONE`].
+    /// Number within the zone, less than [`KEEPERS_PER_ZONE`].
     #[serde(rename = "n")]
     pub number: u8,
 }
@@ -36,7 +36,8 @@
     }
 }
 
-/// All keepers there are, in order. Without a told zone, those of one zone without a name.
+/// All keepers of the deployment, in order. If no zones are configured, the keepers of a single
+/// unnamed zone.
 pub fn all_keepers(topology: &Topology) -> Vec<KeeperId> {
     let of_zone = |zone: ZoneId| {
         (0..KEEPERS_PER_ZONE).map(move |number| KeeperId { zone: zone.clone(), number })
@@ -65,8 +66,8 @@
     (0..slots).map(keeper_of_slot).collect()
 }
 
-/// Keepers in the order in which one of a zone asks them: its own zone, its own region, the
-/// others; among equals each zone has its own order.
+/// Sorts keepers in the order in which a node of `zone` queries them: its own zone, its own region,
+/// then remote regions. Within each group, the order differs from zone to zone.
 pub fn query_order(keepers: &[KeeperId], zone: &ZoneId, topology: &Topology) -> Vec<KeeperId> {
     let region = topology.region_of(zone);
     let mut ordered = keepers.to_vec();
@@ -79,8 +80,8 @@
     ordered
 }
 
-/// How many slots a limit has: as many as zones, three at the least, and no more than leave
-/// each slot room for a large request.
+/// The number of slots of a limit: as many as there are zones and at least [`MIN_SLOTS`], but only
+/// as many as leave each slot room for a large request.
 fn slot_count(limit: &TenantLimit, bounds: &QuotaBounds, zones: usize) -> usize {
     let max_slots = zones.max(MIN_SLOTS).min(zones * usize::from(KEEPERS_PER_ZONE));
     let fits = |slots: &usize| SlotShare::new(limit, bounds, *slots).fits_large_request(limit.unit);
--- a/crates/serving/src/quota_term.rs
+++ b/crates/serving/src/quota_term.rs
@@ -1,50 +1,52 @@
-//! How long a node is a keeper.
+//! The term for which a node holds a keeper.
 //!
-//! A keeper's key in the store hangs on the node's lease. The holder's time runs from the sending
-//! of the call that granted or renewed the lease, by a clock that counts suspensions, so it ends
-//! before the store can give the key to another node. There is no separation between two holders:
-//! a later one begins with nothing (see [`crate::quota_share`]).
+//! A keeper's key in the store is attached to the node's lease. The holder counts the term from
+//! when it sent the call that granted or renewed the lease, with a clock that includes time in
+//! suspension, so the term ends before the store can give the key to another node. No waiting time
+//! is needed between two holders, since the later one starts with nothing to spend (see
+//! [`crate::quota_share`]).
 
 use crate::store_revision::StoreRevision;
 
-/// Part of the lease's time that is left unused, in hundredths: clocks differ in pace, and a
-/// grant takes time to be used.
+/// Share of the lease that is left unused, in percent. Clocks run at different rates, and a grant
+/// takes time to be used.
 const LEASE_MARGIN_PERCENT: u64 = 15;
 
-/// One term as a keeper.
+/// A node's term as holder of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeeperTerm {
-    /// The store's revision at which the key was written: names the term.
+    /// Revision of the store at which the key was written; identifies the term.
     pub revision: StoreRevision,
     started_at_us: u64,
     valid_until_us: u64,
 }
 
 impl KeeperTerm {
-    /// The key is written, known at `now_us`. The lease was last renewed by a call sent at
-    /// `renewed_sent_at_us`, and lives for `ttl_us` from when the store took that.
+    /// The term of a key that was written and confirmed at `now_us`. The lease was last renewed by
+    /// a call sent at `renewed_sent_at_us` and lasts for `ttl_us` from when the store processed
+    /// that call.
     pub fn new(revision: StoreRevision, renewed_sent_at_us: u64, now_us: u64, ttl_us: u64) -> Self {
         let valid_until_us = valid_until(renewed_sent_at_us, ttl_us);
         Self { revision, started_at_us: now_us, valid_until_us }
     }
 
-    /// The lease was renewed by a call sent at the given time, before which the store said that
-    /// it still had it.
+    /// Extends the term after the lease was renewed by a call sent at `sent_at_us`, to which the
+    /// store replied that the lease still existed.
     pub fn renew(&mut self, sent_at_us: u64, ttl_us: u64) {
         self.valid_until_us = self.valid_until_us.max(valid_until(sent_at_us, ttl_us));
     }
 
-    /// When the term began, microseconds: its buckets fill from here.
+    /// Start of the term, microseconds. The buckets refill from then on.
     pub fn started_at_us(&self) -> u64 {
         self.started_at_us
     }
 
-    /// Whether the node may grant now.
+    /// Whether the node may grant runs now.
     pub fn is_valid(&self, now_us: u64) -> bool {
         now_us < self.valid_until_us
     }
 
-    /// Microseconds for which the node may still grant.
+    /// Time for which the node may still grant runs, microseconds.
     pub fn remaining_us(&self, now_us: u64) -> u64 {
         self.valid_until_us.saturating_sub(now_us)
     }
