--- a/crates/serving/tests/model_checking.rs
+++ b/crates/serving/tests/model_checking.rs
@@ -70,16 +70,16 @@
 }
 
 #[test_case(quota::Safeguards { empty_start: false, ..quota::Safeguards::ALL }; "empty start")]
-#[test_case(quota::Safeguards { time_from_sending: false, ..quota::Safeguards::ALL }; "time from sending")]
-#[test_case(quota::Safeguards { take_if_absent: false, ..quota::Safeguards::ALL }; "take if absent")]
-#[test_case(quota::Safeguards { grants_lapse: false, ..quota::Safeguards::ALL }; "grants lapse")]
+#[test_case(quota::Safeguards { term_from_send_time: false, ..quota::Safeguards::ALL }; "time from sending")]
+#[test_case(quota::Safeguards { create_if_absent: false, ..quota::Safeguards::ALL }; "take if absent")]
+#[test_case(quota::Safeguards { grants_expire: false, ..quota::Safeguards::ALL }; "grants lapse")]
 #[test_case(quota::Safeguards { used_once: false, ..quota::Safeguards::ALL }; "used once")]
-#[test_case(quota::Safeguards { used_or_returned: false, ..quota::Safeguards::ALL }; "used or returned")]
-#[test_case(quota::Safeguards { returned_once: false, ..quota::Safeguards::ALL }; "returned once")]
+#[test_case(quota::Safeguards { used_or_refunded: false, ..quota::Safeguards::ALL }; "used or returned")]
+#[test_case(quota::Safeguards { refunded_once: false, ..quota::Safeguards::ALL }; "returned once")]
 #[test_case(quota::Safeguards { own_grants_only: false, ..quota::Safeguards::ALL }; "own grants only")]
-#[test_case(quota::Safeguards { room_since_grant: false, ..quota::Safeguards::ALL }; "room since grant")]
-#[test_case(quota::Safeguards { shared_room: false, ..quota::Safeguards::ALL }; "shared room")]
-#[test_case(quota::Safeguards { cut_at_once: false, ..quota::Safeguards::ALL }; "cut at once")]
+#[test_case(quota::Safeguards { headroom_since_grant: false, ..quota::Safeguards::ALL }; "room since grant")]
+#[test_case(quota::Safeguards { shared_headroom: false, ..quota::Safeguards::ALL }; "shared room")]
+#[test_case(quota::Safeguards { cap_at_once: false, ..quota::Safeguards::ALL }; "cut at once")]
 fn a_slot_without_a_safeguard_breaks_the_bound(guards: quota::Safeguards) {
     assert!(search_quota(guards).1);
 }
--- a/crates/serving/tests/quota_bucket.rs
+++ b/crates/serving/tests/quota_bucket.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_holder_of_old_spends_its_burst_and_its_debt() {
+fn an_established_holder_spends_its_burst_and_its_debt() {
     let limit = limit(47_000);
     let share = SlotShare::new(&limit, &BOUNDS, SLOTS);
     let mut bucket = bucket(limit, SLOTS, 0, 60 * SECOND);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_run_that_was_granted_is_granted_again_without_a_cost() {
+fn a_granted_run_is_granted_again_without_a_charge() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     assert!(bucket.try_charge(&demand(1, 10_000, 0), 60 * SECOND));
     let level = bucket.level_units();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_is_given_back_twice_counts_once() {
+fn a_duplicate_refund_counts_once() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     let full = bucket.level_units();
     assert!(bucket.try_charge(&demand(1, 10_000, 0), 60 * SECOND));
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn what_this_holder_did_not_grant_is_not_given_back() {
+fn a_holder_does_not_refund_runs_it_did_not_grant() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     drain(&mut bucket, 1, 1_000, 60 * SECOND);
     assert_eq!(bucket.refund(Ticket { incarnation: 2, number: 1 }, 60 * SECOND), 0);
 }
 
 #[test]
-fn what_a_full_bucket_would_have_lost_is_not_given_back() {
+fn overflow_of_a_full_bucket_is_not_refunded() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     let full = bucket.level_units();
     assert!(bucket.try_charge(&demand(1, 5_000, 0), 60 * SECOND));
@@ -95,7 +95,7 @@
 
 /// Found by the model checker: each of two had room enough, both together had not.
 #[test]
-fn two_that_are_given_back_share_the_room_that_there_was() {
+fn two_refunds_share_the_headroom() {
     let high = limit(470_000);
     let mut bucket = bucket(high, SLOTS, 0, 60 * SECOND);
     let full = bucket.level_units();
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_lower_limit_cuts_the_level_at_once() {
+fn a_lowered_limit_caps_the_level_at_once() {
     let mut bucket = bucket(limit(470_000), SLOTS, 0, 60 * SECOND);
     let lower = limit(47_000);
     bucket.set_limit(lower, 2, SlotShare::new(&lower, &BOUNDS, SLOTS), 60 * SECOND);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn less_urgent_ones_leave_a_reserve() {
+fn less_urgent_runs_leave_a_reserve() {
     let mut bucket = bucket(limit(470_000), SLOTS, 0, 60 * SECOND);
     let priority_of = |priority| move |number: u64| demand(number, 10_000, priority);
     let taken = |bucket: &mut Bucket, first: u64, of: &dyn Fn(u64) -> Demand| {
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn small_ones_need_no_reserve() {
+fn small_runs_ignore_the_reserve() {
     let mut bucket = bucket(limit(470_000), SLOTS, 0, 60 * SECOND);
     while bucket.try_charge(&demand(bucket.granted_units() + 1, 10_000, 2), 60 * SECOND) {}
     assert!(bucket.try_charge(&demand(1, 200, 2), 60 * SECOND));
@@ -142,23 +142,23 @@
 /// Requests of 8,000 tokens come far faster than the limit, and one of 60,000 comes back whenever
 /// it was told to.
 #[test]
-fn a_large_run_is_let_in_at_its_second_coming_though_small_ones_never_rest() {
+fn a_large_run_is_granted_after_few_retries_under_constant_load() {
     let limit = limit(470_000);
     let mut bucket = bucket(limit, SLOTS, 0, 60 * SECOND);
     drain(&mut bucket, 1, 1_000, 60 * SECOND);
     let mut number = 1_000_000;
     let mut now_us = 60 * SECOND;
-    let mut comings = 0;
+    let mut refusals = 0;
     loop {
-        let large = demand(2_000_000 + comings, 60_000, 1);
+        let large = demand(2_000_000 + refusals, 60_000, 1);
         if bucket.try_charge(&large, now_us) {
             break;
         }
-        comings += 1;
-        assert!(comings < 3, "refused {comings} times");
+        refusals += 1;
+        assert!(refusals < 3, "refused {refusals} times");
         let room = bucket.available_units(&large, now_us);
-        let back_at_us = now_us + bucket.schedule_retry(&large, room, 1, now_us);
-        while now_us < back_at_us {
+        let retry_at_us = now_us + bucket.schedule_retry(&large, room, 1, now_us);
+        while now_us < retry_at_us {
             number += 1;
             bucket.try_charge(&demand(number, 8_000, 1), now_us);
             now_us += 5_000;
@@ -167,20 +167,20 @@
 }
 
 #[test]
-fn small_ones_go_on_while_a_large_one_waits() {
+fn small_runs_are_granted_while_a_large_run_waits() {
     let mut bucket = bucket(limit(470_000), SLOTS, 0, 60 * SECOND);
     drain(&mut bucket, 1, 1_000, 60 * SECOND);
     let large = demand(2_000_000, 60_000, 1);
     let room = bucket.available_units(&large, 60 * SECOND);
     bucket.schedule_retry(&large, room, 1, 60 * SECOND);
-    let let_in = (0..100).filter(|number| {
+    let granted = (0..100).filter(|number| {
         bucket.try_charge(&demand(3_000_000 + number, 200, 2), 60 * SECOND + 5_000 * number)
     });
-    assert!(let_in.count() >= 98);
+    assert!(granted.count() >= 98);
 }
 
 #[test]
-fn those_that_are_refused_together_come_back_one_after_the_other() {
+fn runs_refused_together_retry_one_after_the_other() {
     let mut bucket = bucket(limit(47_000), 1, 0, 60 * SECOND);
     drain(&mut bucket, 1, 1_000, 60 * SECOND);
     let mut waits = Vec::new();
@@ -189,12 +189,12 @@
         let room = bucket.available_units(&demand, 60 * SECOND);
         waits.push(bucket.schedule_retry(&demand, room, 1, 60 * SECOND));
     }
-    let steps: Vec<u64> = waits.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(steps.iter().all(|step| (370_000..390_000).contains(step)), "{waits:?}");
+    let gaps: Vec<u64> = waits.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(gaps.iter().all(|gap| (370_000..390_000).contains(gap)), "{waits:?}");
 }
 
 #[test]
-fn a_run_that_comes_back_when_told_is_let_in() {
+fn a_run_that_retries_after_its_wait_is_granted() {
     let mut bucket = bucket(limit(47_000), 1, 0, 60 * SECOND);
     drain(&mut bucket, 1, 1_000, 60 * SECOND);
     let demand = demand(2_000, 30_000, 0);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_limit_of_one_request_a_second_without_any_tolerance_is_served() {
+fn a_limit_of_one_request_per_second_without_tolerance_is_usable() {
     let limit = TenantLimit { rate_per_s: 1, burst: 1, unit: QuotaUnit::Requests, plain_tokens: 0 };
     let bounds = QuotaBounds { overage: 0.0, slack: 0, ..BOUNDS };
     let mut bucket = Bucket::new(limit, 1, SlotShare::new(&limit, &bounds, 1), 0, 0);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_bucket_that_rested_for_a_window_is_idle() {
+fn a_bucket_without_queries_for_a_window_is_idle() {
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     assert!(bucket.try_charge(&demand(1, 10_000, 0), 60 * SECOND));
     assert!(!bucket.is_idle(67 * SECOND));
@@ -224,24 +224,24 @@
 
 /// 2,300 tenants at one keeper take no more than 600 kB.
 #[test]
-fn a_tenant_takes_few_bytes() {
+fn a_bucket_fits_in_256_bytes() {
     assert!(std::mem::size_of::<Bucket>() <= 256, "{}", std::mem::size_of::<Bucket>());
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum Operation {
     /// A run is asked for; it arrives so long after, or is given back then.
-    Whole { slot: usize, cost: u64, priority: u8, is_used: bool, after_us: u64 },
+    Single { slot: usize, cost: u64, priority: u8, is_used: bool, after_us: u64 },
     /// All slots pay for it together.
-    Parts { cost: u64, is_used: bool, after_us: u64 },
+    Split { cost: u64, is_used: bool, after_us: u64 },
     /// The holder of a slot is lost and another one begins.
-    Lose { slot: usize },
+    ReplaceHolder { slot: usize },
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn operation() -> impl Strategy<Value = Operation> {
     let cost = prop_oneof![3 => 1_u64..30_000, 1 => 30_000_u64..200_000];
     let whole = (0..SLOTS, cost, 0_u8..3, any::<bool>(), 0..=GRANT_TTL_US).prop_map(
-        |(slot, cost, priority, is_used, after_us)| Step::Whole {
+        |(slot, cost, priority, is_used, after_us)| Operation::Single {
             slot,
             cost,
             priority,
@@ -250,16 +250,16 @@
         },
     );
     let parts = (10_000_u64..200_000, any::<bool>(), 0..=GRANT_TTL_US)
-        .prop_map(|(cost, is_used, after_us)| Step::Parts { cost, is_used, after_us });
+        .prop_map(|(cost, is_used, after_us)| Operation::Split { cost, is_used, after_us });
     prop_oneof![
         30 => whole,
         8 => parts,
-        1 => (0..SLOTS).prop_map(|slot| Step::Lose { slot }),
+        1 => (0..SLOTS).prop_map(|slot| Operation::ReplaceHolder { slot }),
     ]
 }
 
 /// The slots of a tenant, with what is on its way.
-struct Play {
+struct Simulation {
     limit: TenantLimit,
     bounds: QuotaBounds,
     buckets: Vec<Bucket>,
@@ -268,13 +268,13 @@
     arrivals: Vec<(u64, u64)>,
     returns: Vec<(u64, usize, Ticket)>,
     /// What each holder paid for runs that were used; holders by slot and start.
-    used: BTreeMap<(usize, u64), Vec<(u64, u64)>>,
-    starts: [u64; SLOTS],
+    used_grants: BTreeMap<(usize, u64), Vec<(u64, u64)>>,
+    started_at_us: [u64; SLOTS],
 }
 
-impl Play {
-    fn new(limit: TenantLimit, bounds: QuotaBounds, is_old: bool) -> Self {
-        let now_us = if is_old { 100 * SECOND } else { 0 };
+impl Simulation {
+    fn new(limit: TenantLimit, bounds: QuotaBounds, is_established: bool) -> Self {
+        let now_us = if is_established { 100 * SECOND } else { 0 };
         let share = SlotShare::new(&limit, &bounds, SLOTS);
         let bucket = |_| Bucket::new(limit, 1, share, 0, now_us);
         let buckets = (0..SLOTS).map(bucket).collect();
@@ -286,22 +286,22 @@
             number: 0,
             arrivals: Vec::new(),
             returns: Vec::new(),
-            used: BTreeMap::new(),
-            starts: [0; SLOTS],
+            used_grants: BTreeMap::new(),
+            started_at_us: [0; SLOTS],
         }
     }
 
-    fn on_step(&mut self, step: &Step) {
+    fn apply(&mut self, operation: &Operation) {
         self.number += 1;
         let number = self.number;
-        match *step {
-            Step::Whole { slot, cost, priority, is_used, after_us } => {
+        match *operation {
+            Operation::Single { slot, cost, priority, is_used, after_us } => {
                 let demand = demand(number, cost, priority);
                 if self.buckets[slot].try_charge(&demand, self.now_us) {
                     self.settle(&[(slot, cost)], demand, is_used, after_us);
                 }
             }
-            Step::Parts { cost, is_used, after_us } => {
+            Operation::Split { cost, is_used, after_us } => {
                 let demand = demand(number, cost, 0);
                 let mut left = cost;
                 let mut parts = Vec::new();
@@ -312,10 +312,10 @@
                 }
                 self.settle(&parts, demand, is_used && left == 0, after_us);
             }
-            Step::Lose { slot } => {
+            Operation::ReplaceHolder { slot } => {
                 let share = SlotShare::new(&self.limit, &self.bounds, SLOTS);
                 self.buckets[slot] = Bucket::new(self.limit, 1, share, self.now_us, self.now_us);
-                self.starts[slot] = self.now_us;
+                self.started_at_us[slot] = self.now_us;
             }
         }
     }
@@ -325,8 +325,8 @@
         if is_used {
             self.arrivals.push((at_us, demand.cost));
             for (slot, units) in parts {
-                let holder = (*slot, self.starts[*slot]);
-                self.used.entry(holder).or_default().push((self.now_us, *units));
+                let holder = (*slot, self.started_at_us[*slot]);
+                self.used_grants.entry(holder).or_default().push((self.now_us, *units));
             }
             return;
         }
@@ -338,30 +338,33 @@
 
     /// The most by which a holder has paid more, between any two of its grants, than its burst,
     /// its debt and its refill; and, from its start, than its refill.
-    fn overspent(&self) -> i64 {
+    fn max_overspend(&self) -> i64 {
         let share = SlotShare::new(&self.limit, &self.bounds, SLOTS);
-        let mut overspent = i64::MIN;
-        for ((_, start_us), used) in &self.used {
+        let mut max_overspend = i64::MIN;
+        for ((_, started_at_us), used_grants) in &self.used_grants {
             let sum_from = |first: usize, last: usize| {
-                used[first..=last].iter().map(|(_, units)| *units as i64 * 1_000_000).sum::<i64>()
+                used_grants[first..=last]
+                    .iter()
+                    .map(|(_, units)| *units as i64 * 1_000_000)
+                    .sum::<i64>()
             };
-            for last in 0..used.len() {
-                let at_us = used[last].0;
-                for (first, (first_at_us, _)) in used[..=last].iter().enumerate() {
-                    let most = share.burst + share.debt + share.refill(at_us - first_at_us);
-                    overspent = overspent.max(sum_from(first, last) - most);
+            for last in 0..used_grants.len() {
+                let at_us = used_grants[last].0;
+                for (first, (first_at_us, _)) in used_grants[..=last].iter().enumerate() {
+                    let max = share.burst + share.debt + share.refill(at_us - first_at_us);
+                    max_overspend = max_overspend.max(sum_from(first, last) - max);
                 }
-                let age_us = at_us - start_us;
+                let age_us = at_us - started_at_us;
                 if age_us < self.bounds.window_us {
-                    let most = share.refill(age_us);
-                    overspent = overspent.max(sum_from(0, last) - most);
+                    let max = share.refill(age_us);
+                    max_overspend = max_overspend.max(sum_from(0, last) - max);
                 }
             }
         }
-        overspent
+        max_overspend
     }
 
-    fn pass(&mut self, time_us: u64) {
+    fn advance(&mut self, time_us: u64) {
         let until_us = self.now_us + time_us;
         self.returns.sort_unstable();
         let due = self.returns.partition_point(|(at_us, ..)| *at_us <= until_us);
@@ -372,18 +375,18 @@
     }
 
     /// The fullest window, as a share of what is allowed.
-    fn fullest(&mut self) -> f64 {
+    fn max_usage(&mut self) -> f64 {
         self.arrivals.sort_unstable();
-        let (mut first, mut sum, mut fullest) = (0, 0, 0);
+        let (mut first, mut sum, mut max_usage) = (0, 0, 0);
         for (at_us, cost) in &self.arrivals {
             sum += cost;
             while self.arrivals[first].0 + self.bounds.window_us < *at_us {
                 sum -= self.arrivals[first].1;
                 first += 1;
             }
-            fullest = fullest.max(sum);
+            max_usage = max_usage.max(sum);
         }
-        fullest as f64 / allowed(&self.limit, &self.bounds)
+        max_usage as f64 / allowed(&self.limit, &self.bounds)
     }
 }
 
@@ -391,29 +394,29 @@
     /// Whatever is asked, used, given back (twice), and whichever holders follow each other; far
     /// more is asked for than the limit.
     #[test]
-    fn no_window_holds_more_than_is_allowed(
+    fn no_window_exceeds_the_allowed_cost(
         rate in 1_000_u64..60_000,
         overage in 0.0_f64..0.5,
         slack in 0_u64..100_000,
-        is_old in any::<bool>(),
-        steps in prop::collection::vec((step(), 0_u64..120_000), 1..400),
+        is_established in any::<bool>(),
+        operations in prop::collection::vec((operation(), 0_u64..120_000), 1..400),
     ) {
         let bounds = QuotaBounds { overage, slack, ..BOUNDS };
-        let mut play = Play::new(limit(rate), bounds, is_old);
-        for (step, pause_us) in &steps {
-            play.on_step(step);
-            play.pass(*pause_us);
+        let mut simulation = Simulation::new(limit(rate), bounds, is_established);
+        for (operation, pause_us) in &operations {
+            simulation.apply(operation);
+            simulation.advance(*pause_us);
         }
-        let fullest = play.fullest();
-        prop_assert!(fullest <= 1.0, "{fullest}");
+        let max_usage = simulation.max_usage();
+        prop_assert!(max_usage <= 1.0, "{max_usage}");
         // A millionth is lost in rounding, now and then.
-        let overspent = play.overspent();
-        prop_assert!(overspent <= 1, "a holder overspent {overspent} millionths");
+        let max_overspend = simulation.max_overspend();
+        prop_assert!(max_overspend <= 1, "a holder overspent {max_overspend} millionths");
     }
 
     /// What may be asked for at any time, for any limits and bounds, is within what is allowed.
     #[test]
-    fn shares_of_any_limit_add_up_to_what_is_allowed(
+    fn shares_of_any_limit_stay_within_the_allowed_cost(
         rate in 1_u64..2_000_000_000,
         burst in 0_u64..2_000_000_000,
         overage in 0.0_f64..10.0,
@@ -425,34 +428,35 @@
         let bounds = QuotaBounds { window_us, overage, slack };
         let share = SlotShare::new(&limit, &bounds, slots);
         prop_assert!(share.burst >= 0 && share.debt >= 0 && share.total_refill_per_s >= 0);
-        let of_all = |micros: i64| micros as f64 / 1e6 * slots as f64;
+        let total = |micros: i64| micros as f64 / 1e6 * slots as f64;
         let refill = share.total_refill_per_s as f64 * (window_us + GRANT_TTL_US) as f64 / 1e12;
         // However many holders follow each other: the later ones begin with nothing.
-        let most = of_all(share.burst) + of_all(share.debt) + refill;
-        prop_assert!(most <= allowed(&limit, &bounds) * (1.0 + 1e-9) + 1e-3, "{most}");
+        let max = total(share.burst) + total(share.debt) + refill;
+        prop_assert!(max <= allowed(&limit, &bounds) * (1.0 + 1e-9) + 1e-3, "{max}");
     }
 }
 
 /// Holders that are lost as often as possible while all asks are for as much as there is.
 #[test]
-fn holders_that_follow_each_other_quickly_keep_to_the_bound() {
-    for lost_every_us in [250_000, SECOND, 3 * SECOND, 7 * SECOND, 9 * SECOND, 30 * SECOND] {
-        let mut play = Play::new(limit(47_000), BOUNDS, true);
-        let end_us = play.now_us + 60 * SECOND;
-        while play.now_us < end_us {
-            if play.now_us.is_multiple_of(lost_every_us) {
-                (0..SLOTS).for_each(|slot| play.on_step(&Step::Lose { slot }));
+fn frequent_holder_changes_stay_within_the_bound() {
+    for interval_us in [250_000, SECOND, 3 * SECOND, 7 * SECOND, 9 * SECOND, 30 * SECOND] {
+        let mut simulation = Simulation::new(limit(47_000), BOUNDS, true);
+        let end_us = simulation.now_us + 60 * SECOND;
+        while simulation.now_us < end_us {
+            if simulation.now_us.is_multiple_of(interval_us) {
+                (0..SLOTS).for_each(|slot| simulation.apply(&Operation::ReplaceHolder { slot }));
             }
             for slot in 0..SLOTS {
                 for cost in [5_000, 500, 50] {
-                    let take = Step::Whole { slot, cost, priority: 0, is_used: true, after_us: 0 };
-                    play.on_step(&take);
+                    let take =
+                        Operation::Single { slot, cost, priority: 0, is_used: true, after_us: 0 };
+                    simulation.apply(&take);
                 }
             }
-            play.pass(10_000);
+            simulation.advance(10_000);
         }
-        let fullest = play.fullest();
-        println!("lost every {lost_every_us} us: {fullest:.3} of what is allowed");
-        assert!(fullest <= 1.0);
+        let max_usage = simulation.max_usage();
+        println!("lost every {interval_us} us: {max_usage:.3} of what is allowed");
+        assert!(max_usage <= 1.0);
     }
 }
--- a/crates/serving/tests/quota_comparison.rs
+++ b/crates/serving/tests/quota_comparison.rs
@@ -17,13 +17,13 @@
 const IN_ZONE_US: u64 = 200;
 const CROSS_ZONE_US: u64 = 900;
 /// Length of a play, after the holders' first two windows.
-const LEAD_US: u64 = 16 * SECOND;
-const LENGTH_US: u64 = 120 * SECOND;
+const WARM_UP_US: u64 = 16 * SECOND;
+const DURATION_US: u64 = 120 * SECOND;
 /// Time until the lease of a killed holder has run out and another one has begun.
 const TAKEOVER_US: u64 = 12 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Strategy {
     /// Every node has an equal share.
     EachNode,
     /// One slot a tenant.
@@ -43,29 +43,29 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Scene {
+struct Scenario {
     nodes: usize,
     tenants: usize,
     idle: usize,
     /// What the tenants send, as a share of their limits.
     load: f64,
     /// Times which the first tenant sends its usual.
-    hot: f64,
+    hot_factor: f64,
     /// Whether a holder of a slot of each tenant is killed once.
-    with_loss: bool,
+    has_holder_loss: bool,
     seed: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Figures {
+struct Results {
     offered: f64,
     refused: f64,
-    refused_below: f64,
+    refused_below_limit: f64,
     /// The largest sum of a window over its bound.
-    fullest: f64,
+    max_usage: f64,
     over_bound: f64,
     requests: f64,
-    words: f64,
+    messages: f64,
     waited_us: f64,
 }
 
@@ -74,9 +74,9 @@
 }
 
 /// Limits from 47,000 to 737,214 tokens a second, a few of them large.
-fn limits(scene: &Scene) -> Vec<TenantLimit> {
-    let active = scene.tenants - scene.idle;
-    (0..scene.tenants)
+fn limits(scenario: &Scenario) -> Vec<TenantLimit> {
+    let active = scenario.tenants - scenario.idle;
+    (0..scenario.tenants)
         .map(|number| {
             let place = (number % active) as f64 / active as f64;
             limit((737_214.0 * (-5.0 * place).exp()).max(47_000.0) as u64)
@@ -100,21 +100,21 @@
 /// Mean of it.
 const MEAN_COST: f64 = 5_400.0;
 
-fn requests(scene: &Scene, limits: &[TenantLimit]) -> Vec<Request> {
-    let mut random = ChaCha8Rng::seed_from_u64(scene.seed);
+fn requests(scenario: &Scenario, limits: &[TenantLimit]) -> Vec<Request> {
+    let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
     let mut requests = Vec::new();
     for (tenant, limit) in limits.iter().enumerate() {
-        let is_idle = tenant >= scene.tenants - scene.idle;
-        let times = if tenant == 0 { scene.hot } else { 1.0 };
+        let is_idle = tenant >= scenario.tenants - scenario.idle;
+        let times = if tenant == 0 { scenario.hot_factor } else { 1.0 };
         let usual = if is_idle { 0.02 } else { limit.rate_per_s as f64 / MEAN_COST };
-        let gap_us = SECOND as f64 / (usual * scene.load * times);
-        let mut at_us = LEAD_US as f64;
+        let gap_us = SECOND as f64 / (usual * scenario.load * times);
+        let mut at_us = WARM_UP_US as f64;
         loop {
             at_us -= gap_us * (1.0 - random.random::<f64>()).ln();
-            if at_us >= (LEAD_US + LENGTH_US) as f64 {
+            if at_us >= (WARM_UP_US + DURATION_US) as f64 {
                 break;
             }
-            let node = random.random_range(0..scene.nodes);
+            let node = random.random_range(0..scenario.nodes);
             requests.push(Request { at_us: at_us as u64, tenant, node, cost: cost(&mut random) });
         }
     }
@@ -130,31 +130,31 @@
 }
 
 impl Slots {
-    fn new(way: Way, limit: TenantLimit, tenant: usize, nodes: usize) -> Self {
-        let count = match way {
-            Way::EachNode => nodes,
-            Way::OneSlot => 1,
-            Way::OwnZone | Way::HandedOn => ZONES,
+    fn new(strategy: Strategy, limit: TenantLimit, tenant: usize, nodes: usize) -> Self {
+        let count = match strategy {
+            Strategy::EachNode => nodes,
+            Strategy::OneSlot => 1,
+            Strategy::OwnZone | Strategy::HandedOn => ZONES,
         };
         let slot = |_| bucket(&limit, count, 0, 0);
         Self { buckets: (0..count).map(slot).collect(), limit, first_zone: tenant % ZONES }
     }
 
     /// A holder is killed; there is none until another one has begun.
-    fn lose(&mut self, slot: usize, now_us: u64) {
+    fn replace_holder(&mut self, slot: usize, now_us: u64) {
         let count = self.buckets.len();
         let since_us = now_us + TAKEOVER_US;
         self.buckets[slot] = bucket(&self.limit, count, since_us, since_us);
     }
 
     /// Slots in the order in which a node asks them.
-    fn order(&self, way: Way, node: usize) -> Vec<usize> {
+    fn order(&self, strategy: Strategy, node: usize) -> Vec<usize> {
         let own = (node + self.first_zone) % ZONES;
-        match way {
-            Way::EachNode => vec![node],
-            Way::OneSlot => vec![0],
-            Way::OwnZone => vec![own],
-            Way::HandedOn => (0..ZONES).map(|step| (own + step) % ZONES).collect(),
+        match strategy {
+            Strategy::EachNode => vec![node],
+            Strategy::OneSlot => vec![0],
+            Strategy::OwnZone => vec![own],
+            Strategy::HandedOn => (0..ZONES).map(|step| (own + step) % ZONES).collect(),
         }
     }
 }
@@ -165,64 +165,65 @@
 }
 
 /// An exact bucket over all nodes: what it lets in is below the limit.
-struct ExactBucket {
+struct ReferenceBucket {
     level: f64,
     at_us: u64,
 }
 
-impl ExactBucket {
-    fn lets_in(&mut self, limit: &TenantLimit, request: &Request) -> bool {
+impl ReferenceBucket {
+    fn grants(&mut self, limit: &TenantLimit, request: &Request) -> bool {
         let passed_s = (request.at_us - self.at_us) as f64 / SECOND as f64;
         self.at_us = request.at_us;
         let burst = limit.burst as f64;
         self.level = (self.level + passed_s * limit.rate_per_s as f64).min(burst);
         // What is larger than the burst is let in when it is full.
-        let lets_in = self.level >= (request.cost as f64).min(burst);
-        if lets_in {
+        let grants = self.level >= (request.cost as f64).min(burst);
+        if grants {
             self.level -= request.cost as f64;
         }
-        lets_in
+        grants
     }
 }
 
 /// One way played on one scene.
-struct Game {
-    way: Way,
+struct Simulation {
+    strategy: Strategy,
     limits: Vec<TenantLimit>,
     slots: Vec<Slots>,
-    exact: Vec<ExactBucket>,
+    reference: Vec<ReferenceBucket>,
     runs: Vec<Vec<(u64, u64)>>,
     /// When a holder of each tenant is killed.
-    lost_at_us: Option<u64>,
-    figures: Figures,
+    loss_at_us: Option<u64>,
+    results: Results,
 }
 
-impl Game {
-    fn new(way: Way, scene: &Scene) -> Self {
-        let limits = limits(scene);
+impl Simulation {
+    fn new(strategy: Strategy, scenario: &Scenario) -> Self {
+        let limits = limits(scenario);
         let slots =
-            |(tenant, limit): (usize, &TenantLimit)| Slots::new(way, *limit, tenant, scene.nodes);
-        let exact = |limit: &TenantLimit| ExactBucket { level: limit.burst as f64, at_us: LEAD_US };
+            |(id, limit): (usize, &TenantLimit)| Slots::new(strategy, *limit, id, scenario.nodes);
+        let reference =
+            |limit: &TenantLimit| ReferenceBucket { level: limit.burst as f64, at_us: WARM_UP_US };
         Self {
-            way,
+            strategy,
             slots: limits.iter().enumerate().map(slots).collect(),
-            exact: limits.iter().map(exact).collect(),
+            reference: limits.iter().map(reference).collect(),
             runs: vec![Vec::new(); limits.len()],
             limits,
-            lost_at_us: scene.with_loss.then_some(LEAD_US + LENGTH_US / 2),
-            figures: Figures::default(),
+            loss_at_us: scenario.has_holder_loss.then_some(WARM_UP_US + DURATION_US / 2),
+            results: Results::default(),
         }
     }
 
-    fn lose_holders(&mut self, at_us: u64) {
+    fn replace_holders(&mut self, at_us: u64) {
         for (tenant, slots) in self.slots.iter_mut().enumerate() {
             let slot = tenant % slots.buckets.len();
-            slots.lose(slot, at_us);
+            slots.replace_holder(slot, at_us);
         }
     }
 
-    fn is_lost(&self, request: &Request, slot: usize) -> bool {
-        let gap = self.lost_at_us.map(|at_us| at_us..at_us + TAKEOVER_US);
+    fn is_unavailable(&self, request: &Request, slot: usize) -> bool {
+        let gap = self.loss_at_us.map(|at_us| at_us..at_us + TAKEOVER_US);
         let is_in_gap = gap.is_some_and(|gap| gap.contains(&request.at_us));
         is_in_gap && slot == request.tenant % self.slots[request.tenant].buckets.len()
     }
@@ -230,51 +231,56 @@
     fn on_request(&mut self, number: usize, request: &Request) {
         let ticket = Ticket { incarnation: 1, number: number as u64 };
         let demand = Demand { ticket, cost: request.cost, priority: 0 };
-        let order = self.slots[request.tenant].order(self.way, request.node);
+        let order = self.slots[request.tenant].order(self.strategy, request.node);
         let order: Vec<usize> =
-            order.into_iter().filter(|slot| !self.is_lost(request, *slot)).collect();
-        let (is_granted, at_us) = self.ask(request, &demand, &order);
-        self.figures.requests += 1.0;
-        self.figures.offered += request.cost as f64;
-        self.figures.waited_us += (at_us - request.at_us) as f64;
-        let is_below = self.exact[request.tenant].lets_in(&self.limits[request.tenant], request);
+            order.into_iter().filter(|slot| !self.is_unavailable(request, *slot)).collect();
+        let (is_granted, at_us) = self.query(request, &demand, &order);
+        self.results.requests += 1.0;
+        self.results.offered += request.cost as f64;
+        self.results.waited_us += (at_us - request.at_us) as f64;
+        let is_within_limit =
+            self.reference[request.tenant].grants(&self.limits[request.tenant], request);
         if is_granted {
             self.runs[request.tenant].push((at_us, request.cost));
         } else {
-            self.figures.refused += request.cost as f64;
-            self.figures.refused_below += if is_below { request.cost as f64 } else { 0.0 };
+            self.results.refused += request.cost as f64;
+            self.results.refused_below_limit +=
+                if is_within_limit { request.cost as f64 } else { 0.0 };
         }
     }
 
     /// Asks the slots in order; returns whether the run is paid for, and when that is known.
-    fn ask(&mut self, request: &Request, demand: &Demand, order: &[usize]) -> (bool, u64) {
+    fn query(&mut self, request: &Request, demand: &Demand, order: &[usize]) -> (bool, u64) {
         let mut at_us = request.at_us;
-        let mut room = 0;
+        let mut available_units = 0;
         let mut is_granted = false;
-        for (asked, slot) in order.iter().enumerate() {
-            at_us += self.word(asked == 0);
+        for (tried, slot) in order.iter().enumerate() {
+            at_us += self.message_delay(tried == 0);
             let bucket = &mut self.slots[request.tenant].buckets[*slot];
             is_granted = bucket.try_charge(demand, at_us);
             if is_granted {
                 break;
             }
-            room += bucket.available_units(demand, at_us);
+            available_units += bucket.available_units(demand, at_us);
         }
-        if self.way == Way::HandedOn && !is_granted && room >= request.cost as i64 {
-            is_granted = self.ask_for_parts(request, demand, order, &mut at_us);
+        if self.strategy == Strategy::HandedOn
+            && !is_granted
+            && available_units >= request.cost as i64
+        {
+            is_granted = self.query_for_parts(request, demand, order, &mut at_us);
         }
         let last = order.last().filter(|_| !is_granted);
         if let Some(last) = last {
             let bucket = &mut self.slots[request.tenant].buckets[*last];
-            bucket.schedule_retry(demand, room, order.len(), at_us);
+            bucket.schedule_retry(demand, available_units, order.len(), at_us);
         }
         if !order.is_empty() {
-            at_us += self.word(true);
+            at_us += self.message_delay(true);
         }
         (is_granted, at_us)
     }
 
-    fn ask_for_parts(
+    fn query_for_parts(
         &mut self,
         request: &Request,
         demand: &Demand,
@@ -288,72 +294,72 @@
             if left == 0 {
                 break;
             }
-            *at_us += self.word(false);
+            *at_us += self.message_delay(false);
         }
         left == 0
     }
 
     /// Counts a word; returns the time it takes.
-    fn word(&mut self, is_own: bool) -> u64 {
-        if self.way == Way::EachNode {
+    fn message_delay(&mut self, is_own: bool) -> u64 {
+        if self.strategy == Strategy::EachNode {
             return 0;
         }
-        self.figures.words += 1.0;
-        if is_own && self.way != Way::OneSlot {
+        self.results.messages += 1.0;
+        if is_own && self.strategy != Strategy::OneSlot {
             IN_ZONE_US
         } else {
             CROSS_ZONE_US
         }
     }
 
-    fn end(mut self) -> Figures {
+    fn finish(mut self) -> Results {
         for (limit, runs) in self.limits.iter().zip(&mut self.runs) {
             runs.sort_unstable();
             let allowed = (limit.rate_per_s * 8 + limit.burst) as f64 * 1.1 + 190_000.0;
-            let fullest = fullest_window(runs);
-            self.figures.fullest = self.figures.fullest.max(fullest / allowed);
-            self.figures.over_bound = self.figures.over_bound.max(fullest - allowed);
+            let max_usage = max_window_cost(runs);
+            self.results.max_usage = self.results.max_usage.max(max_usage / allowed);
+            self.results.over_bound = self.results.over_bound.max(max_usage - allowed);
         }
-        self.figures
+        self.results
     }
 }
 
-fn play(way: Way, scene: &Scene) -> Figures {
-    let mut game = Game::new(way, scene);
-    let mut lost_at_us = game.lost_at_us;
-    for (number, request) in requests(scene, &limits(scene)).into_iter().enumerate() {
-        if let Some(at_us) = lost_at_us.filter(|at_us| request.at_us >= *at_us) {
-            game.lose_holders(at_us);
-            lost_at_us = None;
+fn simulate(strategy: Strategy, scenario: &Scenario) -> Results {
+    let mut simulation = Simulation::new(strategy, scenario);
+    let mut loss_at_us = simulation.loss_at_us;
+    for (number, request) in requests(scenario, &limits(scenario)).into_iter().enumerate() {
+        if let Some(at_us) = loss_at_us.filter(|at_us| request.at_us >= *at_us) {
+            simulation.replace_holders(at_us);
+            loss_at_us = None;
         }
-        game.on_request(number, &request);
+        simulation.on_request(number, &request);
     }
-    game.end()
+    simulation.finish()
 }
 
 /// The largest sum over a window.
-fn fullest_window(runs: &[(u64, u64)]) -> f64 {
-    let (mut first, mut sum, mut fullest) = (0, 0, 0);
+fn max_window_cost(runs: &[(u64, u64)]) -> f64 {
+    let (mut first, mut sum, mut max_usage) = (0, 0, 0);
     for (at_us, cost) in runs {
         sum += cost;
         while runs[first].0 + BOUNDS.window_us < *at_us {
             sum -= runs[first].1;
             first += 1;
         }
-        fullest = fullest.max(sum);
+        max_usage = max_usage.max(sum);
     }
-    fullest as f64
+    max_usage as f64
 }
 
-impl Figures {
-    fn print(&self, scene: &str, way: Way) {
+impl Results {
+    fn print(&self, scenario: &str, strategy: Strategy) {
         println!(
-            "| {scene} | {way:?} | {:.4} | {:.4} | {:.3} | {:.0} | {:.2} | {:.2} |",
+            "| {scenario} | {strategy:?} | {:.4} | {:.4} | {:.3} | {:.0} | {:.2} | {:.2} |",
             self.refused_share(),
-            self.refused_below / self.offered,
-            self.fullest,
+            self.refused_below_limit / self.offered,
+            self.max_usage,
             self.over_bound.max(0.0),
-            self.words / self.requests,
+            self.messages / self.requests,
             self.waited_us / self.requests / 1_000.0,
         );
     }
@@ -363,17 +369,25 @@
     }
 }
 
-const SCENE: Scene =
-    Scene { nodes: 58, tenants: 16, idle: 0, load: 0.56, hot: 1.0, with_loss: false, seed: 1 };
-const ALL_WAYS: [Way; 4] = [Way::EachNode, Way::OneSlot, Way::OwnZone, Way::HandedOn];
+const BASE_SCENARIO: Scenario = Scenario {
+    nodes: 58,
+    tenants: 16,
+    idle: 0,
+    load: 0.56,
+    hot_factor: 1.0,
+    has_holder_loss: false,
+    seed: 1,
+};
+const ALL_STRATEGIES: [Strategy; 4] =
+    [Strategy::EachNode, Strategy::OneSlot, Strategy::OwnZone, Strategy::HandedOn];
 
 /// Plays all ways on one scene; their figures in the order of the ways.
-fn compare(name: &str, scene: &Scene) -> [Figures; 4] {
-    ALL_WAYS.map(|way| {
-        let figures = play(way, scene);
-        figures.print(name, way);
-        assert!(figures.over_bound <= 0.0, "{way:?}: {} over the bound", figures.over_bound);
-        figures
+fn compare(name: &str, scenario: &Scenario) -> [Results; 4] {
+    ALL_STRATEGIES.map(|strategy| {
+        let results = simulate(strategy, scenario);
+        results.print(name, strategy);
+        assert!(results.over_bound <= 0.0, "{strategy:?}: {} over the bound", results.over_bound);
+        results
     })
 }
 
@@ -382,30 +396,32 @@
 #[test_case(58, 2_300, 2_200; "58 nodes, 2,300 tenants")]
 #[test_case(300, 2_300, 2_200; "300 nodes, 2,300 tenants")]
 fn at_usual_load_almost_nothing_is_refused(nodes: usize, tenants: usize, idle: usize) {
-    let scene = Scene { nodes, tenants, idle, ..SCENE };
+    let scenario = Scenario { nodes, tenants, idle, ..BASE_SCENARIO };
     let name = format!("usual, {nodes} nodes, {tenants} tenants");
-    let [each_node, one_slot, own_zone, handed_on] = compare(&name, &scene);
+    let [each_node, one_slot, own_zone, handed_on] = compare(&name, &scenario);
     assert!(handed_on.refused_share() < 0.001);
     assert!(one_slot.refused_share() < 0.001);
     assert!(own_zone.refused_share() > 0.001 && each_node.refused_share() > 0.5);
-    assert!(handed_on.waited_us < one_slot.waited_us / 2.0, "asked in the own zone");
+    assert!(handed_on.waited_us < one_slot.waited_us / 2.0, "queried in the own zone");
 }
 
 #[test]
 fn at_a_peak_almost_nothing_is_refused() {
-    let [.., handed_on] = compare("peak", &Scene { load: 0.7, ..SCENE });
+    let [.., handed_on] = compare("peak", &Scenario { load: 0.7, ..BASE_SCENARIO });
     assert!(handed_on.refused_share() < 0.001);
 }
 
 #[test]
-fn a_tenant_that_sends_far_too_much_gets_its_limit() {
-    let [_, one_slot, _, handed_on] = compare("one hot", &Scene { hot: 7.5, ..SCENE });
+fn an_overloading_tenant_gets_its_limit() {
+    let [_, one_slot, _, handed_on] =
+        compare("one hot", &Scenario { hot_factor: 7.5, ..BASE_SCENARIO });
     assert!((handed_on.refused_share() - one_slot.refused_share()).abs() < 0.005);
 }
 
 #[test]
-fn the_loss_of_a_holder_costs_its_part_only() {
-    let [_, one_slot, _, handed_on] = compare("holders lost", &Scene { with_loss: true, ..SCENE });
+fn the_loss_of_a_holder_costs_only_its_share() {
+    let [_, one_slot, _, handed_on] =
+        compare("holders lost", &Scenario { has_holder_loss: true, ..BASE_SCENARIO });
     assert!(one_slot.refused_share() > 0.05);
     assert!(handed_on.refused_share() < 0.001);
 }
--- a/crates/serving/tests/quota_failures.rs
+++ b/crates/serving/tests/quota_failures.rs
@@ -4,39 +4,39 @@
 
 mod quota_fleet;
 
-use quota_fleet::{fullest_window, Fault, Figures, Fleet, BOUNDS, NODES, SECOND};
+use quota_fleet::{max_window_cost, Fault, Fleet, Results, BOUNDS, NODES, SECOND};
 use test_case::test_case;
 
 const RATES: [u64; 4] = [47_000, 120_000, 300_000, 737_214];
 const FAULT_AT_US: u64 = 30 * SECOND;
 const END_US: u64 = 70 * SECOND;
 /// What tenants usually send, and far too much.
-const USUAL: f64 = 0.56;
-const FAR_TOO_MUCH: f64 = 3.0;
+const USUAL_LOAD: f64 = 0.56;
+const OVERLOAD: f64 = 3.0;
 
-fn play(load: f64, loss: f64, faults: &[(u64, Fault)], seed: u64) -> Figures {
+fn simulate(load: f64, loss: f64, faults: &[(u64, Fault)], seed: u64) -> Results {
     let mut fleet = Fleet::new(&RATES, load, loss, END_US, seed);
     for (at_us, fault) in faults {
         fleet.at(*at_us, fault.clone());
     }
-    fleet.play()
+    fleet.run()
 }
 
 /// The fullest window over what is allowed by limits that are so many times the first ones, and
 /// the most units above that.
-fn fullest(figures: &Figures, times: f64, begins: std::ops::Range<u64>) -> (f64, f64) {
+fn max_usage(results: &Results, factor: f64, starts: std::ops::Range<u64>) -> (f64, f64) {
     let mut worst = (0.0_f64, 0.0_f64);
-    for (rate, arrivals) in RATES.iter().zip(&figures.arrivals) {
-        let rate = *rate as f64 * times;
+    for (rate, arrivals) in RATES.iter().zip(&results.arrivals) {
+        let rate = *rate as f64 * factor;
         let allowed = rate * 9.0 * (1.0 + BOUNDS.overage) + BOUNDS.slack as f64;
-        let sum = fullest_window(arrivals, begins.clone()) as f64;
+        let sum = max_window_cost(arrivals, starts.clone()) as f64;
         worst = (worst.0.max(sum / allowed), worst.1.max(sum - allowed));
     }
     worst
 }
 
-fn share(part: u64, figures: &Figures) -> f64 {
-    part as f64 / figures.offered as f64
+fn share(part: u64, results: &Results) -> f64 {
+    part as f64 / results.offered as f64
 }
 
 fn holders() -> Vec<usize> {
@@ -47,12 +47,12 @@
     (0..NODES).filter(|node| node % 3 == 0).collect()
 }
 
-fn all() -> Vec<usize> {
+fn all_nodes() -> Vec<usize> {
     (0..NODES).collect()
 }
 
 /// The rows of the failures, with the most that may be lost at usual load.
-fn row(name: &str) -> (Vec<(u64, Fault)>, f64, f64) {
+fn scenario(name: &str) -> (Vec<(u64, Fault)>, f64, f64) {
     let at = |fault| vec![(FAULT_AT_US, fault)];
     let first = vec![holders()[0]];
     match name {
@@ -70,31 +70,31 @@
             (at(Fault::Freeze { nodes: first, for_us: 35 * SECOND }), 0.0, 0.02)
         }
         "a holder is cut off from the store" => {
-            (at(Fault::NoStore { nodes: first, for_us: 35 * SECOND }), 0.0, 0.02)
+            (at(Fault::StoreUnreachable { nodes: first, for_us: 35 * SECOND }), 0.0, 0.02)
         }
         "a holder is cut off from all" => {
-            (at(Fault::CutOff { nodes: first, for_us: 35 * SECOND }), 0.0, 0.06)
+            (at(Fault::Partition { nodes: first, for_us: 35 * SECOND }), 0.0, 0.06)
         }
         "a zone is cut off" => {
-            (at(Fault::CutOff { nodes: zone_0(), for_us: 10 * SECOND }), 0.0, 0.10)
+            (at(Fault::Partition { nodes: zone_0(), for_us: 10 * SECOND }), 0.0, 0.10)
         }
         "all are killed at once and back" => {
-            (at(Fault::Kill { nodes: all(), back_after_us: Some(SECOND) }), 0.0, 0.10)
+            (at(Fault::Kill { nodes: all_nodes(), back_after_us: Some(SECOND) }), 0.0, 0.10)
         }
         "all are killed while the store is away" => {
-            let mut faults = at(Fault::Kill { nodes: all(), back_after_us: Some(SECOND) });
-            let away = Fault::NoStore { nodes: all(), for_us: 8 * SECOND };
+            let mut faults = at(Fault::Kill { nodes: all_nodes(), back_after_us: Some(SECOND) });
+            let away = Fault::StoreUnreachable { nodes: all_nodes(), for_us: 8 * SECOND };
             faults.push((FAULT_AT_US + SECOND + 1, away));
             (faults, 0.0, 0.25)
         }
         "the store is away for all" => {
-            (at(Fault::NoStore { nodes: all(), for_us: 6 * SECOND }), 0.0, 0.01)
+            (at(Fault::StoreUnreachable { nodes: all_nodes(), for_us: 6 * SECOND }), 0.0, 0.01)
         }
         "the store is away for 18 s" => {
-            (at(Fault::NoStore { nodes: all(), for_us: 18 * SECOND }), 0.0, 0.01)
+            (at(Fault::StoreUnreachable { nodes: all_nodes(), for_us: 18 * SECOND }), 0.0, 0.01)
         }
         "the store is away for longer than a lease" => {
-            (at(Fault::NoStore { nodes: all(), for_us: 35 * SECOND }), 0.0, 0.25)
+            (at(Fault::StoreUnreachable { nodes: all_nodes(), for_us: 35 * SECOND }), 0.0, 0.25)
         }
         "two holders are killed for good" => {
             let two = holders()[..2].to_vec();
@@ -109,9 +109,9 @@
             (at(Fault::Kill { nodes: half, back_after_us: Some(2 * SECOND) }), 0.0, 0.03)
         }
         "a node knows nobody" => {
-            (at(Fault::KnowNobody { nodes: vec![1], for_us: 10 * SECOND }), 0.0, 0.03)
+            (at(Fault::NoKeepers { nodes: vec![1], for_us: 10 * SECOND }), 0.0, 0.03)
         }
-        "3 in 100 words are lost and as many come twice" => (vec![], 0.03, 0.005),
+        "3 in 100 messages are lost and as many come twice" => (vec![], 0.03, 0.005),
         other => unreachable!("{other}"),
     }
 }
@@ -133,33 +133,35 @@
 #[test_case("half of the holders are killed for good")]
 #[test_case("half of the nodes are killed")]
 #[test_case("a node knows nobody")]
-#[test_case("3 in 100 words are lost and as many come twice")]
-fn the_limit_holds_and_little_is_lost_when(name: &str) {
-    let (faults, loss, most_lost) = row(name);
-    let asked = play(FAR_TOO_MUCH, loss, &faults, 1);
-    let (worst, over) = fullest(&asked, 1.0, 0..END_US);
-    let usual = play(USUAL, loss, &faults, 2);
+#[test_case("3 in 100 messages are lost and as many come twice")]
+fn the_limit_holds_with_bounded_losses_when(name: &str) {
+    let (faults, loss, max_lost) = scenario(name);
+    let overloaded = simulate(OVERLOAD, loss, &faults, 1);
+    let (worst, over) = max_usage(&overloaded, 1.0, 0..END_US);
+    let usual = simulate(USUAL_LOAD, loss, &faults, 2);
     let (refused, unreachable) = (share(usual.refused, &usual), share(usual.unreachable, &usual));
-    let words = usual.words as f64 / usual.requests as f64;
-    println!("{name} | fullest {worst:.3} | over {over:.0} | refused {refused:.5} | unreachable {unreachable:.5} | words {words:.2}");
+    let messages = usual.messages as f64 / usual.requests as f64;
+    println!("{name} | max usage {worst:.3} | over {over:.0} | refused {refused:.5} | unreachable {unreachable:.5} | messages {messages:.2}");
     assert!(over <= 0.0, "{over} over the bound");
-    assert!(refused + unreachable <= most_lost, "{refused} refused, {unreachable} unreachable");
+    assert!(refused + unreachable <= max_lost, "{refused} refused, {unreachable} unreachable");
 }
 
 #[test_case(0.3; "lowered")]
 #[test_case(0.1; "lowered far below what is sent, with fewer slots")]
 #[test_case(2.0; "raised")]
-fn a_limit_that_changes_while_a_zone_is_cut_holds(times: f64) {
+fn a_limit_changed_during_a_zone_partition_holds(factor: f64) {
     let faults = [
-        (FAULT_AT_US, Fault::CutOff { nodes: zone_0(), for_us: 6 * SECOND }),
-        (FAULT_AT_US + SECOND, Fault::Limits { times }),
+        (FAULT_AT_US, Fault::Partition { nodes: zone_0(), for_us: 6 * SECOND }),
+        (FAULT_AT_US + SECOND, Fault::ChangeLimits { factor }),
     ];
-    let figures = play(FAR_TOO_MUCH, 0.03, &faults, 3);
+    let results = simulate(OVERLOAD, 0.03, &faults, 3);
     // Until all nodes have heard of it the larger one counts, and from one window after that the
     // new one.
-    let heard_us = FAULT_AT_US + 4 * SECOND;
-    let (before, over_before) = fullest(&figures, times.max(1.0), 0..END_US);
-    let (after, over_after) = fullest(&figures, times, heard_us + SECOND..END_US);
-    println!("times {times} | whole play {before:.3} | after it was heard {after:.3}");
+    let known_at_us = FAULT_AT_US + 4 * SECOND;
+    let (before, over_before) = max_usage(&results, factor.max(1.0), 0..END_US);
+    let (after, over_after) = max_usage(&results, factor, known_at_us + SECOND..END_US);
+    println!(
+        "factor {factor} | whole simulation {before:.3} | after all nodes received it {after:.3}"
+    );
     assert!(over_before <= 0.0 && over_after <= 0.0, "{over_before} before, {over_after} after");
 }
--- a/crates/serving/tests/quota_fleet/leases.rs
+++ b/crates/serving/tests/quota_fleet/leases.rs
@@ -4,24 +4,24 @@
 
 impl Fleet {
     pub(super) fn reaches_store(&self, node: usize) -> bool {
-        self.nodes[node].has_store && !self.nodes[node].is_cut
+        self.nodes[node].has_store && !self.nodes[node].is_partitioned
     }
 
     pub(super) fn renew(&mut self, node: usize) {
-        let start = self.nodes[node].start;
+        let incarnation = self.nodes[node].incarnation;
         let reaches_store = self.reaches_store(node);
         let again_us = if reaches_store { RENEW_EVERY_US } else { RETRY_RENEWAL_US };
-        self.push(again_us, Event::Renew { node, start });
+        self.push(again_us, Event::Renew { node, incarnation });
         if !reaches_store {
             return;
         }
         self.drop_lapsed_keys();
         // A lease that has run out is granted anew, but its keys are gone.
-        self.leases.insert((node, start), self.now_us + LEASE_US);
+        self.leases.insert((node, incarnation), self.now_us + LEASE_US);
         self.nodes[node].renewed_sent_us = self.now_us;
         let now_us = self.now_us;
         let has_key = |id: &KeeperId, keys: &BTreeMap<KeeperId, Key>| {
-            keys.get(id).is_some_and(|key| (key.node, key.start) == (node, start))
+            keys.get(id).is_some_and(|key| (key.node, key.incarnation) == (node, incarnation))
         };
         let keys = &self.keys;
         let keepers = &mut self.nodes[node].keepers;
@@ -31,43 +31,43 @@
 
     fn drop_lapsed_keys(&mut self) {
         let (leases, now_us) = (&self.leases, self.now_us);
-        self.keys.retain(|_, key| leases[&(key.node, key.start)] > now_us);
+        self.keys.retain(|_, key| leases[&(key.node, key.incarnation)] > now_us);
     }
 
-    pub(super) fn look(&mut self, node: usize) {
-        let start = self.nodes[node].start;
-        self.push(LOOK_EVERY_US, Event::Look { node, start });
+    pub(super) fn poll(&mut self, node: usize) {
+        let incarnation = self.nodes[node].incarnation;
+        self.push(POLL_EVERY_US, Event::Poll { node, incarnation });
         self.drop_lapsed_keys();
-        if !self.reaches_store(node) || !self.leases.contains_key(&(node, start)) {
+        if !self.reaches_store(node) || !self.leases.contains_key(&(node, incarnation)) {
             return;
         }
-        self.nodes[node].copy =
+        self.nodes[node].replica =
             self.keys.iter().map(|(keeper, key)| (keeper.clone(), key.node)).collect();
         for keeper in all_keepers(&self.topology) {
-            self.look_at(node, keeper);
+            self.campaign_for(node, keeper);
         }
     }
 
-    fn look_at(&mut self, node: usize, keeper: KeeperId) {
+    fn campaign_for(&mut self, node: usize, keeper: KeeperId) {
         let now_us = self.now_us;
         if self.nodes[node].keepers.get(&keeper).is_some_and(|held| held.term().is_valid(now_us)) {
             return;
         }
         let key = self.keys.get(&keeper).copied();
-        let told = key.map(|key| KeeperKey {
+        let observed = key.map(|key| KeeperKey {
             holder: address(key.node),
             revision: StoreRevision::without_era(key.revision),
         });
         // The rank of a node matters only where nobody holds the key.
         let rank = if key.is_none() { self.rank(node, &keeper) } else { 0 };
         let candidacy = self.nodes[node].candidacies.entry(keeper.clone()).or_default();
-        let step = candidacy.decide(told.as_ref(), address(node), rank, now_us);
-        if step == CandidacyAction::Wait {
+        let action = candidacy.decide(observed.as_ref(), address(node), rank, now_us);
+        if action == CandidacyAction::Wait {
             return;
         }
-        let start = self.nodes[node].start;
+        let incarnation = self.nodes[node].incarnation;
         self.revision += 1;
-        self.keys.insert(keeper.clone(), Key { node, start, revision: self.revision });
+        self.keys.insert(keeper.clone(), Key { node, incarnation, revision: self.revision });
         let sent_us = self.nodes[node].renewed_sent_us;
         let term =
             KeeperTerm::new(StoreRevision::without_era(self.revision), sent_us, now_us, LEASE_US);
@@ -77,7 +77,7 @@
 
     fn rank(&self, node: usize, keeper: &KeeperId) -> usize {
         let members = self.members();
-        let own = name(node, self.nodes[node].start);
+        let own = name(node, self.nodes[node].incarnation);
         candidate_rank(keeper, &own, members.iter().map(|(name, one)| (name, one)))
     }
 
@@ -85,7 +85,7 @@
         let up = self.nodes.iter().enumerate().filter(|(_, node)| node.is_up);
         let member = |(number, node): (usize, &Node)| {
             let member = Member { address: address(number), zone: zone(number), processor: 500 };
-            (name(number, node.start), member)
+            (name(number, node.incarnation), member)
         };
         up.map(member).collect()
     }
--- a/crates/serving/tests/quota_fleet/messages.rs
+++ b/crates/serving/tests/quota_fleet/messages.rs
@@ -17,10 +17,10 @@
         if !self.nodes[node].is_up || self.now_us < self.nodes[node].frozen_until_us {
             return;
         }
-        self.figures.requests += 1;
-        self.figures.offered += cost;
+        self.results.requests += 1;
+        self.results.offered += cost;
         let ticket = Ticket {
-            incarnation: (node as u64) << 32 | self.nodes[node].start,
+            incarnation: (node as u64) << 32 | self.nodes[node].incarnation,
             number: self.sequence,
         };
         let request = QuotaRequest {
@@ -31,100 +31,102 @@
             cost,
             priority: 0,
         };
-        self.nodes[node].asked.insert(ticket, Asked { tenant, cost });
-        let can_ask = self.can_ask(node);
+        self.nodes[node].pending.insert(ticket, PendingRequest { tenant, cost });
+        let is_reachable = self.is_reachable(node);
         let now_us = self.now_us;
-        let step = self.nodes[node].desk.start(request, can_ask, now_us);
-        self.on_step(node, step);
+        let action = self.nodes[node].requester.start(request, is_reachable, now_us);
+        self.on_action(node, action);
     }
 
-    pub(super) fn on_step(&mut self, node: usize, step: RequesterAction) {
-        match step {
-            RequesterAction::Query(question, patience_us) => {
-                let (ticket, keeper) = (question.ticket, question.keeper.clone());
-                let start = self.nodes[node].start;
-                self.push(patience_us, Event::Patience { node, start, ticket, keeper });
-                self.send_to_keeper(node, question.keeper.clone(), Word::Question(question));
+    pub(super) fn on_action(&mut self, node: usize, action: RequesterAction) {
+        match action {
+            RequesterAction::Query(query, timeout_us) => {
+                let (ticket, keeper) = (query.ticket, query.keeper.clone());
+                let incarnation = self.nodes[node].incarnation;
+                self.push(timeout_us, Event::ReplyTimeout { node, incarnation, ticket, keeper });
+                self.send_to_keeper(node, query.keeper.clone(), Message::Query(query));
             }
-            RequesterAction::Settled(ticket, outcome, returns) => {
+            RequesterAction::Settled(ticket, outcome, refunds) => {
                 self.settle(node, ticket, outcome);
-                self.give_back(node, returns);
+                self.send_refunds(node, refunds);
             }
-            RequesterAction::Refund(returns) => self.give_back(node, returns),
+            RequesterAction::Refund(refunds) => self.send_refunds(node, refunds),
             RequesterAction::Noop => {}
         }
     }
 
     fn settle(&mut self, node: usize, ticket: Ticket, outcome: QuotaOutcome) {
-        let Some(asked) = self.nodes[node].asked.remove(&ticket) else { return };
+        let Some(pending) = self.nodes[node].pending.remove(&ticket) else { return };
         match outcome {
             QuotaOutcome::Granted(grant) => {
                 // One in fifty is declined.
                 let is_declined = self.random.random_range(0..50) == 0;
                 if is_declined || !grant.is_usable(self.now_us) {
-                    self.give_back(node, grant.into_refunds());
+                    self.send_refunds(node, grant.into_refunds());
                 } else {
-                    let arrival = (self.now_us + SEND_US, asked.cost);
-                    self.figures.arrivals[asked.tenant].push(arrival);
+                    let arrival = (self.now_us + SEND_US, pending.cost);
+                    self.results.arrivals[pending.tenant].push(arrival);
                 }
             }
-            QuotaOutcome::Refused { .. } => self.figures.refused += asked.cost,
-            QuotaOutcome::Unreachable => self.figures.unreachable += asked.cost,
+            QuotaOutcome::Refused { .. } => self.results.refused += pending.cost,
+            QuotaOutcome::Unreachable => self.results.unreachable += pending.cost,
         }
     }
 
-    fn give_back(&mut self, node: usize, returns: Vec<QuotaRefund>) {
-        for word in returns {
-            self.send_to_keeper(node, word.keeper.clone(), Word::Return(word));
+    fn send_refunds(&mut self, node: usize, refunds: Vec<QuotaRefund>) {
+        for message in refunds {
+            self.send_to_keeper(node, message.keeper.clone(), Message::Refund(message));
         }
     }
 
-    fn send_to_keeper(&mut self, from: usize, keeper: KeeperId, word: Word) {
-        if let Some(to) = self.nodes[from].copy.get(&keeper).copied() {
-            self.send(from, to, word);
+    fn send_to_keeper(&mut self, from: usize, keeper: KeeperId, message: Message) {
+        if let Some(to) = self.nodes[from].replica.get(&keeper).copied() {
+            self.send(from, to, message);
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, word: Word) {
-        self.figures.words += 1;
-        if self.nodes[from].is_cut != self.nodes[to].is_cut || self.random.random_bool(self.loss) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        self.results.messages += 1;
+        if self.nodes[from].is_partitioned != self.nodes[to].is_partitioned
+            || self.random.random_bool(self.loss)
+        {
             return;
         }
         let delay_us = if zone(from) == zone(to) { 200 } else { 900 };
         let jitter_us = self.random.random_range(0..500);
         if self.random.random_bool(self.loss) {
-            let again = match &word {
-                Word::Question(question) => Word::Question(question.clone()),
-                Word::Answer(answer) => Word::Answer(answer.clone()),
-                Word::Return(word) => Word::Return(word.clone()),
+            let again = match &message {
+                Message::Query(query) => Message::Query(query.clone()),
+                Message::Reply(reply) => Message::Reply(reply.clone()),
+                Message::Refund(message) => Message::Refund(message.clone()),
             };
-            self.push(delay_us * 40, Event::Word { to, word: again });
+            self.push(delay_us * 40, Event::Message { to, message: again });
         }
-        self.push(delay_us + jitter_us, Event::Word { to, word });
+        self.push(delay_us + jitter_us, Event::Message { to, message });
     }
 
-    pub(super) fn on_word(&mut self, to: usize, word: Word) {
+    pub(super) fn on_message(&mut self, to: usize, message: Message) {
         let now_us = self.now_us;
-        let can_ask = self.can_ask(to);
-        match word {
-            Word::Question(question) => {
-                let Some(keeper) = self.nodes[to].keepers.get_mut(&question.keeper) else { return };
-                match keeper.on_query(&question, can_ask, now_us) {
-                    KeeperAction::Reply(answer) => {
-                        self.send(to, node_at(question.reply_to), Word::Answer(answer));
+        let is_reachable = self.is_reachable(to);
+        match message {
+            Message::Query(query) => {
+                let Some(keeper) = self.nodes[to].keepers.get_mut(&query.keeper) else { return };
+                match keeper.on_query(&query, is_reachable, now_us) {
+                    KeeperAction::Reply(reply) => {
+                        self.send(to, node_at(query.reply_to), Message::Reply(reply));
                     }
                     KeeperAction::Forward(next) => {
-                        self.send_to_keeper(to, next.keeper.clone(), Word::Question(next));
+                        self.send_to_keeper(to, next.keeper.clone(), Message::Query(next));
                     }
                 }
             }
-            Word::Answer(answer) => {
-                let step = self.nodes[to].desk.on_reply(&answer, can_ask, now_us);
-                self.on_step(to, step);
+            Message::Reply(reply) => {
+                let action = self.nodes[to].requester.on_reply(&reply, is_reachable, now_us);
+                self.on_action(to, action);
             }
-            Word::Return(word) => {
-                if let Some(keeper) = self.nodes[to].keepers.get_mut(&word.keeper) {
-                    keeper.on_refund(&word, now_us);
+            Message::Refund(message) => {
+                if let Some(keeper) = self.nodes[to].keepers.get_mut(&message.keeper) {
+                    keeper.on_refund(&message, now_us);
                 }
             }
         }
--- a/crates/serving/tests/quota_fleet/mod.rs
+++ b/crates/serving/tests/quota_fleet/mod.rs
@@ -31,7 +31,7 @@
 const LEASE_US: u64 = 30 * SECOND;
 const RENEW_EVERY_US: u64 = 5 * SECOND;
 const RETRY_RENEWAL_US: u64 = SECOND / 2;
-const LOOK_EVERY_US: u64 = 250_000;
+const POLL_EVERY_US: u64 = 250_000;
 /// Time from a decision to the run's arrival at its runner.
 const SEND_US: u64 = 2_000;
 
@@ -43,72 +43,72 @@
     /// Nodes do nothing for so long; their clocks go on.
     Freeze { nodes: Vec<usize>, for_us: u64 },
     /// Nodes reach neither the store nor the others, but each other.
-    CutOff { nodes: Vec<usize>, for_us: u64 },
+    Partition { nodes: Vec<usize>, for_us: u64 },
     /// Nodes do not reach the store.
-    NoStore { nodes: Vec<usize>, for_us: u64 },
+    StoreUnreachable { nodes: Vec<usize>, for_us: u64 },
     /// Nodes know no keeper.
-    KnowNobody { nodes: Vec<usize>, for_us: u64 },
+    NoKeepers { nodes: Vec<usize>, for_us: u64 },
     /// All limits are multiplied; each node hears of it within 3 s.
-    Limits { times: f64 },
+    ChangeLimits { factor: f64 },
 }
 
-enum Word {
-    Question(QuotaQuery),
-    Answer(QuotaReply),
-    Return(QuotaRefund),
+enum Message {
+    Query(QuotaQuery),
+    Reply(QuotaReply),
+    Refund(QuotaRefund),
 }
 
 enum Event {
     Request(usize),
-    Word { to: usize, word: Word },
-    Patience { node: usize, start: u64, ticket: Ticket, keeper: KeeperId },
-    Renew { node: usize, start: u64 },
-    Look { node: usize, start: u64 },
+    Message { to: usize, message: Message },
+    ReplyTimeout { node: usize, incarnation: u64, ticket: Ticket, keeper: KeeperId },
+    Renew { node: usize, incarnation: u64 },
+    Poll { node: usize, incarnation: u64 },
     Fault(Fault),
-    Back { nodes: Vec<usize> },
-    Reach { nodes: Vec<usize> },
-    Hear { node: usize, version: u64, times: f64 },
+    Restart { nodes: Vec<usize> },
+    Heal { nodes: Vec<usize> },
+    ReceiveConfiguration { node: usize, version: u64, factor: f64 },
 }
 
 /// A request that is being paid for.
-struct Asked {
+struct PendingRequest {
     tenant: usize,
     cost: u64,
 }
 
 struct Node {
-    start: u64,
+    incarnation: u64,
     is_up: bool,
     frozen_until_us: u64,
-    is_cut: bool,
+    is_partitioned: bool,
     has_store: bool,
-    knows_nobody: bool,
-    desk: QuotaRequester,
+    knows_no_keepers: bool,
+    requester: QuotaRequester,
     keepers: BTreeMap<KeeperId, Keeper>,
     candidacies: BTreeMap<KeeperId, Candidacy>,
-    copy: BTreeMap<KeeperId, usize>,
+    replica: BTreeMap<KeeperId, usize>,
     renewed_sent_us: u64,
     version: u64,
-    times: f64,
-    asked: BTreeMap<Ticket, Asked>,
+    factor: f64,
+    pending: BTreeMap<Ticket, PendingRequest>,
 }
 
 #[derive(Clone, Copy)]
 struct Key {
     node: usize,
-    start: u64,
+    incarnation: u64,
     revision: u64,
 }
 
 /// What a play showed.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct Results {
     pub offered: u64,
     pub refused: u64,
     pub unreachable: u64,
     /// Requests and words.
     pub requests: u64,
-    pub words: u64,
+    pub messages: u64,
     /// Arrivals at runners by tenant.
     pub arrivals: Vec<Vec<(u64, u64)>>,
 }
@@ -129,7 +129,7 @@
     loss: f64,
     end_us: u64,
     version: u64,
-    pub figures: Figures,
+    pub results: Results,
 }
 
 fn zone(node: usize) -> ZoneId {
@@ -140,8 +140,8 @@
     SocketAddr::from(([10, 0, 0, node as u8 + 1], 7_000))
 }
 
-fn name(node: usize, start: u64) -> NodeId {
-    NodeId::new(format!("node-{node}-{start}"))
+fn name(node: usize, incarnation: u64) -> NodeId {
+    NodeId::new(format!("node-{node}-{incarnation}"))
 }
 
 fn node_at(address: SocketAddr) -> usize {
@@ -173,9 +173,9 @@
             loss,
             end_us,
             version: 1,
-            figures: Figures { arrivals: vec![Vec::new(); rates.len()], ..Figures::default() },
+            results: Results { arrivals: vec![Vec::new(); rates.len()], ..Results::default() },
         };
-        (0..NODES).for_each(|node| fleet.begin(node));
+        (0..NODES).for_each(|node| fleet.schedule_timers(node));
         (0..rates.len()).for_each(|tenant| fleet.push(SECOND, Event::Request(tenant)));
         fleet
     }
@@ -185,7 +185,7 @@
     }
 
     /// Plays to the end.
-    pub fn play(mut self) -> Figures {
+    pub fn run(mut self) -> Results {
         while let Some(Reverse((at_us, sequence))) = self.queue.pop() {
             let event = self.events.remove(&sequence).unwrap();
             if at_us > self.end_us {
@@ -194,7 +194,7 @@
             self.now_us = at_us;
             self.on_event(event);
         }
-        self.figures
+        self.results
     }
 
     /// A node that holds a keeper in the zone, as far as the store knows.
@@ -224,20 +224,20 @@
         self.events.insert(self.sequence, event);
     }
 
-    fn begin(&mut self, node: usize) {
-        let start = self.nodes[node].start;
-        self.push(10_000 * node as u64, Event::Renew { node, start });
-        self.push(20_000 + 10_000 * node as u64, Event::Look { node, start });
+    fn schedule_timers(&mut self, node: usize) {
+        let incarnation = self.nodes[node].incarnation;
+        self.push(10_000 * node as u64, Event::Renew { node, incarnation });
+        self.push(20_000 + 10_000 * node as u64, Event::Poll { node, incarnation });
     }
 
     /// Whether an event at a node has to wait for it to wake, and till when.
     fn frozen_until(&self, event: &Event) -> Option<u64> {
         let node = match event {
-            Event::Word { to: node, .. }
-            | Event::Patience { node, .. }
+            Event::Message { to: node, .. }
+            | Event::ReplyTimeout { node, .. }
             | Event::Renew { node, .. }
-            | Event::Look { node, .. }
-            | Event::Hear { node, .. } => *node,
+            | Event::Poll { node, .. }
+            | Event::ReceiveConfiguration { node, .. } => *node,
             _ => return None,
         };
         let until_us = self.nodes[node].frozen_until_us;
@@ -250,53 +250,61 @@
         }
         match event {
             Event::Request(tenant) => self.on_request(tenant),
-            Event::Word { to, word } if self.nodes[to].is_up => self.on_word(to, word),
-            Event::Patience { node, start, ticket, keeper } if self.is_at(node, start) => {
-                let can_ask = self.can_ask(node);
+            Event::Message { to, message } if self.nodes[to].is_up => self.on_message(to, message),
+            Event::ReplyTimeout { node, incarnation, ticket, keeper }
+                if self.is_at(node, incarnation) =>
+            {
+                let is_reachable = self.is_reachable(node);
                 let now_us = self.now_us;
-                let step = self.nodes[node].desk.on_reply_timeout(ticket, &keeper, can_ask, now_us);
-                self.on_step(node, step);
+                let action = self.nodes[node].requester.on_reply_timeout(
+                    ticket,
+                    &keeper,
+                    is_reachable,
+                    now_us,
+                );
+                self.on_action(node, action);
             }
-            Event::Renew { node, start } if self.is_at(node, start) => self.renew(node),
-            Event::Look { node, start } if self.is_at(node, start) => self.look(node),
+            Event::Renew { node, incarnation } if self.is_at(node, incarnation) => self.renew(node),
+            Event::Poll { node, incarnation } if self.is_at(node, incarnation) => self.poll(node),
             Event::Fault(fault) => self.on_fault(fault),
-            Event::Back { nodes } => {
+            Event::Restart { nodes } => {
                 for node in nodes {
-                    let (start, version, times) = (
-                        self.nodes[node].start + 1,
+                    let (incarnation, version, factor) = (
+                        self.nodes[node].incarnation + 1,
                         self.nodes[node].version,
-                        self.nodes[node].times,
+                        self.nodes[node].factor,
                     );
-                    self.nodes[node] = start_node(node, start, &self.topology);
-                    (self.nodes[node].version, self.nodes[node].times) = (version, times);
-                    self.begin(node);
+                    self.nodes[node] = start_node(node, incarnation, &self.topology);
+                    (self.nodes[node].version, self.nodes[node].factor) = (version, factor);
+                    self.schedule_timers(node);
                 }
             }
-            Event::Reach { nodes } => {
+            Event::Heal { nodes } => {
                 for node in nodes {
                     let node = &mut self.nodes[node];
-                    (node.is_cut, node.has_store, node.knows_nobody) = (false, true, false);
+                    (node.is_partitioned, node.has_store, node.knows_no_keepers) =
+                        (false, true, false);
                 }
             }
-            Event::Hear { node, version, times } => {
-                (self.nodes[node].version, self.nodes[node].times) = (version, times);
+            Event::ReceiveConfiguration { node, version, factor } => {
+                (self.nodes[node].version, self.nodes[node].factor) = (version, factor);
             }
             _ => {}
         }
     }
 
-    fn is_at(&self, node: usize, start: u64) -> bool {
-        self.nodes[node].is_up && self.nodes[node].start == start
+    fn is_at(&self, node: usize, incarnation: u64) -> bool {
+        self.nodes[node].is_up && self.nodes[node].incarnation == incarnation
     }
 
-    fn can_ask(&self, node: usize) -> impl Fn(&KeeperId) -> bool {
-        let is_blind = self.nodes[node].knows_nobody;
-        let copy = self.nodes[node].copy.clone();
-        move |keeper: &KeeperId| !is_blind && copy.contains_key(keeper)
+    fn is_reachable(&self, node: usize) -> impl Fn(&KeeperId) -> bool {
+        let knows_no_keepers = self.nodes[node].knows_no_keepers;
+        let replica = self.nodes[node].replica.clone();
+        move |keeper: &KeeperId| !knows_no_keepers && replica.contains_key(keeper)
     }
 
     fn limit(&self, node: usize, tenant: usize) -> TenantLimit {
-        let rate_per_s = (self.rates[tenant] as f64 * self.nodes[node].times) as u64;
+        let rate_per_s = (self.rates[tenant] as f64 * self.nodes[node].factor) as u64;
         TenantLimit { rate_per_s, burst: rate_per_s, unit: QuotaUnit::Tokens, plain_tokens: 200 }
     }
 
@@ -305,70 +313,70 @@
             Fault::Kill { nodes, back_after_us } => {
                 nodes.iter().for_each(|node| self.nodes[*node].is_up = false);
                 if let Some(after_us) = back_after_us {
-                    self.push(after_us, Event::Back { nodes });
+                    self.push(after_us, Event::Restart { nodes });
                 }
             }
             Fault::Freeze { nodes, for_us } => {
                 let until_us = self.now_us + for_us;
                 nodes.iter().for_each(|node| self.nodes[*node].frozen_until_us = until_us);
             }
-            Fault::CutOff { nodes, for_us } => {
-                nodes.iter().for_each(|node| self.nodes[*node].is_cut = true);
-                self.push(for_us, Event::Reach { nodes });
+            Fault::Partition { nodes, for_us } => {
+                nodes.iter().for_each(|node| self.nodes[*node].is_partitioned = true);
+                self.push(for_us, Event::Heal { nodes });
             }
-            Fault::NoStore { nodes, for_us } => {
+            Fault::StoreUnreachable { nodes, for_us } => {
                 nodes.iter().for_each(|node| self.nodes[*node].has_store = false);
-                self.push(for_us, Event::Reach { nodes });
+                self.push(for_us, Event::Heal { nodes });
             }
-            Fault::KnowNobody { nodes, for_us } => {
-                nodes.iter().for_each(|node| self.nodes[*node].knows_nobody = true);
-                self.push(for_us, Event::Reach { nodes });
+            Fault::NoKeepers { nodes, for_us } => {
+                nodes.iter().for_each(|node| self.nodes[*node].knows_no_keepers = true);
+                self.push(for_us, Event::Heal { nodes });
             }
-            Fault::Limits { times } => {
+            Fault::ChangeLimits { factor } => {
                 self.version += 1;
                 let version = self.version;
                 for node in 0..NODES {
                     let after_us = self.random.random_range(0..3 * SECOND);
-                    self.push(after_us, Event::Hear { node, version, times });
+                    self.push(after_us, Event::ReceiveConfiguration { node, version, factor });
                 }
             }
         }
     }
 }
 
-fn start_node(node: usize, start: u64, topology: &Topology) -> Node {
+fn start_node(node: usize, incarnation: u64, topology: &Topology) -> Node {
     Node {
-        start,
+        incarnation,
         is_up: true,
         frozen_until_us: 0,
-        is_cut: false,
+        is_partitioned: false,
         has_store: true,
-        knows_nobody: false,
-        desk: QuotaRequester::new(zone(node), address(node), BOUNDS, topology.clone()),
+        knows_no_keepers: false,
+        requester: QuotaRequester::new(zone(node), address(node), BOUNDS, topology.clone()),
         keepers: BTreeMap::new(),
         candidacies: BTreeMap::new(),
-        copy: BTreeMap::new(),
+        replica: BTreeMap::new(),
         renewed_sent_us: 0,
         version: 1,
-        times: 1.0,
-        asked: BTreeMap::new(),
+        factor: 1.0,
+        pending: BTreeMap::new(),
     }
 }
 
 /// The largest sum of a window that begins within a time, units.
-pub fn fullest_window(arrivals: &[(u64, u64)], begins: std::ops::Range<u64>) -> u64 {
+pub fn max_window_cost(arrivals: &[(u64, u64)], starts: std::ops::Range<u64>) -> u64 {
     let mut sorted: Vec<(u64, u64)> = arrivals.to_vec();
     sorted.sort_unstable();
-    let (mut last, mut sum, mut fullest) = (0, 0, 0);
+    let (mut last, mut sum, mut max_cost) = (0, 0, 0);
     for (at_us, cost) in &sorted {
         while last < sorted.len() && sorted[last].0 <= at_us + BOUNDS.window_us {
             sum += sorted[last].1;
             last += 1;
         }
-        if begins.contains(at_us) {
-            fullest = fullest.max(sum);
+        if starts.contains(at_us) {
+            max_cost = max_cost.max(sum);
         }
         sum -= cost;
     }
-    fullest
+    max_cost
 }
--- a/crates/serving/tests/quota_keeper.rs
+++ b/crates/serving/tests/quota_keeper.rs
@@ -37,14 +37,14 @@
     SocketAddr::from(([10, 0, 0, 1], 7_000))
 }
 
-fn anyone(_: &KeeperId) -> bool {
+fn all_reachable(_: &KeeperId) -> bool {
     true
 }
 
 /// All keepers, held for long.
 struct Keepers {
     held: BTreeMap<KeeperId, Keeper>,
-    words: usize,
+    messages: usize,
 }
 
 impl Keepers {
@@ -53,7 +53,7 @@
             let term = KeeperTerm::new(StoreRevision::without_era(1), 0, 0, 1_000 * SECOND);
             (id.clone(), Keeper::new(id, term, BOUNDS, topology()))
         });
-        Self { held: held.collect(), words: 0 }
+        Self { held: held.collect(), messages: 0 }
     }
 
     fn slots(limit: &TenantLimit) -> Vec<KeeperId> {
@@ -61,13 +61,13 @@
     }
 
     /// Asks, with every hand-on.
-    fn ask(&mut self, mut question: QuotaQuery, now_us: u64) -> QuotaReply {
+    fn query(&mut self, mut query: QuotaQuery, now_us: u64) -> QuotaReply {
         loop {
-            self.words += 1;
-            let keeper = self.held.get_mut(&question.keeper).unwrap();
-            match keeper.on_query(&question, anyone, now_us) {
-                KeeperAction::Reply(answer) => return answer,
-                KeeperAction::Forward(next) => question = next,
+            self.messages += 1;
+            let keeper = self.held.get_mut(&query.keeper).unwrap();
+            match keeper.on_query(&query, all_reachable, now_us) {
+                KeeperAction::Reply(reply) => return reply,
+                KeeperAction::Forward(next) => query = next,
             }
         }
     }
@@ -77,12 +77,12 @@
         levels.map(|tenant| tenant.level).sum()
     }
 
-    fn give_back(&mut self, word: &QuotaRefund) -> u64 {
-        self.held.get_mut(&word.keeper).unwrap().on_refund(word, NOW_US)
+    fn refund(&mut self, refund: &QuotaRefund) -> u64 {
+        self.held.get_mut(&refund.keeper).unwrap().on_refund(refund, NOW_US)
     }
 }
 
-fn question(number: u64, cost: u64, limit: TenantLimit, version: u64) -> QuotaQuery {
+fn query(number: u64, cost: u64, limit: TenantLimit, version: u64) -> QuotaQuery {
     QuotaQuery {
         ticket: Ticket { incarnation: 1, number },
         reply_to: address(),
@@ -99,22 +99,22 @@
     }
 }
 
-fn is_granted(answer: &QuotaReply) -> bool {
-    answer.verdict == QuotaVerdict::Granted
+fn is_granted(reply: &QuotaReply) -> bool {
+    reply.verdict == QuotaVerdict::Granted
 }
 
 #[test]
-fn a_keeper_that_is_short_hands_the_question_on() {
+fn a_keeper_without_enough_units_forwards_the_query() {
     let mut keepers = Keepers::new();
     let mut granted_by = std::collections::BTreeSet::new();
     let mut number = 0;
     loop {
         number += 1;
-        let answer = keepers.ask(question(number, 1_000, limit(300_000), 1), NOW_US);
-        if !is_granted(&answer) {
+        let reply = keepers.query(query(number, 1_000, limit(300_000), 1), NOW_US);
+        if !is_granted(&reply) {
             break;
         }
-        granted_by.insert(answer.keeper);
+        granted_by.insert(reply.keeper);
     }
     assert_eq!(granted_by.len(), 3, "each slot has paid");
     let spent = number * 1_000;
@@ -122,136 +122,137 @@
 }
 
 #[test]
-fn what_no_keeper_has_room_for_alone_is_paid_in_parts() {
+fn a_cost_too_large_for_any_keeper_alone_is_charged_in_parts() {
     let mut keepers = Keepers::new();
-    let answer = keepers.ask(question(1, 150_000, limit(47_000), 1), NOW_US);
-    assert!(is_granted(&answer));
-    assert_eq!(answer.charged.len(), 3);
-    assert!(keepers.words <= 5, "{} words", keepers.words);
+    let reply = keepers.query(query(1, 150_000, limit(47_000), 1), NOW_US);
+    assert!(is_granted(&reply));
+    assert_eq!(reply.charged.len(), 3);
+    assert!(keepers.messages <= 5, "{} messages", keepers.messages);
     let level = 47_000 - 150_000;
     assert!((level - 3..=level).contains(&keepers.level()), "rounded down at each keeper");
 }
 
 #[test]
-fn parts_that_are_given_back_leave_all_as_it_was() {
+fn refunded_parts_restore_the_whole_cost() {
     let mut keepers = Keepers::new();
-    let answer = keepers.ask(question(1, 120_000, limit(47_000), 1), NOW_US);
-    let returned: u64 = answer
+    let reply = keepers.query(query(1, 120_000, limit(47_000), 1), NOW_US);
+    let returned: u64 = reply
         .charged
         .iter()
         .map(|keeper| {
-            let word =
-                QuotaRefund { ticket: answer.ticket, keeper: keeper.clone(), tenant: tenant() };
-            keepers.give_back(&word) + keepers.give_back(&word)
+            let refund =
+                QuotaRefund { ticket: reply.ticket, keeper: keeper.clone(), tenant: tenant() };
+            keepers.refund(&refund) + keepers.refund(&refund)
         })
         .sum();
     assert_eq!(returned, 120_000);
 }
 
 #[test]
-fn what_all_together_have_no_room_for_is_refused_and_nothing_is_paid() {
+fn a_cost_too_large_for_all_keepers_is_refused_without_a_charge() {
     let mut keepers = Keepers::new();
-    let answer = keepers.ask(question(1, 500_000, limit(47_000), 1), NOW_US);
-    assert!(matches!(answer.verdict, QuotaVerdict::Refused { wait_ms } if wait_ms > 1_000));
-    assert!(answer.charged.is_empty());
+    let reply = keepers.query(query(1, 500_000, limit(47_000), 1), NOW_US);
+    assert!(matches!(reply.verdict, QuotaVerdict::Refused { wait_ms } if wait_ms > 1_000));
+    assert!(reply.charged.is_empty());
     assert_eq!(keepers.level(), 47_000 - 2, "rounded down at two keepers");
 }
 
 #[test]
-fn the_wait_is_the_time_until_all_together_have_room() {
+fn the_wait_lasts_until_all_keepers_together_have_enough_units() {
     let mut keepers = Keepers::new();
     let mut number = 0;
     let mut next = |cost| {
         number += 1;
-        question(number, cost, limit(300_000), 1)
+        query(number, cost, limit(300_000), 1)
     };
-    while is_granted(&keepers.ask(next(1_000), NOW_US)) {}
-    let answer = keepers.ask(next(60_000), NOW_US);
-    let QuotaVerdict::Refused { wait_ms } = answer.verdict else { unreachable!("{answer:?}") };
+    while is_granted(&keepers.query(next(1_000), NOW_US)) {}
+    let reply = keepers.query(next(60_000), NOW_US);
+    let QuotaVerdict::Refused { wait_ms } = reply.verdict else { unreachable!("{reply:?}") };
     assert!((170..230).contains(&wait_ms), "60,000 at 336,000 a second: {wait_ms}");
     let back_us = NOW_US + wait_ms * 1_000;
-    assert!(is_granted(&keepers.ask(next(60_000), back_us)));
+    assert!(is_granted(&keepers.query(next(60_000), back_us)));
 }
 
 #[test]
-fn a_node_whose_term_may_be_over_is_no_keeper() {
+fn a_node_whose_term_may_have_ended_is_not_a_keeper() {
     let id = Keepers::slots(&limit(300_000))[0].clone();
     let term = KeeperTerm::new(StoreRevision::without_era(1), 0, 0, 15 * SECOND);
     let mut keeper = Keeper::new(id.clone(), term, BOUNDS, topology());
-    let mut ask = |number, now_us| match keeper.on_query(
-        &question(number, 200, limit(300_000), 1),
-        anyone,
+    let mut query_at = |number, now_us| match keeper.on_query(
+        &query(number, 200, limit(300_000), 1),
+        all_reachable,
         now_us,
     ) {
-        KeeperAction::Reply(answer) => answer.verdict,
+        KeeperAction::Reply(reply) => reply.verdict,
         KeeperAction::Forward(_) => unreachable!("there is room"),
     };
-    assert_eq!(ask(1, 12 * SECOND), QuotaVerdict::Granted);
-    assert_eq!(ask(2, 13 * SECOND), QuotaVerdict::NotKeeper);
+    assert_eq!(query_at(1, 12 * SECOND), QuotaVerdict::Granted);
+    assert_eq!(query_at(2, 13 * SECOND), QuotaVerdict::NotKeeper);
     keeper.renew(10 * SECOND, 15 * SECOND);
-    let renewed = keeper.on_query(&question(3, 200, limit(300_000), 1), anyone, 13 * SECOND);
-    assert!(matches!(renewed, KeeperAction::Reply(answer) if is_granted(&answer)));
+    let renewed = keeper.on_query(&query(3, 200, limit(300_000), 1), all_reachable, 13 * SECOND);
+    assert!(matches!(renewed, KeeperAction::Reply(reply) if is_granted(&reply)));
 }
 
 #[test]
-fn the_limit_of_the_latest_version_counts_whoever_asks() {
+fn the_limit_of_the_latest_version_applies_to_all_queries() {
     let mut keepers = Keepers::new();
-    keepers.ask(question(1, 200, limit(300_000), 5), NOW_US);
-    keepers.ask(question(2, 200, limit(60_000), 6), NOW_US);
+    keepers.query(query(1, 200, limit(300_000), 5), NOW_US);
+    keepers.query(query(2, 200, limit(60_000), 6), NOW_US);
     let id = Keepers::slots(&limit(300_000))[0].clone();
     let level = |keepers: &Keepers| keepers.held[&id].levels(NOW_US)[0].clone();
     let (lowered, version) = (level(&keepers).level, level(&keepers).version);
     assert!(lowered <= 20_000 && version == 6, "{lowered} by version {version}");
     // A node that has not heard of it asks by the old one.
     for number in 3..6 {
-        keepers.ask(question(number, 200, limit(300_000), 5), NOW_US + number * SECOND);
+        keepers.query(query(number, 200, limit(300_000), 5), NOW_US + number * SECOND);
     }
     assert!(level(&keepers).level <= 20_000 && level(&keepers).version == 6);
 }
 
 #[test]
-fn a_tenant_first_met_after_a_change_of_the_configuration_begins_with_nothing() {
+fn a_tenant_first_queried_after_a_configuration_change_starts_with_nothing() {
     let mut keepers = Keepers::new();
     let id = Keepers::slots(&limit(300_000))[0].clone();
-    let mut other = question(1, 200, limit(300_000), 5);
+    let mut other = query(1, 200, limit(300_000), 5);
     other.tenant = TenantName::new("other");
     let keeper = keepers.held.get_mut(&id).unwrap();
-    keeper.on_query(&other, anyone, NOW_US);
+    keeper.on_query(&other, all_reachable, NOW_US);
     other.version = 6;
-    keeper.on_query(&other, anyone, NOW_US + 1);
-    let reply = keeper.on_query(&question(2, 50_000, limit(300_000), 6), anyone, NOW_US + 2);
+    keeper.on_query(&other, all_reachable, NOW_US + 1);
+    let reply = keeper.on_query(&query(2, 50_000, limit(300_000), 6), all_reachable, NOW_US + 2);
     assert!(matches!(reply, KeeperAction::Forward(_)), "{reply:?}");
 }
 
 #[test]
-fn a_cost_in_the_unit_of_an_older_version_is_counted_by_the_latest() {
+fn a_cost_in_the_unit_of_an_older_version_is_converted() {
     let requests =
         TenantLimit { rate_per_s: 100, burst: 100, unit: QuotaUnit::Requests, plain_tokens: 0 };
     let mut keepers = Keepers::new();
-    keepers.ask(question(1, 1, requests, 6), NOW_US);
-    let answer = keepers.ask(question(2, 17_000, limit(300_000), 5), NOW_US);
-    assert!(is_granted(&answer), "one request");
+    keepers.query(query(1, 1, requests, 6), NOW_US);
+    let reply = keepers.query(query(2, 17_000, limit(300_000), 5), NOW_US);
+    assert!(is_granted(&reply), "one request");
 }
 
 #[test]
-fn idle_tenants_are_forgotten() {
+fn idle_tenants_are_evicted() {
     let id = KeeperId { zone: ZoneId::new("a1"), number: 0 };
     let term = KeeperTerm::new(StoreRevision::without_era(1), 0, 0, 1_000 * SECOND);
     let mut keeper = Keeper::new(id.clone(), term, BOUNDS, topology());
-    let mut ask = |name: String, number, now_us| {
-        let mut question = question(number, 200, limit(300_000), 1);
-        question.tenant = TenantName::new(name);
-        question.keeper = id.clone();
-        keeper.on_query(&question, |_| false, now_us);
+    let mut query_at = |name: String, number, now_us| {
+        let mut query = query(number, 200, limit(300_000), 1);
+        query.tenant = TenantName::new(name);
+        query.keeper = id.clone();
+        keeper.on_query(&query, |_| false, now_us);
         keeper.levels(now_us).len()
     };
-    let met = (0..2_300).map(|number| ask(format!("t-{number}"), number, NOW_US)).max().unwrap();
+    let met =
+        (0..2_300).map(|number| query_at(format!("t-{number}"), number, NOW_US)).max().unwrap();
     assert!(met > 900, "about half of them have a slot here: {met}");
     let later_us = NOW_US + 30 * SECOND;
-    assert!(ask("busy".into(), 10_000, later_us) <= 1);
+    assert!(query_at("busy".into(), 10_000, later_us) <= 1);
 }
 
-fn desk() -> QuotaRequester {
+fn requester() -> QuotaRequester {
     QuotaRequester::new(ZoneId::new("a1"), address(), BOUNDS, topology())
 }
 
@@ -266,125 +267,132 @@
     }
 }
 
-fn asked(step: RequesterAction) -> QuotaQuery {
-    match step {
-        RequesterAction::Query(question, _) => question,
+fn queried(action: RequesterAction) -> QuotaQuery {
+    match action {
+        RequesterAction::Query(query, _) => query,
         other => unreachable!("{other:?}"),
     }
 }
 
-fn answer(question: &QuotaQuery, verdict: QuotaVerdict) -> QuotaReply {
-    let (ticket, keeper) = (question.ticket, question.keeper.clone());
+fn reply(query: &QuotaQuery, verdict: QuotaVerdict) -> QuotaReply {
+    let (ticket, keeper) = (query.ticket, query.keeper.clone());
     QuotaReply { ticket, keeper, verdict, level: 0, charged: Vec::new() }
 }
 
 #[test]
-fn the_keeper_of_the_own_zone_is_asked_first() {
-    let question = asked(desk().start(request(1), anyone, 0));
-    assert_eq!(question.keeper.zone.as_str(), "a1");
+fn the_keeper_of_the_own_zone_is_queried_first() {
+    let query = queried(requester().start(request(1), all_reachable, 0));
+    assert_eq!(query.keeper.zone.as_str(), "a1");
 }
 
 #[test]
-fn a_keeper_that_does_not_answer_is_passed_over_and_asked_last_for_a_while() {
-    let mut desk = desk();
-    let first = asked(desk.start(request(1), anyone, 0));
-    let second = asked(desk.on_reply_timeout(first.ticket, &first.keeper, anyone, 30_000));
+fn an_unresponsive_keeper_is_skipped_and_queried_last_for_a_while() {
+    let mut requester = requester();
+    let first = queried(requester.start(request(1), all_reachable, 0));
+    let second =
+        queried(requester.on_reply_timeout(first.ticket, &first.keeper, all_reachable, 30_000));
     assert_ne!(second.keeper, first.keeper);
     assert_eq!(second.unresponsive, vec![first.keeper.clone()], "nor is it handed on to it");
-    let other = asked(desk.start(request(2), anyone, 40_000));
+    let other = queried(requester.start(request(2), all_reachable, 40_000));
     assert_ne!(other.keeper, first.keeper);
-    let later = asked(desk.start(request(3), anyone, 2 * SECOND));
+    let later = queried(requester.start(request(3), all_reachable, 2 * SECOND));
     assert_eq!(later.keeper, first.keeper);
 }
 
 #[test]
-fn a_grant_that_comes_after_another_one_is_given_back_once() {
-    let mut desk = desk();
-    let first = asked(desk.start(request(1), anyone, 0));
-    let second = asked(desk.on_reply_timeout(first.ticket, &first.keeper, anyone, 30_000));
-    let settled = desk.on_reply(&answer(&second, QuotaVerdict::Granted), anyone, 31_000);
+fn a_second_grant_is_refunded_once() {
+    let mut requester = requester();
+    let first = queried(requester.start(request(1), all_reachable, 0));
+    let second =
+        queried(requester.on_reply_timeout(first.ticket, &first.keeper, all_reachable, 30_000));
+    let settled = requester.on_reply(&reply(&second, QuotaVerdict::Granted), all_reachable, 31_000);
     assert!(matches!(settled, RequesterAction::Settled(_, QuotaOutcome::Granted(_), _)));
-    let late = answer(&first, QuotaVerdict::Granted);
-    match desk.on_reply(&late, anyone, 90_000) {
-        RequesterAction::Refund(words) => assert_eq!(words[0].keeper, first.keeper),
+    let late = reply(&first, QuotaVerdict::Granted);
+    match requester.on_reply(&late, all_reachable, 90_000) {
+        RequesterAction::Refund(refunds) => assert_eq!(refunds[0].keeper, first.keeper),
         other => unreachable!("{other:?}"),
     }
-    assert_eq!(desk.on_reply(&late, anyone, 91_000), RequesterAction::Noop);
+    assert_eq!(requester.on_reply(&late, all_reachable, 91_000), RequesterAction::Noop);
 }
 
 #[test]
-fn a_grant_that_comes_twice_is_neither_used_twice_nor_given_back() {
-    let mut desk = desk();
-    let question = asked(desk.start(request(1), anyone, 0));
-    let granted = answer(&question, QuotaVerdict::Granted);
-    desk.on_reply(&granted, anyone, 1_000);
-    assert_eq!(desk.on_reply(&granted, anyone, 2_000), RequesterAction::Noop);
+fn a_duplicate_grant_is_neither_used_again_nor_refunded() {
+    let mut requester = requester();
+    let query = queried(requester.start(request(1), all_reachable, 0));
+    let granted = reply(&query, QuotaVerdict::Granted);
+    requester.on_reply(&granted, all_reachable, 1_000);
+    assert_eq!(requester.on_reply(&granted, all_reachable, 2_000), RequesterAction::Noop);
 }
 
 #[test]
-fn a_grant_is_usable_for_half_a_second_from_the_first_question() {
-    let mut desk = desk();
-    let first = asked(desk.start(request(1), anyone, 0));
-    let second = asked(desk.on_reply_timeout(first.ticket, &first.keeper, anyone, 30_000));
-    let step = desk.on_reply(&answer(&second, QuotaVerdict::Granted), anyone, 31_000);
-    let RequesterAction::Settled(_, QuotaOutcome::Granted(grant), _) = step else { unreachable!() };
+fn a_grant_is_usable_for_half_a_second_from_the_first_query() {
+    let mut requester = requester();
+    let first = queried(requester.start(request(1), all_reachable, 0));
+    let second =
+        queried(requester.on_reply_timeout(first.ticket, &first.keeper, all_reachable, 30_000));
+    let action = requester.on_reply(&reply(&second, QuotaVerdict::Granted), all_reachable, 31_000);
+    let RequesterAction::Settled(_, QuotaOutcome::Granted(grant), _) = action else {
+        unreachable!()
+    };
     assert!(grant.is_usable(499_999) && !grant.is_usable(500_000));
     assert_eq!(grant.into_refunds()[0].keeper, second.keeper);
 }
 
 #[test]
-fn a_node_that_can_ask_nobody_says_so_at_once() {
-    let step = desk().start(request(1), |_| false, 0);
-    assert!(matches!(step, RequesterAction::Settled(_, QuotaOutcome::Unreachable, _)));
+fn a_node_without_reachable_keepers_settles_at_once() {
+    let action = requester().start(request(1), |_| false, 0);
+    assert!(matches!(action, RequesterAction::Settled(_, QuotaOutcome::Unreachable, _)));
 }
 
 #[test]
-fn a_node_that_nobody_answers_gives_up_in_time() {
-    let mut desk = desk();
-    let mut question = asked(desk.start(request(1), anyone, 0));
-    let mut questions = 1;
+fn a_node_without_replies_gives_up_in_time() {
+    let mut requester = requester();
+    let mut query = queried(requester.start(request(1), all_reachable, 0));
+    let mut queries = 1;
     for now_us in (30_000..).step_by(30_000) {
-        match desk.on_reply_timeout(question.ticket, &question.keeper, anyone, now_us) {
-            RequesterAction::Query(next, _) => question = next,
+        match requester.on_reply_timeout(query.ticket, &query.keeper, all_reachable, now_us) {
+            RequesterAction::Query(next, _) => query = next,
             RequesterAction::Settled(_, QuotaOutcome::Unreachable, _) => break,
             other => unreachable!("{other:?}"),
         }
-        questions += 1;
+        queries += 1;
     }
-    assert_eq!(questions, 6);
-    assert_eq!(desk.pending_count(), 0);
+    assert_eq!(queries, 6);
+    assert_eq!(requester.pending_count(), 0);
 }
 
 #[test]
-fn one_that_is_no_keeper_is_not_asked_again_for_the_run() {
-    let mut desk = desk();
-    let first = asked(desk.start(request(1), anyone, 0));
-    let second = asked(desk.on_reply(&answer(&first, QuotaVerdict::NotKeeper), anyone, 1_000));
-    let third = asked(desk.on_reply(&answer(&second, QuotaVerdict::NotKeeper), anyone, 2_000));
-    let step = desk.on_reply(&answer(&third, QuotaVerdict::NotKeeper), anyone, 3_000);
-    assert!(matches!(step, RequesterAction::Settled(_, QuotaOutcome::Unreachable, _)));
+fn a_node_that_is_not_a_keeper_is_not_queried_again_for_the_run() {
+    let mut requester = requester();
+    let first = queried(requester.start(request(1), all_reachable, 0));
+    let second =
+        queried(requester.on_reply(&reply(&first, QuotaVerdict::NotKeeper), all_reachable, 1_000));
+    let third =
+        queried(requester.on_reply(&reply(&second, QuotaVerdict::NotKeeper), all_reachable, 2_000));
+    let action = requester.on_reply(&reply(&third, QuotaVerdict::NotKeeper), all_reachable, 3_000);
+    assert!(matches!(action, RequesterAction::Settled(_, QuotaOutcome::Unreachable, _)));
 }
 
 #[test]
-fn parts_that_were_paid_in_vain_are_given_back() {
-    let mut desk = desk();
-    let question = asked(desk.start(request(1), anyone, 0));
+fn unused_partial_charges_are_refunded() {
+    let mut requester = requester();
+    let query = queried(requester.start(request(1), all_reachable, 0));
     let payer = KeeperId { zone: ZoneId::new("a2"), number: 1 };
-    let mut refused = answer(&question, QuotaVerdict::Refused { wait_ms: 10 });
+    let mut refused = reply(&query, QuotaVerdict::Refused { wait_ms: 10 });
     refused.charged.push(payer.clone());
-    match desk.on_reply(&refused, anyone, 1_000) {
-        RequesterAction::Settled(_, QuotaOutcome::Refused { .. }, words) => {
-            assert_eq!(words[0].keeper, payer);
+    match requester.on_reply(&refused, all_reachable, 1_000) {
+        RequesterAction::Settled(_, QuotaOutcome::Refused { .. }, refunds) => {
+            assert_eq!(refunds[0].keeper, payer);
         }
         other => unreachable!("{other:?}"),
     }
 }
 
 #[test]
-fn a_grant_for_a_caller_that_has_gone_is_given_back() {
-    let mut desk = desk();
-    let question = asked(desk.start(request(1), anyone, 0));
-    desk.cancel(question.ticket, 500);
-    let step = desk.on_reply(&answer(&question, QuotaVerdict::Granted), anyone, 1_000);
-    assert!(matches!(step, RequesterAction::Refund(words) if words.len() == 1));
+fn a_grant_for_a_disconnected_client_is_refunded() {
+    let mut requester = requester();
+    let query = queried(requester.start(request(1), all_reachable, 0));
+    requester.cancel(query.ticket, 500);
+    let action = requester.on_reply(&reply(&query, QuotaVerdict::Granted), all_reachable, 1_000);
+    assert!(matches!(action, RequesterAction::Refund(refunds) if refunds.len() == 1));
 }
--- a/crates/serving/tests/quota_slots.rs
+++ b/crates/serving/tests/quota_slots.rs
@@ -39,7 +39,7 @@
 #[test_case(47_000, 3; "the smallest limit seen")]
 #[test_case(737_214, 3; "the largest limit seen")]
 #[test_case(100, 2; "a slot without room for a large request is none")]
-fn a_limit_has_as_many_slots_as_leave_room_for_a_large_request(rate: u64, slots: usize) {
+fn a_limit_has_as_many_slots_as_fit_a_large_request(rate: u64, slots: usize) {
     let bounds = if rate == 100 { QuotaBounds { slack: 80_000, ..BOUNDS } } else { BOUNDS };
     let keepers = keepers_of(&tenant(1), &tokens(rate), &bounds, &topology(1, 3));
     assert_eq!(keepers.len(), slots);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn without_told_zones_there_are_keepers_all_the_same() {
+fn without_configured_zones_there_are_still_keepers() {
     let topology = Topology::default();
     let keepers = keepers_of(&tenant(1), &tokens(737_214), &BOUNDS, &topology);
     assert_eq!(keepers.len(), 2);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_node_asks_its_own_zone_then_its_region_then_others() {
+fn a_node_queries_its_own_zone_then_its_region_then_others() {
     let topology = topology(2, 2);
     let keepers = all_keepers(&topology);
     let zone = ZoneId::new("b1");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn many_zones_have_many_slots_only_if_each_has_room() {
+fn many_zones_have_many_slots_only_if_each_fits_a_large_request() {
     let topology = topology(8, 4);
     let count = |rate| keepers_of(&tenant(1), &tokens(rate), &BOUNDS, &topology).len();
     assert!(count(47_000) < 8);
@@ -137,26 +137,29 @@
 }
 
 #[test]
-fn a_key_that_is_absent_is_tried_for_by_one_after_the_other() {
-    let first_try = |rank: usize| {
+fn candidates_attempt_to_claim_an_absent_key_one_after_the_other() {
+    let first_attempt = |rank: usize| {
         let mut candidacy = Candidacy::new();
         (0..100 * SECOND)
             .step_by(50_000)
             .find(|us| candidacy.decide(None, address(1), rank, *us) == CandidacyAction::Acquire)
     };
-    let tries: Vec<u64> = (0..5).map(|rank| first_try(rank).unwrap()).collect();
-    assert!(tries[0] >= 200_000);
-    assert!(tries.windows(2).all(|pair| pair[1] >= pair[0] + 250_000), "{tries:?}");
-    assert!(first_try(usize::MAX).unwrap() < 5 * SECOND, "the last one tries soon enough");
+    let attempts: Vec<u64> = (0..5).map(|rank| first_attempt(rank).unwrap()).collect();
+    assert!(attempts[0] >= 200_000);
+    assert!(attempts.windows(2).all(|pair| pair[1] >= pair[0] + 250_000), "{attempts:?}");
+    assert!(
+        first_attempt(usize::MAX).unwrap() < 5 * SECOND,
+        "the last candidate attempts it soon enough"
+    );
 }
 
 #[test]
-fn a_try_in_vain_is_not_repeated_at_once() {
+fn a_failed_attempt_is_not_repeated_at_once() {
     let mut candidacy = Candidacy::new();
-    let tries = (0..10 * SECOND)
+    let attempts = (0..10 * SECOND)
         .step_by(50_000)
         .filter(|now_us| candidacy.decide(None, address(1), 0, *now_us) != CandidacyAction::Wait);
-    assert_eq!(tries.count(), 10);
+    assert_eq!(attempts.count(), 10);
 }
 
 #[test]
@@ -164,20 +167,20 @@
     let mut candidacy = Candidacy::new();
     let key = KeeperKey { holder: address(2), revision: StoreRevision::without_era(7) };
     for now_us in (0..10 * SECOND).step_by(50_000) {
-        let step = candidacy.decide(Some(&key), address(1), 0, now_us);
-        assert_eq!(step, CandidacyAction::Wait);
+        let action = candidacy.decide(Some(&key), address(1), 0, now_us);
+        assert_eq!(action, CandidacyAction::Wait);
     }
 }
 
 #[test]
-fn a_process_that_starts_anew_takes_over_the_key_of_the_one_before_at_once() {
+fn a_restarted_process_takes_over_its_previous_key_at_once() {
     let key = KeeperKey { holder: address(1), revision: StoreRevision::without_era(7) };
-    let step = Candidacy::new().decide(Some(&key), address(1), 5, 0);
-    assert_eq!(step, CandidacyAction::TakeOver { revision: StoreRevision::without_era(7) });
+    let action = Candidacy::new().decide(Some(&key), address(1), 5, 0);
+    assert_eq!(action, CandidacyAction::TakeOver { revision: StoreRevision::without_era(7) });
 }
 
 #[test]
-fn a_term_ends_before_the_lease_counted_from_the_sending_of_its_renewal() {
+fn a_term_ends_before_the_lease_counted_from_sending_its_renewal() {
     let ttl_us = 15 * SECOND;
     let mut term = KeeperTerm::new(StoreRevision::without_era(7), 2 * SECOND, 6 * SECOND, ttl_us);
     assert_eq!(term.started_at_us(), 6 * SECOND);
--- a/crates/serving/tests/specification/quota.rs
+++ b/crates/serving/tests/specification/quota.rs
@@ -7,11 +7,11 @@
 
 const NODES: usize = 2;
 /// Ticks of a window.
-const WINDOW: u8 = 3;
+const WINDOW_TICKS: u8 = 3;
 /// Ticks within which a grant is used.
-const GRANT_LIFE: u8 = 1;
+const GRANT_TTL_TICKS: u8 = 1;
 /// Runs whose grants are followed one by one; others are used at once.
-const TRACKED: usize = 2;
+const TRACKED_RUNS: usize = 2;
 
 /// What the slot may have, before and after the limit was lowered. Allowed are the burst, the debt,
 /// and the refill of the window and a grant's life.
@@ -40,40 +40,40 @@
     /// A new holder begins with all of the debt.
     pub empty_start: bool,
     /// A holder's own time ends no later than the store's.
-    pub time_from_sending: bool,
+    pub term_from_send_time: bool,
     /// The key is taken only while it is absent, or by the address that wrote it.
-    pub take_if_absent: bool,
+    pub create_if_absent: bool,
     /// A grant is used in time or not at all.
-    pub grants_lapse: bool,
+    pub grants_expire: bool,
     /// A grant that comes twice is used once.
     pub used_once: bool,
     /// A grant is either used or given back.
-    pub used_or_returned: bool,
+    pub used_or_refunded: bool,
     /// What is given back twice counts once.
-    pub returned_once: bool,
+    pub refunded_once: bool,
     /// A holder takes back only what it granted itself.
     pub own_grants_only: bool,
     /// What a full bucket would have lost is not given back.
-    pub room_since_grant: bool,
+    pub headroom_since_grant: bool,
     /// Two that are given back share the room.
-    pub shared_room: bool,
+    pub shared_headroom: bool,
     /// A lower limit cuts the level at once.
-    pub cut_at_once: bool,
+    pub cap_at_once: bool,
 }
 
 impl Safeguards {
     pub const ALL: Self = Self {
         empty_start: true,
-        time_from_sending: true,
-        take_if_absent: true,
-        grants_lapse: true,
+        term_from_send_time: true,
+        create_if_absent: true,
+        grants_expire: true,
         used_once: true,
-        used_or_returned: true,
-        returned_once: true,
+        used_or_refunded: true,
+        refunded_once: true,
         own_grants_only: true,
-        room_since_grant: true,
-        shared_room: true,
-        cut_at_once: true,
+        headroom_since_grant: true,
+        shared_headroom: true,
+        cap_at_once: true,
     };
 }
 
@@ -82,7 +82,7 @@
     level: i8,
     is_low: bool,
     /// Least room below a full bucket since each tracked run was granted here.
-    remembered: [Option<i8>; TRACKED],
+    min_headroom: [Option<i8>; TRACKED_RUNS],
 }
 
 /// A tracked run.
@@ -95,7 +95,7 @@
     /// Used; the word may come again.
     Used,
     /// So many words that give it back are on their way.
-    Returning(u8),
+    Refunding(u8),
     Over,
 }
 
@@ -103,7 +103,7 @@
 pub struct State {
     key: Option<u8>,
     holders: [Option<Holder>; NODES],
-    runs: [Run; TRACKED],
+    runs: [Run; TRACKED_RUNS],
     /// Ticks since the limit was lowered, as far as they matter.
     lowered: Option<u8>,
     /// Ticks of the window that have passed, and what arrived in it.
@@ -116,20 +116,20 @@
     pub fn is_violated(&self) -> bool {
         let Some(at) = self.window else { return false };
         // Grants of before have lapsed when the window begins.
-        let is_low = self.lowered.is_some_and(|since| since > at + GRANT_LIFE);
+        let is_low = self.lowered.is_some_and(|since| since > at + GRANT_TTL_TICKS);
         self.spent > share(is_low).allowed
     }
 
     /// The states that may follow, each once: which node and which run is which does not matter.
     pub fn next(&self, guards: Safeguards) -> Vec<Self> {
-        let mut states = self.all_next(guards);
+        let mut states = self.successors(guards);
         for state in &mut states {
-            state.put_in_order();
+            state.canonicalize();
         }
         states
     }
 
-    fn put_in_order(&mut self) {
+    fn canonicalize(&mut self) {
         if self.holders[0] > self.holders[1] {
             self.holders.swap(0, 1);
             self.key = self.key.map(|node| 1 - node);
@@ -137,12 +137,12 @@
         if self.runs[0] > self.runs[1] {
             self.runs.swap(0, 1);
             for holder in self.holders.iter_mut().flatten() {
-                holder.remembered.swap(0, 1);
+                holder.min_headroom.swap(0, 1);
             }
         }
     }
 
-    fn all_next(&self, guards: Safeguards) -> Vec<Self> {
+    fn successors(&self, guards: Safeguards) -> Vec<Self> {
         let mut states = Vec::new();
         if self.is_violated() {
             return states;
@@ -151,7 +151,7 @@
             self.key_steps(node, guards, &mut states);
             self.grant_steps(node, &mut states);
         }
-        for run in 0..TRACKED {
+        for run in 0..TRACKED_RUNS {
             self.run_steps(run, guards, &mut states);
         }
         self.time_steps(guards, &mut states);
@@ -162,26 +162,27 @@
         let is_held = self.holders[node].is_some();
         // A node that starts anew at the address that wrote the key takes it over.
         let may_take = self.key.is_none() || self.key == Some(node as u8);
-        if !is_held && (may_take || !guards.take_if_absent) {
+        if !is_held && (may_take || !guards.create_if_absent) {
             let mut taken = self.clone();
             taken.key = Some(node as u8);
             let is_low = self.lowered.is_some();
             let share = share(is_low);
             let level = if guards.empty_start { -share.debt } else { share.burst };
-            taken.holders[node] = Some(Holder { level, is_low, remembered: [None; TRACKED] });
+            taken.holders[node] =
+                Some(Holder { level, is_low, min_headroom: [None; TRACKED_RUNS] });
             states.push(taken);
         }
         if is_held {
             // It crashes, or its time is over and it has forgotten all.
-            let mut gone = self.clone();
-            gone.holders[node] = None;
-            states.push(gone);
+            let mut lost = self.clone();
+            lost.holders[node] = None;
+            states.push(lost);
         }
-        let is_believed = is_held && guards.time_from_sending;
-        if self.key == Some(node as u8) && !is_believed {
-            let mut lapsed = self.clone();
-            lapsed.key = None;
-            states.push(lapsed);
+        let is_term_valid = is_held && guards.term_from_send_time;
+        if self.key == Some(node as u8) && !is_term_valid {
+            let mut expired = self.clone();
+            expired.key = None;
+            states.push(expired);
         }
     }
 
@@ -194,12 +195,12 @@
         let mut used = self.clone();
         used.holders[node] = Some(Holder { level: holder.level - 1, ..holder });
         let mut tracked = used.clone();
-        used.arrive();
+        used.record_arrival();
         states.push(used);
         if let Some(run) = self.runs.iter().position(|run| *run == Run::Idle) {
             tracked.runs[run] = Run::Granted(0);
             if let Some(holder) = &mut tracked.holders[node] {
-                holder.remembered[run] = Some(share.burst - holder.level);
+                holder.min_headroom[run] = Some(share.burst - holder.level);
             }
             states.push(tracked);
         }
@@ -210,60 +211,60 @@
             let mut state = self.clone();
             state.set_run(run, next);
             if arrives {
-                state.arrive();
+                state.record_arrival();
             }
             states.push(state);
         };
         match self.runs[run] {
             Run::Idle | Run::Over => {}
             Run::Granted(age) => {
-                if age <= GRANT_LIFE || !guards.grants_lapse {
+                if age <= GRANT_TTL_TICKS || !guards.grants_expire {
                     with(Run::Used, true);
-                    if !guards.used_or_returned {
-                        with(Run::Returning(1), true);
+                    if !guards.used_or_refunded {
+                        with(Run::Refunding(1), true);
                     }
                 }
-                with(Run::Returning(2), false);
+                with(Run::Refunding(2), false);
                 // The answer is lost.
                 with(Run::Over, false);
             }
             Run::Used => with(Run::Over, !guards.used_once),
-            Run::Returning(words) => {
+            Run::Refunding(messages) => {
                 // A word is lost.
-                with(Run::Returning(words - 1), false);
+                with(Run::Refunding(messages - 1), false);
                 for node in 0..NODES {
-                    self.return_step(run, node, words, guards, states);
+                    self.refund_step(run, node, messages, guards, states);
                 }
             }
         }
     }
 
-    fn return_step(
+    fn refund_step(
         &self,
         run: usize,
         node: usize,
-        words: u8,
+        messages: u8,
         guards: Safeguards,
         states: &mut Vec<Self>,
     ) {
         let Some(holder) = self.holders[node] else { return };
         let burst = share(holder.is_low).burst;
-        let room = holder.remembered[run].or((!guards.own_grants_only).then_some(burst));
-        let Some(room) = room else { return };
-        let units = if guards.room_since_grant { room.clamp(0, 1) } else { 1 };
+        let headroom = holder.min_headroom[run].or((!guards.own_grants_only).then_some(burst));
+        let Some(headroom) = headroom else { return };
+        let units = if guards.headroom_since_grant { headroom.clamp(0, 1) } else { 1 };
         let mut state = self.clone();
         let level = (holder.level + units).min(burst);
-        let left = |least: i8| match (guards.shared_room, units) {
-            (true, 1) => (least - 1).min(burst - level),
+        let left = |recorded: i8| match (guards.shared_headroom, units) {
+            (true, 1) => (recorded - 1).min(burst - level),
             (true, _) => 0,
-            (false, _) => least.min(burst - level),
+            (false, _) => recorded.min(burst - level),
         };
-        let mut remembered = holder.remembered.map(|least| least.map(left));
-        if guards.returned_once {
-            remembered[run] = None;
+        let mut min_headroom = holder.min_headroom.map(|recorded| recorded.map(left));
+        if guards.refunded_once {
+            min_headroom[run] = None;
         }
-        state.holders[node] = Some(Holder { level, remembered, ..holder });
-        state.set_run(run, Run::Returning(words - 1));
+        state.holders[node] = Some(Holder { level, min_headroom, ..holder });
+        state.set_run(run, Run::Refunding(messages - 1));
         states.push(state);
     }
 
@@ -276,16 +277,17 @@
             lowered.lowered = Some(0);
             for holder in lowered.holders.iter_mut().flatten() {
                 holder.is_low = true;
-                if guards.cut_at_once {
+                if guards.cap_at_once {
                     holder.level = holder.level.min(LOW.burst);
                 }
-                let room = LOW.burst - holder.level;
-                holder.remembered =
-                    holder.remembered.map(|least| least.map(|least| least.min(room)));
+                let headroom = LOW.burst - holder.level;
+                holder.min_headroom = holder
+                    .min_headroom
+                    .map(|recorded| recorded.map(|recorded| recorded.min(headroom)));
             }
             states.push(lowered);
         }
-        if self.window != Some(WINDOW) {
+        if self.window != Some(WINDOW_TICKS) {
             states.push(self.tick(guards));
         }
     }
@@ -294,35 +296,37 @@
         let mut passed = self.clone();
         for holder in passed.holders.iter_mut().flatten() {
             let share = share(holder.is_low);
-            let cap = if guards.cut_at_once { share.burst } else { HIGH.burst };
+            let cap = if guards.cap_at_once { share.burst } else { HIGH.burst };
             holder.level = (holder.level + share.refill).min(cap);
-            let room = share.burst - holder.level;
-            holder.remembered = holder.remembered.map(|least| least.map(|least| least.min(room)));
+            let headroom = share.burst - holder.level;
+            holder.min_headroom =
+                holder.min_headroom.map(|recorded| recorded.map(|recorded| recorded.min(headroom)));
         }
         for run in &mut passed.runs {
             *run = match *run {
-                Run::Granted(age) => Run::Granted((age + 1).min(GRANT_LIFE + 1)),
+                Run::Granted(age) => Run::Granted((age + 1).min(GRANT_TTL_TICKS + 1)),
                 other => other,
             };
         }
         // Runs granted by the old limit may still arrive until their grants have lapsed.
-        passed.lowered = self.lowered.map(|since| (since + 1).min(WINDOW + GRANT_LIFE + 2));
+        passed.lowered =
+            self.lowered.map(|since| (since + 1).min(WINDOW_TICKS + GRANT_TTL_TICKS + 2));
         passed.window = self.window.map(|at| at + 1);
         passed
     }
 
     fn set_run(&mut self, run: usize, next: Run) {
-        let is_over = matches!(next, Run::Over | Run::Used | Run::Returning(0));
-        self.runs[run] = if next == Run::Returning(0) { Run::Over } else { next };
+        let is_over = matches!(next, Run::Over | Run::Used | Run::Refunding(0));
+        self.runs[run] = if next == Run::Refunding(0) { Run::Over } else { next };
         if is_over {
             // Nothing of it is given back any more.
             for holder in self.holders.iter_mut().flatten() {
-                holder.remembered[run] = None;
+                holder.min_headroom[run] = None;
             }
         }
     }
 
-    fn arrive(&mut self) {
+    fn record_arrival(&mut self) {
         self.spent += i8::from(self.window.is_some());
     }
 }
