--- a/crates/serving/src/quota_keeper.rs
+++ b/crates/serving/src/quota_keeper.rs
@@ -214,7 +214,8 @@
         let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
-        // Partial charges that do not cover the cost are refunded, so they do not count as available.
+        // Partial charges that do not cover the cost are refunded, so they do not count as
+        // available.
         let available_units =
             query.available_units.min(i64::try_from(demand.cost).unwrap_or(i64::MAX));
         let wait_us = bucket.schedule_retry(demand, available_units, query.tried.len(), now_us);
--- a/crates/serving/tests/quota_bucket.rs
+++ b/crates/serving/tests/quota_bucket.rs
@@ -1,4 +1,5 @@
-//! One slot of a tenant's limit, and the sum over slots and their holders.
+//! Tests of the bucket of one slot, and of the total over all slots of a tenant and their
+//! successive holders.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::quota::{QuotaBounds, QuotaUnit, TenantLimit};
@@ -24,13 +25,13 @@
     Bucket::new(limit, 1, SlotShare::new(&limit, &BOUNDS, slots), since_us, now_us)
 }
 
-/// What may run in a window.
+/// The cost that may run in a window.
 fn allowed(limit: &TenantLimit, bounds: &QuotaBounds) -> f64 {
     let within = limit.rate_per_s as f64 * bounds.window_us as f64 / SECOND as f64;
     (within + limit.burst as f64) * (1.0 + bounds.overage) + bounds.slack as f64
 }
 
-/// Takes runs of one cost until one is refused; returns the units.
+/// Charges runs of one cost until one is refused, and returns the units charged.
 fn drain(bucket: &mut Bucket, first: u64, cost: u64, now_us: u64) -> u64 {
     (first..).take_while(|number| bucket.try_charge(&demand(*number, cost, 0), now_us)).count()
         as u64
@@ -87,13 +88,15 @@
     let mut bucket = bucket(limit(47_000), SLOTS, 0, 60 * SECOND);
     let full = bucket.level_units();
     assert!(bucket.try_charge(&demand(1, 5_000, 0), 60 * SECOND));
-    // Refilled meanwhile: without the first run it would have been full all the time.
+    // The bucket has refilled in the meantime: without the first run it would have been full
+    // throughout.
     assert!(bucket.try_charge(&demand(2, 5_000, 0), 61 * SECOND));
     bucket.refund(demand(1, 0, 0).ticket, 61 * SECOND);
     assert_eq!(bucket.level_units(), full - 5_000);
 }
 
-/// Found by the model checker: each of two had room enough, both together had not.
+/// Two refunds must not both use the same headroom. Each of them fitted below a full bucket alone,
+/// but together they exceeded it. The model checker found this case.
 #[test]
 fn two_refunds_share_the_headroom() {
     let high = limit(470_000);
@@ -101,14 +104,15 @@
     let full = bucket.level_units();
     assert!(bucket.try_charge(&demand(1, 60_000, 0), 60 * SECOND));
     assert!(bucket.try_charge(&demand(2, 60_000, 0), 60 * SECOND));
-    // The limit is lowered: with the two the bucket lacks 60,000 of being full.
+    // The limit is lowered. With the two runs charged, the bucket is 60,000 below full.
     let lower = TenantLimit { burst: 3 * (full as u64 - 60_000), ..high };
     bucket.set_limit(lower, 2, SlotShare::new(&lower, &BOUNDS, SLOTS), 60 * SECOND);
     assert!(bucket.try_charge(&demand(3, 20_000, 0), 60 * SECOND));
     bucket.refund(demand(1, 0, 0).ticket, 60 * SECOND);
     assert!(bucket.try_charge(&demand(4, 50_000, 0), 60 * SECOND));
     bucket.refund(demand(2, 0, 0).ticket, 60 * SECOND);
-    // Without the two it would have been full then, and 70,000 were taken since.
+    // Without the two runs, the bucket would have been full at that time, and 70,000 were charged
+    // since.
     assert!(bucket.level_units() <= full - 60_000 - 70_000);
 }
 
@@ -139,8 +143,8 @@
     assert!(bucket.try_charge(&demand(1, 200, 2), 60 * SECOND));
 }
 
-/// Requests of 8,000 tokens come far faster than the limit, and one of 60,000 comes back whenever
-/// it was told to.
+/// Requests of 8,000 tokens arrive far faster than the limit permits, and one of 60,000 tokens
+/// retries after each wait that it is given.
 #[test]
 fn a_large_run_is_granted_after_few_retries_under_constant_load() {
     let limit = limit(470_000);
@@ -200,7 +204,10 @@
     let demand = demand(2_000, 30_000, 0);
     let room = bucket.available_units(&demand, 60 * SECOND);
     let wait_us = bucket.schedule_retry(&demand, room, 1, 60 * SECOND);
-    assert!(!bucket.try_charge(&demand, 60 * SECOND + wait_us / 2), "long before its turn");
+    assert!(
+        !bucket.try_charge(&demand, 60 * SECOND + wait_us / 2),
+        "retried long before the end of its wait"
+    );
     assert!(bucket.try_charge(&demand, 60 * SECOND + wait_us));
 }
 
@@ -222,7 +229,7 @@
     assert!(bucket.is_idle(69 * SECOND));
 }
 
-/// 2,300 tenants at one keeper take no more than 600 kB.
+/// With 2,300 tenants at one keeper, buckets of this size take at most 600 kB.
 #[test]
 fn a_bucket_fits_in_256_bytes() {
     assert!(std::mem::size_of::<Bucket>() <= 256, "{}", std::mem::size_of::<Bucket>());
@@ -230,11 +237,11 @@
 
 #[derive(Clone, Debug)]
 enum Operation {
-    /// A run is asked for; it arrives so long after, or is given back then.
+    /// One slot is queried for a run, which arrives or is refunded after `after_us`.
     Single { slot: usize, cost: u64, priority: u8, is_used: bool, after_us: u64 },
-    /// All slots pay for it together.
+    /// All slots together charge for a run.
     Split { cost: u64, is_used: bool, after_us: u64 },
-    /// The holder of a slot is lost and another one begins.
+    /// The holder of a slot is lost and a new one starts.
     ReplaceHolder { slot: usize },
 }
 
@@ -258,7 +265,7 @@
     ]
 }
 
-/// The slots of a tenant, with what is on its way.
+/// The slots of a tenant, with the runs and refunds in transit.
 struct Simulation {
     limit: TenantLimit,
     bounds: QuotaBounds,
@@ -267,7 +274,8 @@
     number: u64,
     arrivals: Vec<(u64, u64)>,
     returns: Vec<(u64, usize, Ticket)>,
-    /// What each holder paid for runs that were used; holders by slot and start.
+    /// The charges of runs that were sent, as (time, units), for each holder; a holder is
+    /// identified by its slot and its start.
     used_grants: BTreeMap<(usize, u64), Vec<(u64, u64)>>,
     started_at_us: [u64; SLOTS],
 }
@@ -330,14 +338,14 @@
             }
             return;
         }
-        // Each word of it comes twice.
+        // Each refund is delivered twice.
         for (slot, _) in parts.iter().chain(parts) {
             self.returns.push((at_us, *slot, demand.ticket));
         }
     }
 
-    /// The most by which a holder has paid more, between any two of its grants, than its burst,
-    /// its debt and its refill; and, from its start, than its refill.
+    /// The maximum by which a holder's charges exceed its bounds: burst, debt and refill between
+    /// any two of its grants, and the refill alone during the window after its start.
     fn max_overspend(&self) -> i64 {
         let share = SlotShare::new(&self.limit, &self.bounds, SLOTS);
         let mut max_overspend = i64::MIN;
@@ -374,7 +382,7 @@
         self.now_us = until_us;
     }
 
-    /// The fullest window, as a share of what is allowed.
+    /// The largest cost in any window, as a share of the allowed cost.
     fn max_usage(&mut self) -> f64 {
         self.arrivals.sort_unstable();
         let (mut first, mut sum, mut max_usage) = (0, 0, 0);
@@ -391,8 +399,8 @@
 }
 
 proptest! {
-    /// Whatever is asked, used, given back (twice), and whichever holders follow each other; far
-    /// more is asked for than the limit.
+    /// The bound holds for any sequence of queries, uses, duplicate refunds and holder changes,
+    /// with a demand far above the limit.
     #[test]
     fn no_window_exceeds_the_allowed_cost(
         rate in 1_000_u64..60_000,
@@ -409,12 +417,13 @@
         }
         let max_usage = simulation.max_usage();
         prop_assert!(max_usage <= 1.0, "{max_usage}");
-        // A millionth is lost in rounding, now and then.
+        // Rounding may lose a millionth.
         let max_overspend = simulation.max_overspend();
         prop_assert!(max_overspend <= 1, "a holder overspent {max_overspend} millionths");
     }
 
-    /// What may be asked for at any time, for any limits and bounds, is within what is allowed.
+    /// Whatever the limit and the bounds, all slots together cannot spend more than the allowed
+    /// cost in a window.
     #[test]
     fn shares_of_any_limit_stay_within_the_allowed_cost(
         rate in 1_u64..2_000_000_000,
@@ -430,13 +439,15 @@
         prop_assert!(share.burst >= 0 && share.debt >= 0 && share.total_refill_per_s >= 0);
         let total = |micros: i64| micros as f64 / 1e6 * slots as f64;
         let refill = share.total_refill_per_s as f64 * (window_us + GRANT_TTL_US) as f64 / 1e12;
-        // However many holders follow each other: the later ones begin with nothing.
+        // This holds for any number of successive holders, since the later ones start with nothing
+        // to spend.
         let max = total(share.burst) + total(share.debt) + refill;
         prop_assert!(max <= allowed(&limit, &bounds) * (1.0 + 1e-9) + 1e-3, "{max}");
     }
 }
 
-/// Holders that are lost as often as possible while all asks are for as much as there is.
+/// Holders are replaced at various intervals, down to 250 ms, while the demand uses up all that is
+/// available.
 #[test]
 fn frequent_holder_changes_stay_within_the_bound() {
     for interval_us in [250_000, SECOND, 3 * SECOND, 7 * SECOND, 9 * SECOND, 30 * SECOND] {
@@ -456,7 +467,7 @@
             simulation.advance(10_000);
         }
         let max_usage = simulation.max_usage();
-        println!("lost every {interval_us} us: {max_usage:.3} of what is allowed");
+        println!("holders replaced every {interval_us} us: {max_usage:.3} of the allowed cost");
         assert!(max_usage <= 1.0);
     }
 }
--- a/crates/serving/tests/quota_comparison.rs
+++ b/crates/serving/tests/quota_comparison.rs
@@ -1,5 +1,5 @@
-//! Ways to split a tenant's limit, played on the same requests: what runs above the bound, what
-//! is refused below the limit, and what asking costs.
+//! Compares strategies for splitting a tenant's limit on the same simulated requests: cost above
+//! the bound, refusals below the limit, and the messages and delays of queries.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::quota::{QuotaBounds, QuotaUnit, TenantLimit};
@@ -13,24 +13,25 @@
 const SECOND: u64 = 1_000_000;
 const BOUNDS: QuotaBounds = QuotaBounds { window_us: 8 * SECOND, overage: 0.1, slack: 190_000 };
 const ZONES: usize = 3;
-/// One way within a zone and between zones, microseconds.
+/// One-way delay within a zone and between zones, microseconds.
 const IN_ZONE_US: u64 = 200;
 const CROSS_ZONE_US: u64 = 900;
-/// Length of a play, after the holders' first two windows.
+/// Time before the first request, two windows in which the holders refill, and duration of the
+/// requests after it.
 const WARM_UP_US: u64 = 16 * SECOND;
 const DURATION_US: u64 = 120 * SECOND;
-/// Time until the lease of a killed holder has run out and another one has begun.
+/// Time until the lease of a killed holder has expired and another node has taken over.
 const TAKEOVER_US: u64 = 12 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Strategy {
     /// Every node has an equal share.
     EachNode,
-    /// One slot a tenant.
+    /// One slot per tenant.
     OneSlot,
-    /// A slot a zone, each asked by its own zone only.
+    /// One slot per zone, queried only by the nodes of that zone.
     OwnZone,
-    /// A slot a zone, questions handed on.
+    /// One slot per zone; queries are forwarded to the other slots.
     HandedOn,
 }
 
@@ -47,11 +48,11 @@
     nodes: usize,
     tenants: usize,
     idle: usize,
-    /// What the tenants send, as a share of their limits.
+    /// Demand of the tenants as a share of their limits.
     load: f64,
-    /// Times which the first tenant sends its usual.
+    /// Factor by which the first tenant exceeds its usual demand.
     hot_factor: f64,
-    /// Whether a holder of a slot of each tenant is killed once.
+    /// Whether the holder of one slot of each tenant is killed once.
     has_holder_loss: bool,
     seed: u64,
 }
@@ -61,7 +62,7 @@
     offered: f64,
     refused: f64,
     refused_below_limit: f64,
-    /// The largest sum of a window over its bound.
+    /// The largest cost in any window, as a share of its bound.
     max_usage: f64,
     over_bound: f64,
     requests: f64,
@@ -73,7 +74,7 @@
     TenantLimit { rate_per_s, burst: rate_per_s, unit: QuotaUnit::Tokens, plain_tokens: 200 }
 }
 
-/// Limits from 47,000 to 737,214 tokens a second, a few of them large.
+/// Limits from 47,000 to 737,214 tokens per second, only a few of them large.
 fn limits(scenario: &Scenario) -> Vec<TenantLimit> {
     let active = scenario.tenants - scenario.idle;
     (0..scenario.tenants)
@@ -84,7 +85,8 @@
         .collect()
 }
 
-/// A request's tokens: four kinds, long ones spread about their mean up to 93,000.
+/// Tokens of a request, of one of four kinds. Long requests are spread around their mean, up to
+/// 93,000.
 fn cost(random: &mut ChaCha8Rng) -> u64 {
     let spread = |random: &mut ChaCha8Rng, mean: f64| {
         let normal: f64 = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
@@ -97,7 +99,7 @@
         _ => 200,
     }
 }
-/// Mean of it.
+/// Mean of [`cost`].
 const MEAN_COST: f64 = 5_400.0;
 
 fn requests(scenario: &Scenario, limits: &[TenantLimit]) -> Vec<Request> {
@@ -140,14 +142,14 @@
         Self { buckets: (0..count).map(slot).collect(), limit, first_zone: tenant % ZONES }
     }
 
-    /// A holder is killed; there is none until another one has begun.
+    /// Kills a holder. The slot has no holder until another node has taken over.
     fn replace_holder(&mut self, slot: usize, now_us: u64) {
         let count = self.buckets.len();
         let since_us = now_us + TAKEOVER_US;
         self.buckets[slot] = bucket(&self.limit, count, since_us, since_us);
     }
 
-    /// Slots in the order in which a node asks them.
+    /// The slots in the order in which a node queries them.
     fn order(&self, strategy: Strategy, node: usize) -> Vec<usize> {
         let own = (node + self.first_zone) % ZONES;
         match strategy {
@@ -164,7 +166,7 @@
     Bucket::new(*limit, 1, share, since_us, now_us)
 }
 
-/// An exact bucket over all nodes: what it lets in is below the limit.
+/// A single exact bucket for all nodes, which defines the requests that are within the limit.
 struct ReferenceBucket {
     level: f64,
     at_us: u64,
@@ -176,7 +178,7 @@
         self.at_us = request.at_us;
         let burst = limit.burst as f64;
         self.level = (self.level + passed_s * limit.rate_per_s as f64).min(burst);
-        // What is larger than the burst is let in when it is full.
+        // A request that costs more than the burst is granted when the bucket is full.
         let grants = self.level >= (request.cost as f64).min(burst);
         if grants {
             self.level -= request.cost as f64;
@@ -185,14 +187,14 @@
     }
 }
 
-/// One way played on one scene.
+/// The simulation of one strategy in one scenario.
 struct Simulation {
     strategy: Strategy,
     limits: Vec<TenantLimit>,
     slots: Vec<Slots>,
     reference: Vec<ReferenceBucket>,
     runs: Vec<Vec<(u64, u64)>>,
-    /// When a holder of each tenant is killed.
+    /// Time at which a holder of each tenant is killed.
     loss_at_us: Option<u64>,
     results: Results,
 }
@@ -249,7 +251,8 @@
         }
     }
 
-    /// Asks the slots in order; returns whether the run is paid for, and when that is known.
+    /// Queries the slots in order. Returns whether the run is granted, and the time at which this
+    /// is known.
     fn query(&mut self, request: &Request, demand: &Demand, order: &[usize]) -> (bool, u64) {
         let mut at_us = request.at_us;
         let mut available_units = 0;
@@ -299,7 +302,7 @@
         left == 0
     }
 
-    /// Counts a word; returns the time it takes.
+    /// Counts a message and returns its delay.
     fn message_delay(&mut self, is_own: bool) -> u64 {
         if self.strategy == Strategy::EachNode {
             return 0;
@@ -337,7 +340,7 @@
     simulation.finish()
 }
 
-/// The largest sum over a window.
+/// The largest cost in any window.
 fn max_window_cost(runs: &[(u64, u64)]) -> f64 {
     let (mut first, mut sum, mut max_usage) = (0, 0, 0);
     for (at_us, cost) in runs {
@@ -381,7 +384,8 @@
 const ALL_STRATEGIES: [Strategy; 4] =
     [Strategy::EachNode, Strategy::OneSlot, Strategy::OwnZone, Strategy::HandedOn];
 
-/// Plays all ways on one scene; their figures in the order of the ways.
+/// Simulates all strategies in one scenario and returns their results in the order of
+/// [`ALL_STRATEGIES`].
 fn compare(name: &str, scenario: &Scenario) -> [Results; 4] {
     ALL_STRATEGIES.map(|strategy| {
         let results = simulate(strategy, scenario);
--- a/crates/serving/tests/quota_failures.rs
+++ b/crates/serving/tests/quota_failures.rs
@@ -1,5 +1,5 @@
-//! What the failures of nodes, links, the store and the configuration do to a tenant's limit: no
-//! window holds more than is allowed, and what is lost is bounded.
+//! Failures of nodes, links and the store, and changes of the configuration: no window exceeds the
+//! allowed cost, and the share of refused requests is bounded.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod quota_fleet;
@@ -10,7 +10,7 @@
 const RATES: [u64; 4] = [47_000, 120_000, 300_000, 737_214];
 const FAULT_AT_US: u64 = 30 * SECOND;
 const END_US: u64 = 70 * SECOND;
-/// What tenants usually send, and far too much.
+/// Usual demand and overload, as a multiple of the limits.
 const USUAL_LOAD: f64 = 0.56;
 const OVERLOAD: f64 = 3.0;
 
@@ -22,8 +22,8 @@
     fleet.run()
 }
 
-/// The fullest window over what is allowed by limits that are so many times the first ones, and
-/// the most units above that.
+/// The largest cost in any window that starts within `starts`, relative to what the initial limits
+/// multiplied by `factor` allow, and the maximum number of units above that.
 fn max_usage(results: &Results, factor: f64, starts: std::ops::Range<u64>) -> (f64, f64) {
     let mut worst = (0.0_f64, 0.0_f64);
     for (rate, arrivals) in RATES.iter().zip(&results.arrivals) {
@@ -51,19 +51,20 @@
     (0..NODES).collect()
 }
 
-/// The rows of the failures, with the most that may be lost at usual load.
+/// The faults of a scenario, the share of messages that are lost, and the maximum share of the
+/// usual demand that may be refused.
 fn scenario(name: &str) -> (Vec<(u64, Fault)>, f64, f64) {
     let at = |fault| vec![(FAULT_AT_US, fault)];
     let first = vec![holders()[0]];
     match name {
         "nothing" => (vec![], 0.0, 0.001),
-        "a holder is killed and back after 2 s" => {
+        "a holder is killed and restarts after 2 s" => {
             (at(Fault::Kill { nodes: first, back_after_us: Some(2 * SECOND) }), 0.0, 0.01)
         }
         "a holder is killed for good" => {
             (at(Fault::Kill { nodes: first, back_after_us: None }), 0.0, 0.02)
         }
-        "a holder is frozen and wakes" => {
+        "a holder is frozen and resumes" => {
             (at(Fault::Freeze { nodes: first, for_us: 4 * SECOND }), 0.0, 0.01)
         }
         "a holder is suspended for longer than its lease" => {
@@ -72,28 +73,28 @@
         "a holder is cut off from the store" => {
             (at(Fault::StoreUnreachable { nodes: first, for_us: 35 * SECOND }), 0.0, 0.02)
         }
-        "a holder is cut off from all" => {
+        "a holder is cut off from all nodes and the store" => {
             (at(Fault::Partition { nodes: first, for_us: 35 * SECOND }), 0.0, 0.06)
         }
         "a zone is cut off" => {
             (at(Fault::Partition { nodes: zone_0(), for_us: 10 * SECOND }), 0.0, 0.10)
         }
-        "all are killed at once and back" => {
+        "all nodes are killed at once and restart" => {
             (at(Fault::Kill { nodes: all_nodes(), back_after_us: Some(SECOND) }), 0.0, 0.10)
         }
-        "all are killed while the store is away" => {
+        "all nodes are killed while the store is unreachable" => {
             let mut faults = at(Fault::Kill { nodes: all_nodes(), back_after_us: Some(SECOND) });
             let away = Fault::StoreUnreachable { nodes: all_nodes(), for_us: 8 * SECOND };
             faults.push((FAULT_AT_US + SECOND + 1, away));
             (faults, 0.0, 0.25)
         }
-        "the store is away for all" => {
+        "the store is unreachable for 6 s" => {
             (at(Fault::StoreUnreachable { nodes: all_nodes(), for_us: 6 * SECOND }), 0.0, 0.01)
         }
-        "the store is away for 18 s" => {
+        "the store is unreachable for 18 s" => {
             (at(Fault::StoreUnreachable { nodes: all_nodes(), for_us: 18 * SECOND }), 0.0, 0.01)
         }
-        "the store is away for longer than a lease" => {
+        "the store is unreachable for longer than a lease" => {
             (at(Fault::StoreUnreachable { nodes: all_nodes(), for_us: 35 * SECOND }), 0.0, 0.25)
         }
         "two holders are killed for good" => {
@@ -108,32 +109,32 @@
             let half = (0..NODES / 2).collect();
             (at(Fault::Kill { nodes: half, back_after_us: Some(2 * SECOND) }), 0.0, 0.03)
         }
-        "a node knows nobody" => {
+        "a node knows no keeper" => {
             (at(Fault::NoKeepers { nodes: vec![1], for_us: 10 * SECOND }), 0.0, 0.03)
         }
-        "3 in 100 messages are lost and as many come twice" => (vec![], 0.03, 0.005),
+        "3 in 100 messages are lost and as many are duplicated" => (vec![], 0.03, 0.005),
         other => unreachable!("{other}"),
     }
 }
 
 #[test_case("nothing")]
-#[test_case("a holder is killed and back after 2 s")]
+#[test_case("a holder is killed and restarts after 2 s")]
 #[test_case("a holder is killed for good")]
-#[test_case("a holder is frozen and wakes")]
+#[test_case("a holder is frozen and resumes")]
 #[test_case("a holder is suspended for longer than its lease")]
 #[test_case("a holder is cut off from the store")]
-#[test_case("a holder is cut off from all")]
+#[test_case("a holder is cut off from all nodes and the store")]
 #[test_case("a zone is cut off")]
-#[test_case("all are killed at once and back")]
-#[test_case("all are killed while the store is away")]
-#[test_case("the store is away for all")]
-#[test_case("the store is away for 18 s")]
-#[test_case("the store is away for longer than a lease")]
+#[test_case("all nodes are killed at once and restart")]
+#[test_case("all nodes are killed while the store is unreachable")]
+#[test_case("the store is unreachable for 6 s")]
+#[test_case("the store is unreachable for 18 s")]
+#[test_case("the store is unreachable for longer than a lease")]
 #[test_case("two holders are killed for good")]
 #[test_case("half of the holders are killed for good")]
 #[test_case("half of the nodes are killed")]
-#[test_case("a node knows nobody")]
-#[test_case("3 in 100 messages are lost and as many come twice")]
+#[test_case("a node knows no keeper")]
+#[test_case("3 in 100 messages are lost and as many are duplicated")]
 fn the_limit_holds_with_bounded_losses_when(name: &str) {
     let (faults, loss, max_lost) = scenario(name);
     let overloaded = simulate(OVERLOAD, loss, &faults, 1);
@@ -155,8 +156,8 @@
         (FAULT_AT_US + SECOND, Fault::ChangeLimits { factor }),
     ];
     let results = simulate(OVERLOAD, 0.03, &faults, 3);
-    // Until all nodes have heard of it the larger one counts, and from one window after that the
-    // new one.
+    // Until all nodes have received the new limit, the larger one applies. The new one applies from
+    // one window later.
     let known_at_us = FAULT_AT_US + 4 * SECOND;
     let (before, over_before) = max_usage(&results, factor.max(1.0), 0..END_US);
     let (after, over_after) = max_usage(&results, factor, known_at_us + SECOND..END_US);
--- a/crates/serving/tests/quota_fleet/leases.rs
+++ b/crates/serving/tests/quota_fleet/leases.rs
@@ -1,4 +1,4 @@
-//! The store's keys and leases, and the nodes that take and renew them.
+//! The store's keys and leases, and the nodes that acquire and renew them.
 
 use super::*;
 
@@ -16,7 +16,7 @@
             return;
         }
         self.drop_lapsed_keys();
-        // A lease that has run out is granted anew, but its keys are gone.
+        // A node whose lease has expired gets a new one, but its keys are gone.
         self.leases.insert((node, incarnation), self.now_us + LEASE_US);
         self.nodes[node].renewed_sent_us = self.now_us;
         let now_us = self.now_us;
@@ -58,7 +58,7 @@
             holder: address(key.node),
             revision: StoreRevision::without_era(key.revision),
         });
-        // The rank of a node matters only where nobody holds the key.
+        // The rank matters only if no node holds the key.
         let rank = if key.is_none() { self.rank(node, &keeper) } else { 0 };
         let candidacy = self.nodes[node].candidacies.entry(keeper.clone()).or_default();
         let action = candidacy.decide(observed.as_ref(), address(node), rank, now_us);
--- a/crates/serving/tests/quota_fleet/messages.rs
+++ b/crates/serving/tests/quota_fleet/messages.rs
@@ -1,4 +1,4 @@
-//! Requests, the questions about them, and what nodes say to each other.
+//! Requests, and the messages that nodes exchange about them.
 
 use super::*;
 
@@ -13,7 +13,8 @@
         }
         let cost = self.random.random_range(200..(2.0 * MEAN) as u64);
         let node = self.random.random_range(0..NODES);
-        // A caller of a node that is away goes elsewhere: it is no matter of limits.
+        // Clients of a node that is down use another node, so their requests are not counted
+        // against the quota.
         if !self.nodes[node].is_up || self.now_us < self.nodes[node].frozen_until_us {
             return;
         }
@@ -59,7 +60,7 @@
         let Some(pending) = self.nodes[node].pending.remove(&ticket) else { return };
         match outcome {
             QuotaOutcome::Granted(grant) => {
-                // One in fifty is declined.
+                // One run in fifty is declined.
                 let is_declined = self.random.random_range(0..50) == 0;
                 if is_declined || !grant.is_usable(self.now_us) {
                     self.send_refunds(node, grant.into_refunds());
--- a/crates/serving/tests/quota_fleet/mod.rs
+++ b/crates/serving/tests/quota_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet in virtual time: nodes that ask and nodes that are keepers, the store's keys
-//! under leases, words that take time, are lost or come twice, and faults.
+//! A small fleet in virtual time: nodes that query and nodes that hold keepers, the store's keys
+//! and leases, messages that are delayed, lost or duplicated, and faults.
 
 mod leases;
 mod messages;
@@ -32,23 +32,24 @@
 const RENEW_EVERY_US: u64 = 5 * SECOND;
 const RETRY_RENEWAL_US: u64 = SECOND / 2;
 const POLL_EVERY_US: u64 = 250_000;
-/// Time from a decision to the run's arrival at its runner.
+/// Time from a grant to the arrival of the run at its runner.
 const SEND_US: u64 = 2_000;
 
-/// What happens to the fleet at some time.
+/// A fault injected into the fleet.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// Processes end; they start anew at the same address after so long, if at all.
+    /// Ends processes. They restart at the same address after the given time, or never.
     Kill { nodes: Vec<usize>, back_after_us: Option<u64> },
-    /// Nodes do nothing for so long; their clocks go on.
+    /// Suspends nodes for the given time, while their clocks continue.
     Freeze { nodes: Vec<usize>, for_us: u64 },
-    /// Nodes reach neither the store nor the others, but each other.
+    /// Separates nodes from the store and from all nodes outside the group, but not from each
+    /// other.
     Partition { nodes: Vec<usize>, for_us: u64 },
-    /// Nodes do not reach the store.
+    /// Separates nodes from the store.
     StoreUnreachable { nodes: Vec<usize>, for_us: u64 },
-    /// Nodes know no keeper.
+    /// Makes nodes lose their knowledge of all keepers.
     NoKeepers { nodes: Vec<usize>, for_us: u64 },
-    /// All limits are multiplied; each node hears of it within 3 s.
+    /// Multiplies all limits. Each node receives the new limits within 3 s.
     ChangeLimits { factor: f64 },
 }
 
@@ -70,7 +71,7 @@
     ReceiveConfiguration { node: usize, version: u64, factor: f64 },
 }
 
-/// A request that is being paid for.
+/// A request that waits for its quota.
 struct PendingRequest {
     tenant: usize,
     cost: u64,
@@ -100,16 +101,16 @@
     revision: u64,
 }
 
-/// What a play showed.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
     pub offered: u64,
     pub refused: u64,
     pub unreachable: u64,
-    /// Requests and words.
+    /// Counts of requests and of messages.
     pub requests: u64,
     pub messages: u64,
-    /// Arrivals at runners by tenant.
+    /// Arrivals at runners for each tenant, as (time, cost).
     pub arrivals: Vec<Vec<(u64, u64)>>,
 }
 
@@ -152,8 +153,8 @@
 }
 
 impl Fleet {
-    /// Tenants with these rates that send `load` times their limits until `end_us`; of the words
-    /// this share is lost, and as many come twice.
+    /// A fleet whose tenants have these rates and send `load` times their limits until `end_us`.
+    /// `loss` is the share of messages that are lost, and also the share that are duplicated.
     pub fn new(rates: &[u64], load: f64, loss: f64, end_us: u64, seed: u64) -> Self {
         let zones = (0..ZONES).map(|number| (zone(number), RegionId::new("region")));
         let topology = Topology::new(zones);
@@ -184,7 +185,7 @@
         self.push_at(at_us, Event::Fault(fault));
     }
 
-    /// Plays to the end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> Results {
         while let Some(Reverse((at_us, sequence))) = self.queue.pop() {
             let event = self.events.remove(&sequence).unwrap();
@@ -197,7 +198,7 @@
         self.results
     }
 
-    /// A node that holds a keeper in the zone, as far as the store knows.
+    /// The nodes that hold keepers after 10 s without faults, according to the store.
     pub fn holders_of(rates: &[u64]) -> Vec<usize> {
         let mut fleet = Self::new(rates, 0.0, 0.0, 10 * SECOND, 1);
         while let Some(Reverse((at_us, sequence))) = fleet.queue.pop() {
@@ -230,7 +231,8 @@
         self.push(20_000 + 10_000 * node as u64, Event::Poll { node, incarnation });
     }
 
-    /// Whether an event at a node has to wait for it to wake, and till when.
+    /// The time until which an event must wait since its node is frozen; `None` if it need not
+    /// wait.
     fn frozen_until(&self, event: &Event) -> Option<u64> {
         let node = match event {
             Event::Message { to: node, .. }
@@ -363,7 +365,7 @@
     }
 }
 
-/// The largest sum of a window that begins within a time, units.
+/// The largest cost, in units, of any window that starts within `starts`.
 pub fn max_window_cost(arrivals: &[(u64, u64)], starts: std::ops::Range<u64>) -> u64 {
     let mut sorted: Vec<(u64, u64)> = arrivals.to_vec();
     sorted.sort_unstable();
--- a/crates/serving/tests/quota_keeper.rs
+++ b/crates/serving/tests/quota_keeper.rs
@@ -1,4 +1,5 @@
-//! Keepers and the nodes that ask them: hand-on, parts, versions of the limit, late answers.
+//! Keepers and the nodes that query them: forwarding, partial charges, versions of the limit and
+//! late replies.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::{RegionId, TenantName, ZoneId};
@@ -41,7 +42,7 @@
     true
 }
 
-/// All keepers, held for long.
+/// All keepers, with terms that do not end during a test.
 struct Keepers {
     held: BTreeMap<KeeperId, Keeper>,
     messages: usize,
@@ -60,7 +61,7 @@
         keepers_of(&tenant(), limit, &BOUNDS, &topology())
     }
 
-    /// Asks, with every hand-on.
+    /// Sends a query and follows it through all keepers to which it is forwarded.
     fn query(&mut self, mut query: QuotaQuery, now_us: u64) -> QuotaReply {
         loop {
             self.messages += 1;
@@ -116,7 +117,7 @@
         }
         granted_by.insert(reply.keeper);
     }
-    assert_eq!(granted_by.len(), 3, "each slot has paid");
+    assert_eq!(granted_by.len(), 3, "each slot was charged");
     let spent = number * 1_000;
     assert!((290_000..320_000).contains(&spent), "burst and debt of all: {spent}");
 }
@@ -202,7 +203,7 @@
     let level = |keepers: &Keepers| keepers.held[&id].levels(NOW_US)[0].clone();
     let (lowered, version) = (level(&keepers).level, level(&keepers).version);
     assert!(lowered <= 20_000 && version == 6, "{lowered} by version {version}");
-    // A node that has not heard of it asks by the old one.
+    // A node that has not received the new version queries with the old limit.
     for number in 3..6 {
         keepers.query(query(number, 200, limit(300_000), 5), NOW_US + number * SECOND);
     }
@@ -292,7 +293,11 @@
     let second =
         queried(requester.on_reply_timeout(first.ticket, &first.keeper, all_reachable, 30_000));
     assert_ne!(second.keeper, first.keeper);
-    assert_eq!(second.unresponsive, vec![first.keeper.clone()], "nor is it handed on to it");
+    assert_eq!(
+        second.unresponsive,
+        vec![first.keeper.clone()],
+        "the query is not forwarded to it either"
+    );
     let other = queried(requester.start(request(2), all_reachable, 40_000));
     assert_ne!(other.keeper, first.keeper);
     let later = queried(requester.start(request(3), all_reachable, 2 * SECOND));
--- a/crates/serving/tests/quota_slots.rs
+++ b/crates/serving/tests/quota_slots.rs
@@ -1,5 +1,5 @@
-//! Which keepers a tenant's limit is split among, who asks which of them first, who may hold one
-//! and for how long.
+//! The keepers of a tenant's limit, the order in which they are queried, and the nodes that may
+//! hold them, with their terms.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::{NodeId, RegionId, TenantName, ZoneId};
@@ -21,7 +21,7 @@
     TenantLimit { rate_per_s, burst: rate_per_s, unit: QuotaUnit::Tokens, plain_tokens: 200 }
 }
 
-/// Zones `a1`, `a2`, `b1` and so on: so many regions of so many zones.
+/// Zones `a1`, `a2`, `b1` and so on, for `regions` regions of `zones` zones each.
 fn topology(regions: u8, zones: u8) -> Topology {
     let region = |number: u8| char::from(b'a' + number).to_string();
     Topology::new((0..regions).flat_map(|number| {
@@ -38,7 +38,7 @@
 
 #[test_case(47_000, 3; "the smallest limit seen")]
 #[test_case(737_214, 3; "the largest limit seen")]
-#[test_case(100, 2; "a slot without room for a large request is none")]
+#[test_case(100, 2; "only as many slots as fit a large request")]
 fn a_limit_has_as_many_slots_as_fit_a_large_request(rate: u64, slots: usize) {
     let bounds = if rate == 100 { QuotaBounds { slack: 80_000, ..BOUNDS } } else { BOUNDS };
     let keepers = keepers_of(&tenant(1), &tokens(rate), &bounds, &topology(1, 3));
@@ -188,9 +188,5 @@
     term.renew(10 * SECOND, ttl_us);
     assert!(term.is_valid(22 * SECOND) && !term.is_valid(23 * SECOND));
     term.renew(3 * SECOND, ttl_us);
-    assert_eq!(
-        term.remaining_us(22 * SECOND),
-        750_000,
-        "an answer that comes late shortens nothing"
-    );
+    assert_eq!(term.remaining_us(22 * SECOND), 750_000, "a late reply does not shorten the term");
 }
--- a/crates/serving/tests/specification/quota.rs
+++ b/crates/serving/tests/specification/quota.rs
@@ -1,20 +1,21 @@
-//! One slot of a tenant's limit: two nodes that may hold it, the store's key, grants and returns
-//! that are lost, late or doubled, a limit that is lowered, and one window that begins at any
-//! moment. Time goes in ticks; a run costs one unit.
+//! Model of one slot of a tenant's limit: two nodes that may hold it, the key in the store, grants
+//! and refunds that are lost, delayed or duplicated, a limit that is lowered, and one window that
+//! starts at any moment. Time advances in ticks, and a run costs one unit.
 //!
-//! A holder that is frozen takes no step while others do; a restart of all is a crash of each
-//! holder. How long a lease lasts is left open: it may lapse whenever no node believes in it.
+//! A frozen holder takes no step while others do, and a restart of the whole system is a crash of
+//! each holder. The duration of a lease is not modelled: it may expire whenever no node counts on
+//! it.
 
 const NODES: usize = 2;
-/// Ticks of a window.
+/// Length of the window, ticks.
 const WINDOW_TICKS: u8 = 3;
-/// Ticks within which a grant is used.
+/// Ticks within which a grant must be used.
 const GRANT_TTL_TICKS: u8 = 1;
-/// Runs whose grants are followed one by one; others are used at once.
+/// Number of runs whose grants are tracked individually. All other runs are used at once.
 const TRACKED_RUNS: usize = 2;
 
-/// What the slot may have, before and after the limit was lowered. Allowed are the burst, the debt,
-/// and the refill of the window and a grant's life.
+/// The share of the slot before and after the limit is lowered. `allowed` is the burst, the debt,
+/// and the refill of a window plus the lifetime of a grant.
 #[derive(Clone, Copy)]
 struct Share {
     refill: i8,
@@ -34,30 +35,30 @@
     }
 }
 
-/// The switches. All on: the quota as built.
+/// Safeguards of the protocol that can be disabled one by one. The implementation has all of them.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
-    /// A new holder begins with all of the debt.
+    /// A new holder starts in full debt.
     pub empty_start: bool,
-    /// A holder's own time ends no later than the store's.
+    /// A holder's term ends no later than its lease in the store.
     pub term_from_send_time: bool,
-    /// The key is taken only while it is absent, or by the address that wrote it.
+    /// The key is written only if it is absent, or by the address that wrote it.
     pub create_if_absent: bool,
     /// A grant is used in time or not at all.
     pub grants_expire: bool,
-    /// A grant that comes twice is used once.
+    /// A grant that is delivered twice is used once.
     pub used_once: bool,
-    /// A grant is either used or given back.
+    /// A grant is either used or refunded.
     pub used_or_refunded: bool,
-    /// What is given back twice counts once.
+    /// A duplicate refund counts once.
     pub refunded_once: bool,
-    /// A holder takes back only what it granted itself.
+    /// A holder refunds only what it has granted itself.
     pub own_grants_only: bool,
-    /// What a full bucket would have lost is not given back.
+    /// The amount by which a full bucket would have overflowed is not refunded.
     pub headroom_since_grant: bool,
-    /// Two that are given back share the room.
+    /// Two refunds share the headroom.
     pub shared_headroom: bool,
-    /// A lower limit cuts the level at once.
+    /// A lowered limit caps the level at once.
     pub cap_at_once: bool,
 }
 
@@ -81,20 +82,21 @@
 struct Holder {
     level: i8,
     is_low: bool,
-    /// Least room below a full bucket since each tracked run was granted here.
+    /// The minimum space below a full bucket since this holder granted each tracked run; `None` if
+    /// it did not grant the run.
     min_headroom: [Option<i8>; TRACKED_RUNS],
 }
 
-/// A tracked run.
+/// State of a tracked run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Run {
     #[default]
     Idle,
-    /// Granted so many ticks ago, and not used.
+    /// Granted the given number of ticks ago and not used.
     Granted(u8),
-    /// Used; the word may come again.
+    /// Used; the grant may be delivered again.
     Used,
-    /// So many words that give it back are on their way.
+    /// The given number of refund messages are in transit.
     Refunding(u8),
     Over,
 }
@@ -104,23 +106,24 @@
     key: Option<u8>,
     holders: [Option<Holder>; NODES],
     runs: [Run; TRACKED_RUNS],
-    /// Ticks since the limit was lowered, as far as they matter.
+    /// Ticks since the limit was lowered, up to the number that matters.
     lowered: Option<u8>,
-    /// Ticks of the window that have passed, and what arrived in it.
+    /// Ticks of the window that have passed, and the cost that has arrived in it.
     window: Option<u8>,
     spent: i8,
 }
 
 impl State {
-    /// More has arrived in the window than the limit allows that held all through it.
+    /// Whether more has arrived in the window than is allowed by the limit that was in force
+    /// throughout it.
     pub fn is_violated(&self) -> bool {
         let Some(at) = self.window else { return false };
-        // Grants of before have lapsed when the window begins.
+        // Grants made before the limit was lowered have expired when the window starts.
         let is_low = self.lowered.is_some_and(|since| since > at + GRANT_TTL_TICKS);
         self.spent > share(is_low).allowed
     }
 
-    /// The states that may follow, each once: which node and which run is which does not matter.
+    /// The distinct successor states. Nodes are interchangeable, and so are runs.
     pub fn next(&self, guards: Safeguards) -> Vec<Self> {
         let mut states = self.successors(guards);
         for state in &mut states {
@@ -160,7 +163,7 @@
 
     fn key_steps(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let is_held = self.holders[node].is_some();
-        // A node that starts anew at the address that wrote the key takes it over.
+        // A process restarted at the address that wrote the key takes the key over.
         let may_take = self.key.is_none() || self.key == Some(node as u8);
         if !is_held && (may_take || !guards.create_if_absent) {
             let mut taken = self.clone();
@@ -173,7 +176,7 @@
             states.push(taken);
         }
         if is_held {
-            // It crashes, or its time is over and it has forgotten all.
+            // The holder crashes, or its term ends and it forgets its state.
             let mut lost = self.clone();
             lost.holders[node] = None;
             states.push(lost);
@@ -225,12 +228,12 @@
                     }
                 }
                 with(Run::Refunding(2), false);
-                // The answer is lost.
+                // The reply is lost.
                 with(Run::Over, false);
             }
             Run::Used => with(Run::Over, !guards.used_once),
             Run::Refunding(messages) => {
-                // A word is lost.
+                // A message is lost.
                 with(Run::Refunding(messages - 1), false);
                 for node in 0..NODES {
                     self.refund_step(run, node, messages, guards, states);
@@ -308,7 +311,7 @@
                 other => other,
             };
         }
-        // Runs granted by the old limit may still arrive until their grants have lapsed.
+        // Runs granted under the old limit may still arrive until their grants expire.
         passed.lowered =
             self.lowered.map(|since| (since + 1).min(WINDOW_TICKS + GRANT_TTL_TICKS + 2));
         passed.window = self.window.map(|at| at + 1);
@@ -319,7 +322,7 @@
         let is_over = matches!(next, Run::Over | Run::Used | Run::Refunding(0));
         self.runs[run] = if next == Run::Refunding(0) { Run::Over } else { next };
         if is_over {
-            // Nothing of it is given back any more.
+            // No refund of this run is possible any more.
             for holder in self.holders.iter_mut().flatten() {
                 holder.min_headroom[run] = None;
             }
