--- a/crates/serving/src/quota_requester.rs
+++ b/crates/serving/src/quota_requester.rs
@@ -1,5 +1,5 @@
-//! The client side of quotas on a node: which keeper is queried for a run, how long a reply is
-//! awaited, and how its outcome is settled.
+//! A node's quota queries: which keeper is queried for a run, how long a reply is awaited, and how
+//! the run is settled.
 //!
 //! A run is queried at one keeper at a time. A keeper that does not reply in time is skipped and
 //! queried last for a while. If its grant arrives after another keeper has granted the run, that
--- a/crates/serving/src/quota_retry.rs
+++ b/crates/serving/src/quota_retry.rs
@@ -46,7 +46,7 @@
         wait_us
     }
 
-    /// A wait between half of [`MAX_WAIT_US`] and all of it, derived from the ticket, so that many
+    /// A wait between half of `MAX_WAIT_US` and all of it, derived from the ticket, so that many
     /// runs refused together do not retry at the same time.
     pub fn spread_wait(ticket: Ticket) -> u64 {
         const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
