--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -38,7 +38,7 @@
 impl Holding {
     /// The fencing token, while orders may be given.
     pub fn fence_to_order(&self, now_us: u64) -> Option<FencingToken> {
-        self.holder.borrow().fence_to_order(now_us)
+        self.holder.borrow().fence_for_orders(now_us)
     }
 
     /// The fencing token, from the beginning of the term on.
@@ -63,7 +63,7 @@
 
 /// The subject under which this node may order roles.
 pub fn roles_subject(node: &Node) -> AuthoritySubject {
-    AuthoritySubject::of_roles(node.fleet.borrow().topology(), &node.region())
+    AuthoritySubject::for_roles(node.fleet.borrow().topology(), &node.region())
 }
 
 /// What this node holds for ordering roles under a subject.
@@ -123,7 +123,7 @@
         let chance = rand::rng().random_range(0.0..1.0);
         match self.with_holder(|holder| holder.step(now_us, chance)) {
             AuthorityStep::Wait(us) => sleep(Duration::from_micros(us)).await,
-            AuthorityStep::Look => self.try_take().await,
+            AuthorityStep::Poll => self.try_take().await,
             AuthorityStep::Renew(lease) => self.renew(lease).await,
             AuthorityStep::StepDown(lease) => {
                 self.lose("a higher fencing token was seen");
@@ -157,7 +157,9 @@
         }
         let look = store::read_authority(&self.subject);
         match self.call(&look).await.map(|answer| answer.status) {
-            Some(StoreStatus::Done) => return self.with_holder(AuthorityHolder::on_holder_seen),
+            Some(StoreStatus::Done) => {
+                return self.with_holder(AuthorityHolder::on_holder_observed)
+            }
             Some(StoreStatus::Absent) => {}
             _ => return,
         }
@@ -185,7 +187,7 @@
             self.node.era_began_us().map_or(term, |at_us| term.after_era_began(at_us, times));
         let (subject, fence, lease_number) = (self.name.as_str(), fence.number(), lease.number);
         log::info!(target: "authority", subject, fence, lease = lease_number; "gained");
-        self.with_holder(|holder| holder.on_gained(lease, term, now_us, times));
+        self.with_holder(|holder| holder.on_acquired(lease, term, now_us, times));
     }
 
     /// The store came back older between the granting of the lease and the writing of the key, which hangs on whatever
@@ -218,7 +220,7 @@
 
     fn look_for_the_end(&mut self) {
         let now_us = self.node.now_us();
-        if self.with_holder(|holder| holder.has_run_out(now_us)) {
+        if self.with_holder(|holder| holder.check_expiry(now_us)) {
             let fence = self.with_holder(|holder| holder.fence()).map(FencingToken::number);
             let subject = self.name.as_str();
             log::warn!(target: "authority", subject, fence; "the lease could not be renewed");
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -282,7 +282,7 @@
     }
 
     fn budget_allows_one(&self) -> bool {
-        self.node.with_budget(&self.service, |budget| budget.allows_one())
+        self.node.with_budget(&self.service, |budget| budget.has_attempt())
     }
 
     fn on_unreachable(&mut self, runner: RunnerId) -> Step {
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -228,7 +228,7 @@
         if self.is_quarantined() {
             return None;
         }
-        let cost = self.arrivals.on_reading();
+        let cost = self.arrivals.on_prefill();
         if cost != ArrivalCost::Free && self.is_too_late(&reader) {
             return None;
         }
@@ -256,7 +256,7 @@
                 if matches!(end, ReadingEnd::Declined) {
                     follow_up.tell(Progress::Declined(reader.runner.clone()));
                 }
-                self.arrivals.on_reading_not_taken();
+                self.arrivals.on_prefill_not_accepted();
                 self.excluded.push(reader.runner);
                 None
             }
--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -32,7 +32,7 @@
                 update.entries.iter().filter_map(|entry| crash_of(node, entry)).collect();
             match came_back {
                 true => node.on_crashes_came_back(&crashes),
-                false => node.quarantine.borrow_mut().on_all_stored(&crashes),
+                false => node.quarantine.borrow_mut().on_store_snapshot(&crashes),
             }
         }
         Subject::Crashes => update.entries.iter().for_each(|entry| take_end(node, entry)),
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -172,7 +172,7 @@
 /// Only a node that would know a route says that there is none: the route may have been added by a version
 /// that it has not got yet.
 fn without_route(node: &Node) -> OwnAnswer {
-    match node.configuration_age().is_relied_on(node.key_policy().config_apply_ms) {
+    match node.configuration_age().is_current(node.key_policy().config_apply_ms) {
         true => OwnAnswer::NoRoute,
         false => OwnAnswer::Outdated,
     }
--- a/crates/gateway/src/node/configuration.rs
+++ b/crates/gateway/src/node/configuration.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use pitchstall_serving::configuration::{Configuration, EngineSpec};
 use pitchstall_serving::ids::ServiceName;
-use pitchstall_serving::tenancy::{CopyAge, KeyPolicy};
+use pitchstall_serving::tenancy::{KeyPolicy, ReplicaAge};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
     }
 
     /// How far this node's copy of the configuration can be relied on.
-    pub fn configuration_age(&self) -> CopyAge {
+    pub fn configuration_age(&self) -> ReplicaAge {
         let now_us = self.now_us();
         let freshness = self.freshness.borrow();
-        CopyAge {
-            confirmed_ms: freshness.configuration.confirmed_age_ms(now_us),
+        ReplicaAge {
+            confirmed_ago_ms: freshness.configuration.confirmed_age_ms(now_us),
             is_behind: freshness.configuration.is_behind(now_us),
         }
     }
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::peer_words::PeerWord;
 use pitchstall_serving::ids::RunnerId;
-use pitchstall_serving::quarantine::{Crash, CrashChange, CrashRecord, CrashWord};
+use pitchstall_serving::quarantine::{Crash, CrashChange, CrashMessage, CrashRecord};
 use pitchstall_serving::request_identity::RequestIdentity;
 use rand::RngExt;
 
@@ -23,7 +23,8 @@
     /// An attempt broke, or was left without an answer.
     pub fn on_broken_attempt(&self, runner: &RunnerId, request: &str, identity: RequestIdentity) {
         let now_us = self.now_us();
-        let has_ended = self.crash_evidence.borrow_mut().on_broken(runner, identity, now_us);
+        let has_ended =
+            self.crash_evidence.borrow_mut().on_attempt_broken(runner, identity, now_us);
         let (runner_name, identity_text) = (runner.as_str(), identity.to_string());
         log::info!(target: "crash", request, runner = runner_name, identity = identity_text, has_ended; "broken attempt");
         if has_ended {
@@ -33,7 +34,7 @@
 
     /// A runner has ended: what was under way there may have caused it.
     pub(super) fn on_runner_ended(&self, runner: &RunnerId) {
-        let under_way = self.crash_evidence.borrow_mut().on_ended(runner, self.now_us());
+        let under_way = self.crash_evidence.borrow_mut().on_terminated(runner, self.now_us());
         if !under_way.is_empty() {
             self.on_under_ended(runner, &under_way);
         }
@@ -42,7 +43,7 @@
     /// A runner that had said so has left.
     pub(super) fn on_runner_left_as_planned(&self, runner: &RunnerId) {
         let now_us = self.now_us();
-        let under_way = self.crash_evidence.borrow_mut().on_left_as_planned(runner, now_us);
+        let under_way = self.crash_evidence.borrow_mut().on_planned_departure(runner, now_us);
         if !under_way.is_empty() {
             self.on_under_ended(runner, &under_way);
         }
@@ -59,13 +60,13 @@
         let now_us = self.now_us();
         for request in under_way {
             let crash = Crash { request: *request, runner: runner.clone() };
-            let change = self.quarantine.borrow_mut().on_seen(&crash, self.wall_ms(), now_us);
+            let change = self.quarantine.borrow_mut().on_observed(&crash, self.wall_ms(), now_us);
             self.log_crash(&crash, change, "seen");
         }
         self.quarantine_changed.notify_one();
         for requests in under_way.chunks(REQUESTS_A_WORD) {
             let (runner, requests) = (runner.clone(), requests.to_vec());
-            self.tell_all(CrashWord::Ended { runner, requests });
+            self.tell_all(CrashMessage::Ended { runner, requests });
         }
     }
 
@@ -77,11 +78,11 @@
             false => rand::rng().random_range(OTHERS_WRITE_MS),
         };
         let due_us = self.now_us() + delay_ms * MICROS_PER_MILLI;
-        self.quarantine.borrow_mut().on_store_came_back(stored, due_us);
+        self.quarantine.borrow_mut().on_store_restored(stored, due_us);
         self.quarantine_changed.notify_one();
     }
 
-    fn tell_all(&self, word: CrashWord) {
+    fn tell_all(&self, word: CrashMessage) {
         let others = self.members.borrow().others();
         self.scheduling.socket.send(&PeerWord::Crash(word), &others);
     }
@@ -104,7 +105,7 @@
             return false;
         }
         let identity = identity();
-        quarantine.holds(identity, evidence.in_doubt_under(identity, self.now_us()))
+        quarantine.is_quarantined(identity, evidence.runners_in_doubt(identity, self.now_us()))
     }
 
     /// A runner has answered a request whole and with success: it does not crash runners.
@@ -113,7 +114,7 @@
             return;
         }
         let identity = identity();
-        self.crash_evidence.borrow_mut().on_answered(identity);
+        self.crash_evidence.borrow_mut().on_response_completed(identity);
         self.clear(identity, "answered");
     }
 
@@ -124,7 +125,7 @@
         if is_known {
             log::info!(target: "crash", identity = identity.to_string(), reason; "cleared");
             self.quarantine_changed.notify_one();
-            self.tell_all(CrashWord::Cleared { request: identity });
+            self.tell_all(CrashMessage::Cleared { request: identity });
         }
         is_known
     }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -370,7 +370,7 @@
         self.fleet.borrow_mut().on_changing_words(&digest.changing, now_us);
         digest.limits.iter().for_each(|word| self.on_limit_word(word));
         self.freshness.borrow_mut().on_word(&digest.store, &self.eras.borrow(), now_us);
-        self.wall_clock.borrow_mut().on_word(&digest.node, digest.wall_ms, now_us);
+        self.wall_clock.borrow_mut().on_peer_clock(&digest.node, digest.wall_ms, now_us);
     }
 
     /// Takes in a scheduler's word on the loads of its runners.
@@ -394,7 +394,7 @@
         let bounds = &settings.bounds;
         let policy = RetryPolicy {
             ratio: bounds.retry_ratio,
-            most_saved: RetryPolicy::part_of_slack(bounds.retry_slack, self.known_nodes()),
+            max_saved: RetryPolicy::node_slack(bounds.retry_slack, self.known_nodes()),
         };
         let mut budgets = self.budgets.borrow_mut();
         let new_budget = || SharedRetryBudget::new(policy);
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -209,7 +209,7 @@
             self.on_runner_ended(runner);
         }
         if reachable == Some(true) {
-            self.crash_evidence.borrow_mut().on_alive(runner);
+            self.crash_evidence.borrow_mut().on_connection_accepted(runner);
         }
         let mut fleet = self.fleet.borrow_mut();
         fleet.update_suspicion(runner, |suspicion| suspicion.on_verified(reachable, now_us));
--- a/crates/gateway/src/peer_words.rs
+++ b/crates/gateway/src/peer_words.rs
@@ -4,15 +4,15 @@
 use pitchstall_serving::digest::Digest;
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::membership::Member;
-use pitchstall_serving::quarantine::CrashWord;
+use pitchstall_serving::quarantine::CrashMessage;
 use pitchstall_serving::quota::{QuotaAnswer, QuotaQuestion, QuotaReturn};
 use pitchstall_serving::quota_slots::KeeperId;
 use pitchstall_serving::regions::{PartsRead, RegionLoads};
-use pitchstall_serving::runner_limit::{LimitAnswer, LimitQuestion, LimitWord};
+use pitchstall_serving::runner_limit::{LimitMessage, LimitQuery, LimitReply};
 use pitchstall_serving::scheduling::{
     PlacementAnswer, PlacementQuestion, ProgressWord, ShardLoads,
 };
-use pitchstall_serving::usage::{UsageQuestion, UsageWord};
+use pitchstall_serving::usage::{UsageMessage, UsageQuery};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -53,10 +53,10 @@
     PartsRead(Vec<PartsRead>),
     /// How many requests of each tenant began?
     #[serde(rename = "usage?")]
-    UsageQuestion(UsageQuestion),
+    UsageQuestion(UsageQuery),
     /// Runners that ended, and what was under way there.
     #[serde(rename = "crash")]
-    Crash(CrashWord),
+    Crash(CrashMessage),
     /// May a run of this cost begin?
     #[serde(rename = "quota?")]
     QuotaQuestion(QuotaQuestion),
@@ -71,16 +71,16 @@
     QuotaReturn(QuotaReturn),
     /// May one request be sent to a runner that names a limit?
     #[serde(rename = "limit?")]
-    LimitQuestion(LimitQuestion),
+    LimitQuestion(LimitQuery),
     /// Whether it may.
     #[serde(rename = "limit")]
-    LimitAnswer(LimitAnswer),
+    LimitAnswer(LimitReply),
     /// A runner has said what it takes.
     #[serde(rename = "limit+")]
-    LimitWord(LimitWord),
+    LimitWord(LimitMessage),
     /// So many.
     #[serde(rename = "usage")]
-    Usage(UsageWord),
+    Usage(UsageMessage),
 }
 
 impl PeerWord {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -9,7 +9,7 @@
 use crate::platform_client::PlatformClient;
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store::{self, StoreStatus};
-use pitchstall_serving::quarantine::{Crash, CrashWord};
+use pitchstall_serving::quarantine::{Crash, CrashMessage};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
@@ -26,19 +26,20 @@
 const FORGET_EVERY: Duration = Duration::from_secs(60);
 
 /// Takes in another node's word.
-pub fn on_word(node: &Node, word: CrashWord) {
+pub fn on_word(node: &Node, word: CrashMessage) {
     let now_us = node.now_us();
     match word {
-        CrashWord::Ended { runner, requests } => {
+        CrashMessage::Ended { runner, requests } => {
             for request in requests {
                 let crash = Crash { request, runner: runner.clone() };
-                let change = node.quarantine.borrow_mut().on_told(&crash, node.wall_ms(), now_us);
+                let change =
+                    node.quarantine.borrow_mut().on_reported(&crash, node.wall_ms(), now_us);
                 node.log_crash(&crash, change, "told");
             }
             node.quarantine_changed.notify_one();
         }
-        CrashWord::Cleared { request } => {
-            node.quarantine.borrow_mut().on_cleared_elsewhere(request);
+        CrashMessage::Cleared { request } => {
+            node.quarantine.borrow_mut().on_cleared_by_peer(request);
         }
     }
 }
@@ -50,7 +51,7 @@
     loop {
         wait_until_due(&node, &mut remove_at).await;
         if node.authority.fence().is_some() {
-            node.quarantine.borrow_mut().tidy_store(node.wall_ms());
+            node.quarantine.borrow_mut().schedule_removals(node.wall_ms());
         }
         let is_taken = match write_due(&node, &mut client).await {
             true => remove_due(&node, &mut client, &mut remove_at).await,
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -11,11 +11,11 @@
 use pitchstall_serving::digest::silence_limit_us;
 use pitchstall_serving::ids::{NodeId, RunnerId};
 use pitchstall_serving::limit_keeper::{
-    KeeperShare, KeeperTerm, LimitKeeper, GRANT_LIFE_US, MOST_KEEPERS,
+    KeeperShare, LimitKeeper, LimitKeeperTerm, GRANT_TTL_US, MAX_KEEPERS,
 };
 use pitchstall_serving::request::AnswerFacts;
 use pitchstall_serving::runner_limit::{
-    LimitAnswer, LimitChange, LimitQuestion, LimitVerdict, LimitWord,
+    LimitChange, LimitMessage, LimitQuery, LimitReply, LimitVerdict,
 };
 use pitchstall_serving::scheduling::{Shard, Ticket};
 use std::cell::RefCell;
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub struct RunnerLimits {
     keeper: RefCell<LimitKeeper>,
-    terms: RefCell<HashMap<Shard, KeeperTerm>>,
+    terms: RefCell<HashMap<Shard, LimitKeeperTerm>>,
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<LimitVerdict>>>,
     missed: MissedAnswers,
     /// When each node was heard of last, microseconds; `None`: it is stopping.
@@ -66,8 +66,8 @@
     }
 
     /// What this node's digest tells of the limits that it counts.
-    pub fn words(&self, now_us: u64) -> Vec<LimitWord> {
-        self.keeper.borrow().words(MOST_WORDS_TOLD, now_us)
+    pub fn words(&self, now_us: u64) -> Vec<LimitMessage> {
+        self.keeper.borrow().messages(MOST_WORDS_TOLD, now_us)
     }
 
     fn is_there(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
@@ -102,7 +102,7 @@
     let wait_us = match verdict {
         Some(LimitVerdict::Granted) => {
             node.metrics.limit_grants.inc();
-            let permit = SendPermit { usable_until_us: asked_at_us + GRANT_LIFE_US };
+            let permit = SendPermit { usable_until_us: asked_at_us + GRANT_TTL_US };
             if permit.is_usable(now_us) {
                 return Some(permit);
             }
@@ -112,8 +112,8 @@
             node.metrics.limit_refusals.inc();
             wait_us.max(SHORTEST_WAIT_US)
         }
-        Some(LimitVerdict::Lifted { heard_ago_us }) => {
-            let word = LimitWord { runner: runner.clone(), rate: None, heard_ago_us };
+        Some(LimitVerdict::Lifted { age_us }) => {
+            let word = LimitMessage { runner: runner.clone(), rate: None, age_us };
             node.on_limit_word(&word);
             if node.fleet.borrow().limit_word(runner, now_us).is_none() {
                 return Some(unlimited);
@@ -141,11 +141,11 @@
 }
 
 /// Asks the first keeper that answers; `None`: none did.
-async fn ask(node: &Rc<Node>, word: LimitWord) -> Option<LimitVerdict> {
+async fn ask(node: &Rc<Node>, word: LimitMessage) -> Option<LimitVerdict> {
     let shard = shard_of(node, &word.runner)?;
     for (keeper, address) in keepers(node, &shard).into_iter().take(MOST_ASKED) {
         let ticket = node.scheduling.next_ticket();
-        let question = LimitQuestion { ticket, word: word.clone() };
+        let question = LimitQuery { ticket, message: word.clone() };
         let verdict = if keeper == node.own_name() {
             Some(verdict_of(node, &question))
         } else {
@@ -163,7 +163,7 @@
 fn keepers(node: &Node, shard: &Shard) -> Vec<(NodeId, SocketAddr)> {
     let now_us = node.now_us();
     let members = node.members.borrow();
-    let in_order = members.schedulers_in_order(shard).into_iter().take(MOST_KEEPERS);
+    let in_order = members.schedulers_in_order(shard).into_iter().take(MAX_KEEPERS);
     let limits = &node.runner_limits;
     let answers = |(name, _): &(&NodeId, _)| {
         !limits.missed.is_passed_over(name, now_us) && !limits.is_stopping(name)
@@ -175,7 +175,7 @@
     node: &Rc<Node>,
     keeper: &NodeId,
     address: SocketAddr,
-    question: LimitQuestion,
+    question: LimitQuery,
 ) -> Option<LimitVerdict> {
     let ticket = question.ticket;
     let (sender, receiver) = oneshot::channel();
@@ -201,7 +201,7 @@
 }
 
 /// Takes in a keeper's answer. One that comes too late is lost to all, and safe.
-pub fn on_answer(node: &Node, answer: LimitAnswer) {
+pub fn on_answer(node: &Node, answer: LimitReply) {
     let waiting = node.runner_limits.waiting.borrow_mut().remove(&answer.ticket);
     if let Some(sender) = waiting {
         // The request may have ended just now: then what it was granted is lost.
@@ -210,23 +210,23 @@
 }
 
 /// Answers another node's question.
-pub fn on_question(node: &Node, question: &LimitQuestion, from: SocketAddr) {
+pub fn on_question(node: &Node, question: &LimitQuery, from: SocketAddr) {
     let verdict = verdict_of(node, question);
-    let answer = LimitAnswer { ticket: question.ticket, verdict };
+    let answer = LimitReply { ticket: question.ticket, verdict };
     node.scheduling.socket.send(&PeerWord::LimitAnswer(answer), &[from]);
 }
 
-fn verdict_of(node: &Node, question: &LimitQuestion) -> LimitVerdict {
-    let shard = shard_of(node, &question.word.runner);
+fn verdict_of(node: &Node, question: &LimitQuery) -> LimitVerdict {
+    let shard = shard_of(node, &question.message.runner);
     let share = shard.and_then(|shard| own_share(node, &shard));
     let Some(share) = share else { return LimitVerdict::NotKeeper };
     let now_us = node.now_us();
-    node.runner_limits.keeper.borrow_mut().on_question(question, share, now_us)
+    node.runner_limits.keeper.borrow_mut().on_query(question, share, now_us)
 }
 
 /// Another node has heard what a runner takes.
-pub fn on_word(node: &Node, word: &LimitWord) {
-    node.runner_limits.keeper.borrow_mut().on_word(word, node.now_us());
+pub fn on_word(node: &Node, word: &LimitMessage) {
+    node.runner_limits.keeper.borrow_mut().on_message(word, node.now_us());
     node.on_limit_word(word);
 }
 
@@ -237,7 +237,7 @@
         return Vec::new();
     }
     let Some(share) = own_share(node, shard) else { return Vec::new() };
-    let mut short = node.runner_limits.keeper.borrow().short(share, node.now_us());
+    let mut short = node.runner_limits.keeper.borrow().exhausted(share, node.now_us());
     let fleet = node.fleet.borrow();
     short.retain(|runner| fleet.get(runner).is_some_and(|runner| shard.has(runner)));
     short
@@ -277,9 +277,9 @@
     terms.retain(|shard, _| shards.contains(shard));
     for shard in shards {
         let place = own_place(node, &shard);
-        terms.entry(shard).or_default().on_look(place, now_us);
+        terms.entry(shard).or_default().on_rank_checked(place, now_us);
     }
-    node.runner_limits.keeper.borrow_mut().sweep(now_us);
+    node.runner_limits.keeper.borrow_mut().remove_idle(now_us);
 }
 
 impl Node {
@@ -294,19 +294,19 @@
         let Some(change) = change else { return };
         self.log_limit(runner, change, "answer");
         let rate = match change {
-            LimitChange::Named(rate) => Some(rate),
+            LimitChange::Set(rate) => Some(rate),
             LimitChange::Lifted => None,
         };
-        let word = LimitWord { runner: runner.clone(), rate, heard_ago_us: 0 };
+        let word = LimitMessage { runner: runner.clone(), rate, age_us: 0 };
         self.tell_keeper(word);
     }
 
     /// Tells the keeper, so that it plans with what is left before it is asked, and tells all nodes.
-    fn tell_keeper(&self, word: LimitWord) {
+    fn tell_keeper(&self, word: LimitMessage) {
         let Some(shard) = shard_of(self, &word.runner) else { return };
         match keepers(self, &shard).into_iter().next() {
             Some((keeper, _)) if keeper == self.own_name() => {
-                self.runner_limits.keeper.borrow_mut().on_word(&word, self.now_us());
+                self.runner_limits.keeper.borrow_mut().on_message(&word, self.now_us());
             }
             Some((_, address)) => {
                 self.scheduling.socket.send(&PeerWord::LimitWord(word), &[address]);
@@ -316,7 +316,7 @@
     }
 
     /// Another node has heard what a runner takes.
-    pub fn on_limit_word(&self, word: &LimitWord) {
+    pub fn on_limit_word(&self, word: &LimitMessage) {
         let change = self.fleet.borrow_mut().on_limit_word(word, self.now_us());
         if let Some(change) = change {
             self.log_limit(&word.runner, change, "node");
@@ -326,7 +326,7 @@
     fn log_limit(&self, runner: &RunnerId, change: LimitChange, source: &str) {
         let runner = runner.as_str();
         match change {
-            LimitChange::Named(limit) => {
+            LimitChange::Set(limit) => {
                 self.metrics.on_notice("limit");
                 let limit = limit.to_string();
                 log::info!(target: "limit", runner, limit, source; "named");
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -17,7 +17,7 @@
 use pitchstall_serving::authority::FencingToken;
 use pitchstall_serving::ids::{NodeId, TenantName};
 use pitchstall_serving::usage::{
-    Origin, ReportTimes, UsageCollector, UsageQuestion, UsageWord, Windows,
+    Origin, ReportSchedule, UsageCollector, UsageMessage, UsageQuery, Windows,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -40,14 +40,14 @@
 const LATE_FACTOR: u64 = 3;
 const MILLIS_A_SECOND: f64 = 1_000.0;
 
-fn report_times(section: UsageSection) -> ReportTimes {
+fn report_times(section: UsageSection) -> ReportSchedule {
     let millis = |seconds: f64| (seconds * MILLIS_A_SECOND) as u64;
     let windows = Windows { length_ms: millis(section.window_s) };
-    ReportTimes { windows, due_ms: millis(section.due_s) }
+    ReportSchedule { windows, due_ms: millis(section.due_s) }
 }
 
 /// When usage is reported; `None`: it is not.
-fn usage_times(node: &Node) -> Option<ReportTimes> {
+fn usage_times(node: &Node) -> Option<ReportSchedule> {
     let settings = node.settings();
     let cloud = settings.cloud.as_ref().filter(|cloud| cloud.has(Duty::Usage))?;
     cloud.usage.map(report_times)
@@ -110,36 +110,37 @@
     let Some(times) = usage_times(node) else { return };
     let ago_ms = u64::try_from(ago.as_millis()).unwrap_or_default();
     let window = times.windows.at(node.wall_ms().saturating_sub(ago_ms));
-    node.usage.borrow_mut().on_begun(window, tenant);
+    node.usage.borrow_mut().on_request_started(window, tenant);
 }
 
 /// Answers the collector.
-pub fn on_question(node: &Node, question: &UsageQuestion) {
+pub fn on_question(node: &Node, question: &UsageQuery) {
     let origin = own_origin(node);
     let ledger = node.usage.borrow();
     let windows = ledger.own_since(question.from_window);
-    let fixed = match question.relays {
-        true => ledger.fixed_since(question.from_window),
+    let fixed = match question.wants_relayed {
+        true => ledger.finalized_since(question.from_window),
         false => Vec::new(),
     };
-    let own = UsageWord { origin, answers: Some(question.number), windows, fixed };
+    let own =
+        UsageMessage { origin, in_reply_to: Some(question.number), windows, finalized: fixed };
     let mut words = vec![own];
-    if question.relays {
-        words.extend(ledger.told_since(question.from_window));
+    if question.wants_relayed {
+        words.extend(ledger.relayed_since(question.from_window));
     }
     for word in words {
-        node.scheduling.socket.send(&PeerWord::Usage(word), &question.answer_to);
+        node.scheduling.socket.send(&PeerWord::Usage(word), &question.reply_to);
     }
 }
 
 /// Takes in a node's counts, as the collector or its deputy.
-pub fn on_word(node: &Node, word: &UsageWord) {
+pub fn on_word(node: &Node, word: &UsageMessage) {
     // Words may come back to the node whose counts they hold, by way of another collector.
     if word.origin != own_origin(node) {
-        node.usage.borrow_mut().take(word);
+        node.usage.borrow_mut().merge(word);
     }
-    if let Some(number) = word.answers {
-        node.usage_collector.borrow_mut().on_answered(&word.origin.node, number);
+    if let Some(number) = word.in_reply_to {
+        node.usage_collector.borrow_mut().on_reply(&word.origin.node, number);
     }
 }
 
@@ -206,7 +207,7 @@
 }
 
 impl Reporter {
-    async fn step(&mut self, fence: FencingToken, times: ReportTimes) {
+    async fn step(&mut self, fence: FencingToken, times: ReportSchedule) {
         if self.fence != Some(fence) {
             self.begin_term(fence);
         }
@@ -241,7 +242,7 @@
     }
 
     /// Asks all nodes for their counts, now and then.
-    fn ask(&mut self, times: ReportTimes) {
+    fn ask(&mut self, times: ReportSchedule) {
         if self.asked_at.is_some_and(|at| at.elapsed() < ASK_EVERY) {
             return;
         }
@@ -250,21 +251,25 @@
         self.questions += 1;
         let now_ms = self.node.wall_ms();
         let mut collector = self.node.usage_collector.borrow_mut();
-        collector.on_asked(self.questions, now_ms);
-        collector.on_answered(&own_name(&self.node), self.questions);
-        let from_window = collector.first_window(times, now_ms);
-        self.node.usage.borrow_mut().forget_before(from_window.saturating_sub(1));
+        collector.on_query_sent(self.questions, now_ms);
+        collector.on_reply(&own_name(&self.node), self.questions);
+        let from_window = collector.first_open_window(times, now_ms);
+        self.node.usage.borrow_mut().remove_before(from_window.saturating_sub(1));
         let members = self.node.members.borrow();
         let own = self.node.settings().listen.peers;
         let answer_to: Vec<SocketAddr> =
             [Some(own), members.deputy()].into_iter().flatten().collect();
-        let question =
-            UsageQuestion { number: self.questions, answer_to, from_window, relays: is_new };
+        let question = UsageQuery {
+            number: self.questions,
+            reply_to: answer_to,
+            from_window,
+            wants_relayed: is_new,
+        };
         self.node.scheduling.socket.send(&PeerWord::UsageQuestion(question), &members.others());
     }
 
     /// Learns what earlier holders have fixed.
-    async fn read_fixed(&mut self, times: ReportTimes) {
+    async fn read_fixed(&mut self, times: ReportSchedule) {
         let read = store::read_usage_reports();
         let answer = self.node.call_store(&mut self.store, &read, CALL_LIMIT).await;
         let Some(answer) = answer.filter(StoreAnswer::is_done) else { return };
@@ -290,11 +295,11 @@
     }
 
     /// Fixes the reports of windows that are complete.
-    async fn fix_due(&mut self, times: ReportTimes) {
+    async fn fix_due(&mut self, times: ReportSchedule) {
         let now_ms = self.node.wall_ms();
         let due = {
             let members = self.node.members.borrow();
-            self.node.usage_collector.borrow().to_fix(members.names(), times, now_ms)
+            self.node.usage_collector.borrow().to_finalize(members.names(), times, now_ms)
         };
         for window in due {
             let counts = self.node.usage.borrow().to_report(window);
@@ -302,14 +307,14 @@
             let is_unknown =
                 times.windows.end_ms(window) < self.started_ms + times.windows.length_ms;
             if counts.is_empty() && is_unknown {
-                self.node.usage_collector.borrow_mut().on_fixed(window);
+                self.node.usage_collector.borrow_mut().on_finalized(window);
                 continue;
             }
             self.fix(window, cloud::usage_report(window, &counts), times).await;
         }
     }
 
-    async fn fix(&mut self, window: u64, report: Vec<u8>, times: ReportTimes) {
+    async fn fix(&mut self, window: u64, report: Vec<u8>, times: ReportSchedule) {
         let Some(fence) = self.fence_to_act() else { return };
         let kept_from = window.saturating_sub(2 + times.due_ms / times.windows.length_ms.max(1));
         let older: Vec<u64> = self.stored.iter().copied().filter(|it| *it < kept_from).collect();
@@ -332,9 +337,9 @@
 
     /// A report lies in the store. Its counts are kept here too, in case the store comes back from a copy without it.
     fn on_fixed(&self, window: u64, body: &[u8]) {
-        self.node.usage_collector.borrow_mut().on_fixed(window);
+        self.node.usage_collector.borrow_mut().on_finalized(window);
         match cloud::parse_usage_report(body) {
-            Some(counts) => self.node.usage.borrow_mut().on_fixed(window, counts),
+            Some(counts) => self.node.usage.borrow_mut().on_finalized(window, counts),
             None => log::warn!(target: "usage", window; "a fixed report cannot be read"),
         }
     }
@@ -352,7 +357,7 @@
     }
 
     /// Sends fixed reports until the platform has taken them.
-    async fn hand_in(&mut self, times: ReportTimes) {
+    async fn hand_in(&mut self, times: ReportSchedule) {
         let now_ms = self.node.wall_ms();
         let is_of_use =
             |window: u64| now_ms < times.windows.end_ms(window) + times.due_ms * LATE_FACTOR;
--- a/crates/serving/src/authority.rs
+++ b/crates/serving/src/authority.rs
@@ -33,9 +33,9 @@
 impl AuthoritySubject {
     /// The subject under which a node of a region orders roles. It goes by the regions that the
     /// settings tell, and not by who is up: all nodes have to agree on it.
-    pub fn of_roles(topology: &Topology, own: &RegionId) -> Self {
-        let told: BTreeSet<&RegionId> = topology.zones().map(|(_, region)| region).collect();
-        match told.len() {
+    pub fn for_roles(topology: &Topology, own: &RegionId) -> Self {
+        let configured: BTreeSet<&RegionId> = topology.zones().map(|(_, region)| region).collect();
+        match configured.len() {
             0 | 1 => Self::Fleet,
             _ => Self::Roles(own.clone()),
         }
@@ -100,7 +100,7 @@
 
 /// Part of the lease's time that is left unused, in hundredths: clocks differ in pace, and an
 /// order takes time to arrive.
-const UNUSED_PERCENT: u64 = 15;
+const LEASE_MARGIN_PERCENT: u64 = 15;
 
 impl AuthorityTerm {
     /// A term that the store granted. `sent_at_us` is when the lease was asked for, `now_us`
@@ -115,8 +115,8 @@
 
     /// The store's era was first heard of at a time: a holder of the era before may give orders until its lease is
     /// over.
-    pub fn after_era_began(self, heard_at_us: u64, times: LeaseTimes) -> Self {
-        let ready_at_us = heard_at_us + times.ttl_us + times.separation_us;
+    pub fn after_era_began(self, observed_at_us: u64, times: LeaseTimes) -> Self {
+        let ready_at_us = observed_at_us + times.ttl_us + times.separation_us;
         Self { ready_at_us: self.ready_at_us.max(ready_at_us), ..self }
     }
 
@@ -131,28 +131,28 @@
     }
 
     /// Whether the term is over.
-    pub fn is_over(&self, now_us: u64) -> bool {
+    pub fn has_expired(&self, now_us: u64) -> bool {
         now_us >= self.valid_until_us
     }
 }
 
 fn valid_until(sent_at_us: u64, times: LeaseTimes) -> u64 {
-    sent_at_us + times.ttl_us * (100 - UNUSED_PERCENT) / 100
+    sent_at_us + times.ttl_us * (100 - LEASE_MARGIN_PERCENT) / 100
 }
 
 /// Between two looks whether somebody has the authority, microseconds: the shortest, and what
 /// chance adds at the most. Each look is a call that is paid for.
-const LOOK_EVERY_US: u64 = 2_000_000;
-const LOOK_SPREAD_US: f64 = 2_000_000.0;
+const POLL_INTERVAL_US: u64 = 2_000_000;
+const POLL_JITTER_US: f64 = 2_000_000.0;
 /// The same while this node has not seen anybody have it: the fleet has just started.
-const FIRST_LOOK_EVERY_US: u64 = 300_000;
-const FIRST_LOOK_SPREAD_US: f64 = 600_000.0;
+const INITIAL_POLL_INTERVAL_US: u64 = 300_000;
+const INITIAL_POLL_JITTER_US: f64 = 600_000.0;
 /// Between two looks at an own lease, microseconds.
-const KEEP_EVERY_US: u64 = 250_000;
+const HOLDER_CHECK_INTERVAL_US: u64 = 250_000;
 /// Renewals in the time of a lease.
-const RENEWALS: u64 = 3;
+const RENEWALS_PER_LEASE: u64 = 3;
 /// Between two tries to renew a lease after one that failed, microseconds.
-const RETRY_EVERY_US: u64 = 400_000;
+const RENEWAL_RETRY_INTERVAL_US: u64 = 400_000;
 
 /// What a node does next about a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -160,7 +160,7 @@
     /// Nothing, for so many microseconds.
     Wait(u64),
     /// Look whether somebody has the authority, and take it if nobody has.
-    Look,
+    Poll,
     /// Renew the lease.
     Renew(StoreLease),
     /// End the lease: an order was refused, as another node has the authority.
@@ -173,7 +173,7 @@
     term: AuthorityTerm,
     next_try_us: u64,
     /// Whether the term has run out without a word from the store.
-    is_in_doubt: bool,
+    is_unconfirmed: bool,
     is_refused: bool,
 }
 
@@ -182,56 +182,56 @@
 #[derive(Clone, Debug, Default)]
 pub struct AuthorityHolder {
     held: Option<Held>,
-    next_look_us: Option<u64>,
+    next_poll_us: Option<u64>,
     /// Whether this node has ever seen that somebody has the authority.
-    has_seen_holder: bool,
+    has_observed_holder: bool,
 }
 
 impl AuthorityHolder {
     /// What to do now. `chance` lies between 0 and 1 and spreads the looks of many nodes.
-    pub fn step(&mut self, now_us: u64, chance: f64) -> AuthorityStep {
-        let Some(held) = &mut self.held else { return self.look_step(now_us, chance) };
+    pub fn step(&mut self, now_us: u64, jitter_fraction: f64) -> AuthorityStep {
+        let Some(held) = &mut self.held else { return self.poll_step(now_us, jitter_fraction) };
         if held.is_refused {
             return AuthorityStep::StepDown(held.lease);
         }
         if now_us < held.next_try_us {
-            return AuthorityStep::Wait(KEEP_EVERY_US);
+            return AuthorityStep::Wait(HOLDER_CHECK_INTERVAL_US);
         }
-        held.next_try_us = now_us + RETRY_EVERY_US;
+        held.next_try_us = now_us + RENEWAL_RETRY_INTERVAL_US;
         AuthorityStep::Renew(held.lease)
     }
 
-    fn look_step(&mut self, now_us: u64, chance: f64) -> AuthorityStep {
-        let (every_us, spread_us) = match self.has_seen_holder {
-            true => (LOOK_EVERY_US, LOOK_SPREAD_US),
-            false => (FIRST_LOOK_EVERY_US, FIRST_LOOK_SPREAD_US),
+    fn poll_step(&mut self, now_us: u64, jitter_fraction: f64) -> AuthorityStep {
+        let (interval_us, jitter_us) = match self.has_observed_holder {
+            true => (POLL_INTERVAL_US, POLL_JITTER_US),
+            false => (INITIAL_POLL_INTERVAL_US, INITIAL_POLL_JITTER_US),
         };
-        let next_us = now_us + every_us + (spread_us * chance) as u64;
-        let due_us = *self.next_look_us.get_or_insert(next_us);
+        let next_us = now_us + interval_us + (jitter_us * jitter_fraction) as u64;
+        let due_us = *self.next_poll_us.get_or_insert(next_us);
         if now_us < due_us {
             return AuthorityStep::Wait(due_us - now_us);
         }
-        self.next_look_us = None;
-        AuthorityStep::Look
+        self.next_poll_us = None;
+        AuthorityStep::Poll
     }
 
     /// A look found that somebody has the authority.
-    pub fn on_holder_seen(&mut self) {
-        self.has_seen_holder = true;
+    pub fn on_holder_observed(&mut self) {
+        self.has_observed_holder = true;
     }
 
     /// The store has granted a term under a lease that was asked for at `sent_at_us`.
-    pub fn on_gained(
+    pub fn on_acquired(
         &mut self,
         lease: StoreLease,
         term: AuthorityTerm,
         now_us: u64,
         times: LeaseTimes,
     ) {
-        self.has_seen_holder = true;
-        let next_try_us = now_us + times.ttl_us / RENEWALS;
-        let (is_in_doubt, is_refused) = (false, false);
-        self.held = Some(Held { lease, term, next_try_us, is_in_doubt, is_refused });
+        self.has_observed_holder = true;
+        let next_try_us = now_us + times.ttl_us / RENEWALS_PER_LEASE;
+        let (is_unconfirmed, is_refused) = (false, false);
+        self.held = Some(Held { lease, term, next_try_us, is_unconfirmed, is_refused });
     }
 
     /// The lease was renewed by a call sent at the given time. Whether the term had run out: the
@@ -240,17 +240,17 @@
     pub fn on_renewed(&mut self, sent_at_us: u64, now_us: u64, times: LeaseTimes) -> bool {
         let Some(held) = &mut self.held else { return false };
         held.term.renew(sent_at_us, times);
-        held.next_try_us = now_us + times.ttl_us / RENEWALS;
-        std::mem::take(&mut held.is_in_doubt)
+        held.next_try_us = now_us + times.ttl_us / RENEWALS_PER_LEASE;
+        std::mem::take(&mut held.is_unconfirmed)
     }
 
     /// Whether the term has just run out without a word from the store. It gives no orders, and
     /// goes on if the lease can be renewed after all.
-    pub fn has_run_out(&mut self, now_us: u64) -> bool {
+    pub fn check_expiry(&mut self, now_us: u64) -> bool {
         let Some(held) = &mut self.held else { return false };
-        let has_run_out = held.term.is_over(now_us) && !held.is_in_doubt;
-        held.is_in_doubt |= has_run_out;
-        has_run_out
+        let is_newly_expired = held.term.has_expired(now_us) && !held.is_unconfirmed;
+        held.is_unconfirmed |= is_newly_expired;
+        is_newly_expired
     }
 
     /// The lease is over or has been given up. Returns it, and the fencing token of its term.
@@ -261,14 +261,14 @@
     /// The store has come back from an older copy: this node looks soon whether the key is there, as nobody may hold
     /// it, and at once if it has held it. Returns the fencing token of a term that is over with that.
     pub fn on_later_era(&mut self) -> Option<FencingToken> {
-        self.has_seen_holder = false;
+        self.has_observed_holder = false;
         let lost = self.on_lost().map(|(_, fence)| fence);
-        self.next_look_us = lost.map(|_| 0);
+        self.next_poll_us = lost.map(|_| 0);
         lost
     }
 
     /// The fencing token, while orders may be given.
-    pub fn fence_to_order(&self, now_us: u64) -> Option<FencingToken> {
+    pub fn fence_for_orders(&self, now_us: u64) -> Option<FencingToken> {
         let held = self.held.as_ref().filter(|held| !held.is_refused)?;
         held.term.may_order(now_us).then_some(held.term.fence)
     }
--- a/crates/serving/src/digest.rs
+++ b/crates/serving/src/digest.rs
@@ -10,7 +10,7 @@
 use crate::membership::Member;
 use crate::quota_slots::KeeperId;
 use crate::runner::Stage;
-use crate::runner_limit::LimitWord;
+use crate::runner_limit::LimitMessage;
 use crate::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -78,7 +78,7 @@
     pub keeps: Vec<KeptSlot>,
     /// What runners take from all nodes together that the node counts for all.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<LimitWord>,
+    pub limits: Vec<LimitMessage>,
     /// Whether a planned stop of the node has begun: it counts no runner's limit any more.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_stopping: bool,
--- a/crates/serving/src/fleet/beliefs.rs
+++ b/crates/serving/src/fleet/beliefs.rs
@@ -6,7 +6,7 @@
 use crate::ids::RunnerId;
 use crate::prefix::PromptPart;
 use crate::runner::{AttemptDemand, Load, LoadReport, Runner, Stage, ToldLoad};
-use crate::runner_limit::{LimitChange, LimitWord, NamedLimit};
+use crate::runner_limit::{LimitChange, LimitMessage, ReportedLimit};
 use crate::runner_notice::{Learned, RunnerNotice};
 use crate::runner_pace::{RunnerReading, Spent};
 use crate::scheduling::{RunnerLoad, Shard};
@@ -219,12 +219,12 @@
         sent_at_us: u64,
         now_us: u64,
     ) -> Option<LimitChange> {
-        self.update_limit(id, |limit| limit.on_head(notice, sent_at_us, now_us))
+        self.update_limit(id, |limit| limit.on_response_head(notice, sent_at_us, now_us))
     }
 
     /// Another node has heard what a runner takes.
-    pub fn on_limit_word(&mut self, word: &LimitWord, now_us: u64) -> Option<LimitChange> {
-        self.update_limit(&word.runner, |limit| limit.on_word(word, now_us))
+    pub fn on_limit_word(&mut self, word: &LimitMessage, now_us: u64) -> Option<LimitChange> {
+        self.update_limit(&word.runner, |limit| limit.on_message(word, now_us))
     }
 
     /// The keeper of a runner's limit has none left for a time, microseconds.
@@ -236,7 +236,7 @@
     fn update_limit<R: Default>(
         &mut self,
         id: &RunnerId,
-        update: impl FnOnce(&mut NamedLimit) -> R,
+        update: impl FnOnce(&mut ReportedLimit) -> R,
     ) -> R {
         if let Some(runner) = self.runners.get_mut(id) {
             return update(&mut runner.availability.limit);
@@ -248,9 +248,9 @@
     }
 
     /// What a runner has said that it takes; `None`: it names no limit.
-    pub fn limit_word(&self, id: &RunnerId, now_us: u64) -> Option<LimitWord> {
+    pub fn limit_word(&self, id: &RunnerId, now_us: u64) -> Option<LimitMessage> {
         let runner = self.runners.get(id)?;
-        runner.limit().map(|_| runner.availability.limit.word(id, now_us))
+        runner.limit().map(|_| runner.availability.limit.message(id, now_us))
     }
 
     /// A runner has taken up a request of this node.
--- a/crates/serving/src/limit_keeper.rs
+++ b/crates/serving/src/limit_keeper.rs
@@ -19,99 +19,99 @@
 //! that follows another within that time begins with nothing saved, and adds what it saves later to the sum, and no second rate.
 
 use crate::ids::RunnerId;
-use crate::runner_limit::{LimitQuestion, LimitVerdict, LimitWord};
+use crate::runner_limit::{LimitMessage, LimitQuery, LimitVerdict};
 use crate::runner_notice::RequestRate;
 use std::collections::BTreeMap;
 
 /// Time from the question within which a grant is used, microseconds.
-pub const GRANT_LIFE_US: u64 = 250_000;
+pub const GRANT_TTL_US: u64 = 250_000;
 /// Nodes that may be keepers of a shard's limits.
-pub const MOST_KEEPERS: usize = 4;
+pub const MAX_KEEPERS: usize = 4;
 /// Time for which a node has to be the first before it gives the first one's share, microseconds: the one before it has
 /// heard of it by then, in a digest or two, and gives no more than a second one.
-const SETTLING_US: u64 = 2_000_000;
+const SETTLING_PERIOD_US: u64 = 2_000_000;
 /// Longest time between two looks at who is the first, microseconds. A node that stood still for longer may have been
 /// replaced meanwhile, and settles anew.
-const LONGEST_GAP_US: u64 = 1_000_000;
+const MAX_CHECK_GAP_US: u64 = 1_000_000;
 /// Time whose refill a keeper saves besides one request, microseconds.
-const SAVED_TIME_US: u64 = 450_000;
+const BURST_TIME_US: u64 = 450_000;
 /// One request, in the millionths that levels are counted in.
-const ONE: u64 = 1_000_000;
-const MICROS_A_SECOND: u128 = 1_000_000;
+const ONE_REQUEST: u64 = 1_000_000;
+const MICROS_PER_SECOND: u128 = 1_000_000;
 /// Rate that is counted with at the most: beyond it a limit is none.
-const MOST_RATE: RequestRate = RequestRate(1_000_000_000_000);
+const MAX_RATE: RequestRate = RequestRate(1_000_000_000_000);
 /// Longest wait that is told, microseconds: how late a node may notice that the limit has been lifted.
-const LONGEST_WAIT_US: u64 = 2_000_000;
+const MAX_WAIT_US: u64 = 2_000_000;
 /// Time after which a runner that nobody asked for is forgotten, microseconds.
-const FORGOTTEN_AFTER_US: u64 = 30_000_000;
+const IDLE_BUCKET_TTL_US: u64 = 30_000_000;
 
 /// The part of a limit that one keeper gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeeperShare {
-    thousandths: u64,
+    per_mille: u64,
     /// What it gives at the least, millionths of a request a second.
-    least: u64,
+    min_per_second: u64,
 }
 
 impl KeeperShare {
     /// The first keeper's.
-    pub const FIRST: Self = Self { thousandths: 1_000, least: 100_000 };
+    pub const FIRST: Self = Self { per_mille: 1_000, min_per_second: 100_000 };
 
     /// That of a keeper with so many others before it; `None`: it is no keeper.
-    pub fn of_place(place: usize) -> Option<Self> {
-        const SECOND: KeeperShare = KeeperShare { thousandths: 100, least: 80_000 };
-        const LEAST_OF_OTHERS: u64 = 16_000;
-        match place {
+    pub fn at_rank(rank: usize) -> Option<Self> {
+        const SECOND: KeeperShare = KeeperShare { per_mille: 100, min_per_second: 80_000 };
+        const MIN_PER_SECOND_OF_OTHERS: u64 = 16_000;
+        match rank {
             0 => Some(Self::FIRST),
             1 => Some(SECOND),
-            place if place < MOST_KEEPERS => {
-                let thousandths = SECOND.thousandths >> (place - 1);
-                Some(Self { thousandths, least: LEAST_OF_OTHERS })
+            rank if rank < MAX_KEEPERS => {
+                let per_mille = SECOND.per_mille >> (rank - 1);
+                Some(Self { per_mille, min_per_second: MIN_PER_SECOND_OF_OTHERS })
             }
             _ => None,
         }
     }
 
     /// What it gives in a second, in millionths of a request.
-    fn a_second(self, rate: RequestRate) -> u128 {
+    fn per_second(self, rate: RequestRate) -> u128 {
         const THOUSAND: u128 = 1_000;
-        let share = u128::from(rate.0) * u128::from(self.thousandths) / THOUSAND;
-        share.max(u128::from(self.least))
+        let share = u128::from(rate.0) * u128::from(self.per_mille) / THOUSAND;
+        share.max(u128::from(self.min_per_second))
     }
 
     /// What it gives in some time, in millionths of a request.
     fn refill(self, rate: RequestRate, time_us: u64) -> u64 {
-        let all = self.a_second(rate) * u128::from(time_us);
-        u64::try_from(all / MICROS_A_SECOND).unwrap_or(u64::MAX)
+        let total = self.per_second(rate) * u128::from(time_us);
+        u64::try_from(total / MICROS_PER_SECOND).unwrap_or(u64::MAX)
     }
 
     /// The most that it saves.
-    fn most_saved(self, rate: RequestRate) -> u64 {
-        ONE + self.refill(rate, SAVED_TIME_US)
+    fn capacity(self, rate: RequestRate) -> u64 {
+        ONE_REQUEST + self.refill(rate, BURST_TIME_US)
     }
 
     /// Time in which it gives so much, microseconds.
-    fn time_for(self, rate: RequestRate, millionths: u64) -> u64 {
-        let needed = u128::from(millionths) * MICROS_A_SECOND;
-        u64::try_from(needed.div_ceil(self.a_second(rate))).unwrap_or(u64::MAX)
+    fn time_to_refill(self, rate: RequestRate, millionths: u64) -> u64 {
+        let needed = u128::from(millionths) * MICROS_PER_SECOND;
+        u64::try_from(needed.div_ceil(self.per_second(rate))).unwrap_or(u64::MAX)
     }
 }
 
 /// Since when a node has been the first keeper of a shard.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KeeperTerm {
+pub struct LimitKeeperTerm {
     first_since_us: Option<u64>,
-    looked_at_us: u64,
+    checked_at_us: u64,
 }
 
-impl KeeperTerm {
+impl LimitKeeperTerm {
     /// The node looks at its place: so many nodes that it hears of come before it.
-    pub fn on_look(&mut self, place: usize, now_us: u64) {
-        let stood_still = now_us.saturating_sub(self.looked_at_us) > LONGEST_GAP_US;
-        self.looked_at_us = now_us;
-        if place > 0 {
+    pub fn on_rank_checked(&mut self, rank: usize, now_us: u64) {
+        let was_paused = now_us.saturating_sub(self.checked_at_us) > MAX_CHECK_GAP_US;
+        self.checked_at_us = now_us;
+        if rank > 0 {
             self.first_since_us = None;
-        } else if stood_still {
+        } else if was_paused {
             self.first_since_us = Some(now_us);
         } else {
             self.first_since_us.get_or_insert(now_us);
@@ -119,11 +119,12 @@
     }
 
     /// What the node may give at its place; `None`: it is no keeper.
-    pub fn share(&self, place: usize, now_us: u64) -> Option<KeeperShare> {
-        let looked_lately = now_us.saturating_sub(self.looked_at_us) <= LONGEST_GAP_US;
-        let is_settled = self.first_since_us.is_some_and(|since| now_us >= since + SETTLING_US);
-        let is_first = place == 0 && looked_lately && is_settled;
-        KeeperShare::of_place(if is_first { 0 } else { place.max(1) })
+    pub fn share(&self, rank: usize, now_us: u64) -> Option<KeeperShare> {
+        let is_check_recent = now_us.saturating_sub(self.checked_at_us) <= MAX_CHECK_GAP_US;
+        let is_settled =
+            self.first_since_us.is_some_and(|since| now_us >= since + SETTLING_PERIOD_US);
+        let is_first = rank == 0 && is_check_recent && is_settled;
+        KeeperShare::at_rank(if is_first { 0 } else { rank.max(1) })
     }
 }
 
@@ -131,13 +132,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     rate: Option<RequestRate>,
-    heard_at_us: u64,
+    reported_at_us: u64,
     /// Left, in millionths of a request.
     level: u64,
     updated_at_us: u64,
-    asked_at_us: u64,
+    last_queried_us: u64,
     /// When the last one that was refused may ask again: the next ones come after it, not all at once.
-    last_turn_us: u64,
+    last_retry_us: u64,
 }
 
 impl Bucket {
@@ -145,52 +146,54 @@
     fn new(now_us: u64) -> Self {
         Self {
             rate: None,
-            heard_at_us: 0,
+            reported_at_us: 0,
             level: 0,
             updated_at_us: now_us,
-            asked_at_us: now_us,
-            last_turn_us: 0,
+            last_queried_us: now_us,
+            last_retry_us: 0,
         }
     }
 
     /// Takes in what the runner has said; the later word holds.
-    fn on_word(&mut self, word: &LimitWord, now_us: u64) {
-        let heard_at_us = now_us.saturating_sub(word.heard_ago_us);
-        if heard_at_us <= self.heard_at_us && self.heard_at_us > 0 {
+    fn on_message(&mut self, message: &LimitMessage, now_us: u64) {
+        let reported_at_us = now_us.saturating_sub(message.age_us);
+        if reported_at_us <= self.reported_at_us && self.reported_at_us > 0 {
             return;
         }
-        self.heard_at_us = heard_at_us;
+        self.reported_at_us = reported_at_us;
         if self.rate.is_none() {
             // What was sent while there was no limit was not counted.
             self.level = 0;
             self.updated_at_us = now_us;
         }
-        self.rate = word.rate;
+        self.rate = message.rate;
     }
 
     fn refill(&mut self, rate: RequestRate, share: KeeperShare, now_us: u64) {
-        let passed_us = now_us.saturating_sub(self.updated_at_us);
+        let elapsed_us = now_us.saturating_sub(self.updated_at_us);
         self.updated_at_us = self.updated_at_us.max(now_us);
-        let refilled = self.level.saturating_add(share.refill(rate, passed_us));
-        self.level = refilled.min(share.most_saved(rate));
+        let refilled = self.level.saturating_add(share.refill(rate, elapsed_us));
+        self.level = refilled.min(share.capacity(rate));
     }
 
-    fn take(&mut self, rate: RequestRate, share: KeeperShare, now_us: u64) -> LimitVerdict {
+    fn try_take(&mut self, rate: RequestRate, share: KeeperShare, now_us: u64) -> LimitVerdict {
         self.refill(rate, share, now_us);
-        if self.level >= ONE {
-            self.level -= ONE;
+        if self.level >= ONE_REQUEST {
+            self.level -= ONE_REQUEST;
             return LimitVerdict::Granted;
         }
-        let first_us = now_us.saturating_add(share.time_for(rate, ONE - self.level));
-        let after_last_us = self.last_turn_us.saturating_add(share.time_for(rate, ONE));
-        let turn_us = first_us.max(after_last_us).min(now_us + LONGEST_WAIT_US);
-        self.last_turn_us = turn_us;
-        LimitVerdict::Refused { wait_us: turn_us.saturating_sub(now_us) }
+        let refilled_us =
+            now_us.saturating_add(share.time_to_refill(rate, ONE_REQUEST - self.level));
+        let after_last_us =
+            self.last_retry_us.saturating_add(share.time_to_refill(rate, ONE_REQUEST));
+        let retry_us = refilled_us.max(after_last_us).min(now_us + MAX_WAIT_US);
+        self.last_retry_us = retry_us;
+        LimitVerdict::Refused { wait_us: retry_us.saturating_sub(now_us) }
     }
 }
 
-fn counted(rate: RequestRate) -> RequestRate {
-    rate.min(MOST_RATE)
+fn capped(rate: RequestRate) -> RequestRate {
+    rate.min(MAX_RATE)
 }
 
 /// What one node counts as a keeper.
@@ -201,28 +204,29 @@
 
 impl LimitKeeper {
     /// A node has heard what a runner takes.
-    pub fn on_word(&mut self, word: &LimitWord, now_us: u64) {
-        let bucket = self.buckets.entry(word.runner.clone()).or_insert_with(|| Bucket::new(now_us));
-        bucket.on_word(word, now_us);
-        bucket.asked_at_us = now_us;
+    pub fn on_message(&mut self, message: &LimitMessage, now_us: u64) {
+        let bucket =
+            self.buckets.entry(message.runner.clone()).or_insert_with(|| Bucket::new(now_us));
+        bucket.on_message(message, now_us);
+        bucket.last_queried_us = now_us;
     }
 
     /// A node asks whether it may send a request.
-    pub fn on_question(
+    pub fn on_query(
         &mut self,
-        question: &LimitQuestion,
+        query: &LimitQuery,
         share: KeeperShare,
         now_us: u64,
     ) -> LimitVerdict {
-        self.on_word(&question.word, now_us);
-        let Some(bucket) = self.buckets.get_mut(&question.word.runner) else {
+        self.on_message(&query.message, now_us);
+        let Some(bucket) = self.buckets.get_mut(&query.message.runner) else {
             return LimitVerdict::NotKeeper;
         };
         match bucket.rate {
-            Some(rate) => bucket.take(counted(rate), share, now_us),
+            Some(rate) => bucket.try_take(capped(rate), share, now_us),
             None => {
-                let heard_ago_us = now_us.saturating_sub(bucket.heard_at_us);
-                LimitVerdict::Lifted { heard_ago_us }
+                let age_us = now_us.saturating_sub(bucket.reported_at_us);
+                LimitVerdict::Lifted { age_us }
             }
         }
     }
@@ -233,31 +237,31 @@
     }
 
     /// Runners that have none left now, at a keeper with this share.
-    pub fn short(&self, share: KeeperShare, now_us: u64) -> Vec<RunnerId> {
-        let is_short = |(runner, bucket): (&RunnerId, &Bucket)| {
+    pub fn exhausted(&self, share: KeeperShare, now_us: u64) -> Vec<RunnerId> {
+        let is_exhausted = |(runner, bucket): (&RunnerId, &Bucket)| {
             let mut bucket = *bucket;
-            bucket.refill(counted(bucket.rate?), share, now_us);
-            (bucket.level < ONE).then(|| runner.clone())
+            bucket.refill(capped(bucket.rate?), share, now_us);
+            (bucket.level < ONE_REQUEST).then(|| runner.clone())
         };
-        self.buckets.iter().filter_map(is_short).collect()
+        self.buckets.iter().filter_map(is_exhausted).collect()
     }
 
     /// What the runners have said that are known here, the latest words first, so many at most.
-    pub fn words(&self, most: usize, now_us: u64) -> Vec<LimitWord> {
-        let word = |(runner, bucket): (&RunnerId, &Bucket)| LimitWord {
+    pub fn messages(&self, max_count: usize, now_us: u64) -> Vec<LimitMessage> {
+        let message = |(runner, bucket): (&RunnerId, &Bucket)| LimitMessage {
             runner: runner.clone(),
             rate: bucket.rate,
-            heard_ago_us: now_us.saturating_sub(bucket.heard_at_us),
+            age_us: now_us.saturating_sub(bucket.reported_at_us),
         };
-        let mut words: Vec<LimitWord> = self.buckets.iter().map(word).collect();
-        words.sort_by_key(|word| word.heard_ago_us);
-        words.truncate(most);
-        words
+        let mut messages: Vec<LimitMessage> = self.buckets.iter().map(message).collect();
+        messages.sort_by_key(|message| message.age_us);
+        messages.truncate(max_count);
+        messages
     }
 
     /// Forgets runners that nobody has asked for lately.
-    pub fn sweep(&mut self, now_us: u64) {
+    pub fn remove_idle(&mut self, now_us: u64) {
         self.buckets
-            .retain(|_, bucket| now_us < bucket.asked_at_us.saturating_add(FORGOTTEN_AFTER_US));
+            .retain(|_, bucket| now_us < bucket.last_queried_us.saturating_add(IDLE_BUCKET_TTL_US));
     }
 }
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -31,14 +31,14 @@
 /// after which the users' nodes count as in touch. Other nodes are told at once.
 const FIRST_WRITE_DELAY_US: u64 = 1_000_000;
 /// Entries that a transaction of the store takes.
-pub const MOST_IN_A_WRITE: usize = 32;
+pub const MAX_ENTRIES_PER_WRITE: usize = 32;
 /// Requests that are remembered. On a day of the aim (letter 1) 13 machines fail: with four runners each
 /// and 64 requests under way at each some 3,300 requests, worked out.
-pub const MOST_REQUESTS: usize = 4_096;
+pub const MAX_TRACKED_REQUESTS: usize = 4_096;
 /// Crashes of cleared requests that are remembered, in case an older copy of the store brings them back.
-const MOST_CLEARED: usize = 4_096;
+const MAX_CLEARED_CRASHES: usize = 4_096;
 /// Time after which a crash is forgotten, milliseconds: the users count over the rest of a day.
-pub const REMEMBERED_MS: u64 = 24 * 60 * 60 * 1_000;
+pub const CRASH_TTL_MS: u64 = 24 * 60 * 60 * 1_000;
 
 /// A runner ended while a request was under way there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -58,7 +58,7 @@
 
 /// What a node tells all others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CrashWord {
+pub enum CrashMessage {
     /// A runner ended with these requests under way.
     #[serde(rename = "ended")]
     Ended {
@@ -80,18 +80,18 @@
 
 /// How a crash is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Known {
+enum CrashState {
     /// This node has seen it and will write it at `due_us`.
     Unwritten { due_us: u64 },
     /// Another node has told of it.
-    Told,
+    Reported,
     /// It lies in the store.
     Stored,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct KnownCrash {
-    known: Known,
+struct TrackedCrash {
+    state: CrashState,
     record: CrashRecord,
 }
 
@@ -122,11 +122,11 @@
 /// All requests under which runners have ended, as far as a node knows.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    requests: HashMap<RequestIdentity, BTreeMap<RunnerId, KnownCrash>>,
+    requests: HashMap<RequestIdentity, BTreeMap<RunnerId, TrackedCrash>>,
     /// Entries of the store that are to be removed.
     to_remove: BTreeSet<Crash>,
     /// Entries of the store that there was no room for here.
-    without_room: BTreeSet<Crash>,
+    evicted: BTreeSet<Crash>,
     /// Crashes of requests that were cleared, the latest last.
     cleared: VecDeque<ClearedCrash>,
 }
@@ -145,35 +145,36 @@
     }
 
     /// This node has seen a crash.
-    pub fn on_seen(&mut self, crash: &Crash, at_ms: u64, now_us: u64) -> CrashChange {
-        let is_first = self.crashes(crash.request) == 0;
+    pub fn on_observed(&mut self, crash: &Crash, at_ms: u64, now_us: u64) -> CrashChange {
+        let is_first = self.crash_count(crash.request) == 0;
         let due_us = if is_first { now_us + FIRST_WRITE_DELAY_US } else { now_us };
         let record = CrashRecord { at_ms };
-        let change = self.count(crash, KnownCrash { known: Known::Unwritten { due_us }, record });
+        let change =
+            self.count(crash, TrackedCrash { state: CrashState::Unwritten { due_us }, record });
         if change != CrashChange::None && !is_first {
-            self.hasten(crash.request, now_us);
+            self.expedite_writes(crash.request, now_us);
         }
-        if self.crashes(crash.request) >= CRASHES_TO_QUARANTINE {
-            self.write_told(crash.request, now_us);
+        if self.crash_count(crash.request) >= CRASHES_TO_QUARANTINE {
+            self.write_reported(crash.request, now_us);
         }
         change
     }
 
     /// What other nodes have told of a request in quarantine is written by the node that saw its last
     /// crash too: they may have died before they wrote it.
-    fn write_told(&mut self, request: RequestIdentity, now_us: u64) {
+    fn write_reported(&mut self, request: RequestIdentity, now_us: u64) {
         let crashes = self.requests.get_mut(&request).into_iter().flat_map(BTreeMap::values_mut);
-        for crash in crashes.filter(|crash| crash.known == Known::Told) {
-            crash.known = Known::Unwritten { due_us: now_us };
+        for crash in crashes.filter(|crash| crash.state == CrashState::Reported) {
+            crash.state = CrashState::Unwritten { due_us: now_us };
         }
     }
 
     /// Another node has told of a crash.
-    pub fn on_told(&mut self, crash: &Crash, at_ms: u64, now_us: u64) -> CrashChange {
+    pub fn on_reported(&mut self, crash: &Crash, at_ms: u64, now_us: u64) -> CrashChange {
         let record = CrashRecord { at_ms };
-        let change = self.count(crash, KnownCrash { known: Known::Told, record });
+        let change = self.count(crash, TrackedCrash { state: CrashState::Reported, record });
         if change != CrashChange::None {
-            self.hasten(crash.request, now_us);
+            self.expedite_writes(crash.request, now_us);
         }
         change
     }
@@ -184,19 +185,21 @@
         if self.to_remove.contains(crash) {
             return CrashChange::None;
         }
-        self.count(crash, KnownCrash { known: Known::Stored, record })
+        self.count(crash, TrackedCrash { state: CrashState::Stored, record })
     }
 
-    fn count(&mut self, crash: &Crash, known: KnownCrash) -> CrashChange {
-        let is_full = self.requests.len() >= MOST_REQUESTS;
+    fn count(&mut self, crash: &Crash, known: TrackedCrash) -> CrashChange {
+        let is_full = self.requests.len() >= MAX_TRACKED_REQUESTS;
         if is_full && !self.requests.contains_key(&crash.request) {
-            self.make_room();
+            self.evict_weakest();
         }
         let crashes = self.requests.entry(crash.request).or_default();
         let before = crashes.insert(crash.runner.clone(), known);
         match before {
             // What the store has is never taken for unwritten again.
-            Some(before) if before.known == Known::Stored || known.known != Known::Stored => {
+            Some(before)
+                if before.state == CrashState::Stored || known.state != CrashState::Stored =>
+            {
                 crashes.insert(crash.runner.clone(), before);
                 CrashChange::None
             }
@@ -208,30 +211,30 @@
 
     /// Forgets the request with the fewest crashes, the oldest among equals: a flood of requests with
     /// one crash each cannot free one that has more.
-    fn make_room(&mut self) {
-        let age = |crashes: &BTreeMap<RunnerId, KnownCrash>| {
+    fn evict_weakest(&mut self) {
+        let age = |crashes: &BTreeMap<RunnerId, TrackedCrash>| {
             crashes.values().map(|crash| crash.record.at_ms).max()
         };
         let weakest = self.requests.iter().min_by_key(|(_, crashes)| (crashes.len(), age(crashes)));
         let Some(request) = weakest.map(|(request, _)| *request) else { return };
-        let stored = self.take_stored(request);
-        self.without_room.extend(stored);
-        while self.without_room.len() > MOST_REQUESTS {
-            self.without_room.pop_last();
+        let stored = self.remove_request(request);
+        self.evicted.extend(stored);
+        while self.evicted.len() > MAX_TRACKED_REQUESTS {
+            self.evicted.pop_last();
         }
     }
 
     /// Takes a request out; returns those of its crashes that are in the store.
-    fn take_stored(&mut self, request: RequestIdentity) -> Vec<Crash> {
+    fn remove_request(&mut self, request: RequestIdentity) -> Vec<Crash> {
         let crashes = self.requests.remove(&request).unwrap_or_default();
-        let stored = crashes.into_iter().filter(|(_, crash)| crash.known == Known::Stored);
+        let stored = crashes.into_iter().filter(|(_, crash)| crash.state == CrashState::Stored);
         stored.map(|(runner, _)| Crash { request, runner }).collect()
     }
 
     /// Crashes of a request that wait to be written wait no longer: it is not the first any more.
-    fn hasten(&mut self, request: RequestIdentity, now_us: u64) {
+    fn expedite_writes(&mut self, request: RequestIdentity, now_us: u64) {
         for crash in self.requests.get_mut(&request).into_iter().flat_map(BTreeMap::values_mut) {
-            if let Known::Unwritten { due_us } = &mut crash.known {
+            if let CrashState::Unwritten { due_us } = &mut crash.state {
                 *due_us = (*due_us).min(now_us);
             }
         }
@@ -249,9 +252,9 @@
     }
 
     /// These are all crashes in the store; others that were there are gone.
-    pub fn on_all_stored(&mut self, stored: &[(Crash, CrashRecord)]) {
+    pub fn on_store_snapshot(&mut self, stored: &[(Crash, CrashRecord)]) {
         for crashes in self.requests.values_mut() {
-            crashes.retain(|_, crash| crash.known != Known::Stored);
+            crashes.retain(|_, crash| crash.state != CrashState::Stored);
         }
         self.requests.retain(|_, crashes| !crashes.is_empty());
         for (crash, record) in stored {
@@ -261,10 +264,10 @@
 
     /// These are all crashes in a store that has come back from an older copy. What it has lost is written again from
     /// `due_us` on, unless another node does so sooner.
-    pub fn on_store_came_back(&mut self, stored: &[(Crash, CrashRecord)], due_us: u64) {
+    pub fn on_store_restored(&mut self, stored: &[(Crash, CrashRecord)], due_us: u64) {
         for crash in self.requests.values_mut().flat_map(BTreeMap::values_mut) {
-            if crash.known == Known::Stored {
-                crash.known = Known::Unwritten { due_us };
+            if crash.state == CrashState::Stored {
+                crash.state = CrashState::Unwritten { due_us };
             }
         }
         for (crash, record) in stored {
@@ -277,7 +280,7 @@
     }
 
     /// Another node has cleared a request, and removes what the store has of it.
-    pub fn on_cleared_elsewhere(&mut self, request: RequestIdentity) {
+    pub fn on_cleared_by_peer(&mut self, request: RequestIdentity) {
         self.remember_cleared(request, false);
         self.requests.remove(&request);
     }
@@ -286,7 +289,7 @@
         let runners = self.requests.get(&request).into_iter().flat_map(BTreeMap::keys);
         let cleared = runners.map(|runner| Crash { request, runner: runner.clone() });
         self.cleared.extend(cleared.map(|crash| ClearedCrash { crash, is_own }));
-        let surplus = self.cleared.len().saturating_sub(MOST_CLEARED);
+        let surplus = self.cleared.len().saturating_sub(MAX_CLEARED_CRASHES);
         self.cleared.drain(..surplus);
     }
 
@@ -294,44 +297,43 @@
     pub fn clear(&mut self, request: RequestIdentity) -> bool {
         let is_known = self.requests.contains_key(&request);
         self.remember_cleared(request, true);
-        let stored = self.take_stored(request);
+        let stored = self.remove_request(request);
         self.to_remove.extend(stored);
         is_known
     }
 
     /// Runners that have ended under a request.
-    pub fn crashes(&self, request: RequestIdentity) -> usize {
+    pub fn crash_count(&self, request: RequestIdentity) -> usize {
         self.requests.get(&request).map_or(0, BTreeMap::len)
     }
 
     /// Whether a request reaches no runner any more. `in_doubt`: runners that have broken it off just
     /// now and whose crash is not proved; they count until it is known.
-    pub fn holds<'a>(
+    pub fn is_quarantined<'a>(
         &self,
         request: RequestIdentity,
-        in_doubt: impl Iterator<Item = &'a RunnerId>,
+        suspected: impl Iterator<Item = &'a RunnerId>,
     ) -> bool {
         let crashes = self.requests.get(&request);
         let is_counted =
             |runner: &&RunnerId| crashes.is_some_and(|crashes| crashes.contains_key(*runner));
-        let doubted = in_doubt.filter(|runner| !is_counted(runner)).count();
-        crashes.map_or(0, BTreeMap::len) + doubted >= CRASHES_TO_QUARANTINE
+        let suspected_count = suspected.filter(|runner| !is_counted(runner)).count();
+        crashes.map_or(0, BTreeMap::len) + suspected_count >= CRASHES_TO_QUARANTINE
     }
 
     /// Crashes that are to be written now, one write's worth.
     pub fn due_writes(&self, now_us: u64) -> Vec<(Crash, CrashRecord)> {
-        let is_due =
-            |known: Known| matches!(known, Known::Unwritten { due_us } if due_us <= now_us);
-        let due = self.all().filter(|(_, crash)| is_due(crash.known));
-        due.take(MOST_IN_A_WRITE).map(|(crash, known)| (crash, known.record)).collect()
+        let is_due = |state: CrashState| matches!(state, CrashState::Unwritten { due_us } if due_us <= now_us);
+        let due = self.all().filter(|(_, crash)| is_due(crash.state));
+        due.take(MAX_ENTRIES_PER_WRITE).map(|(crash, known)| (crash, known.record)).collect()
     }
 
     /// When the next crash is to be written, microseconds; `None`: none waits.
     pub fn next_write_us(&self) -> Option<u64> {
         let due = self.requests.values().flat_map(BTreeMap::values).filter_map(|crash| match crash
-            .known
+            .state
         {
-            Known::Unwritten { due_us } => Some(due_us),
+            CrashState::Unwritten { due_us } => Some(due_us),
             _ => None,
         });
         due.min()
@@ -339,7 +341,7 @@
 
     /// Entries that are to be removed from the store, one write's worth.
     pub fn due_removals(&self) -> Vec<Crash> {
-        self.to_remove.iter().take(MOST_IN_A_WRITE).cloned().collect()
+        self.to_remove.iter().take(MAX_ENTRIES_PER_WRITE).cloned().collect()
     }
 
     /// Crashes were written. One whose request has been cleared meanwhile is to be removed again.
@@ -366,9 +368,10 @@
 
     /// Has crashes removed from the store that are older than [`REMEMBERED_MS`], or that there is no room for:
     /// the work of one node for all.
-    pub fn tidy_store(&mut self, now_ms: u64) {
-        self.to_remove.append(&mut self.without_room);
-        let is_old = |crash: &KnownCrash| now_ms > crash.record.at_ms.saturating_add(REMEMBERED_MS);
+    pub fn schedule_removals(&mut self, now_ms: u64) {
+        self.to_remove.append(&mut self.evicted);
+        let is_old =
+            |crash: &TrackedCrash| now_ms > crash.record.at_ms.saturating_add(CRASH_TTL_MS);
         let old: Vec<Crash> =
             self.all().filter(|(_, crash)| is_old(crash)).map(|(crash, _)| crash).collect();
         for crash in old {
@@ -379,24 +382,25 @@
 
     /// All requests under which runners have ended, those with most crashes first.
     pub fn suspects(&self) -> Vec<SuspectRequest> {
-        let suspect = |(identity, crashes): (&RequestIdentity, &BTreeMap<RunnerId, KnownCrash>)| {
-            SuspectRequest {
-                identity: *identity,
-                quarantined: crashes.len() >= CRASHES_TO_QUARANTINE,
-                runners: crashes.keys().cloned().collect(),
-                last_crash_ms: crashes
-                    .values()
-                    .map(|crash| crash.record.at_ms)
-                    .max()
-                    .unwrap_or_default(),
-            }
-        };
+        let suspect =
+            |(identity, crashes): (&RequestIdentity, &BTreeMap<RunnerId, TrackedCrash>)| {
+                SuspectRequest {
+                    identity: *identity,
+                    quarantined: crashes.len() >= CRASHES_TO_QUARANTINE,
+                    runners: crashes.keys().cloned().collect(),
+                    last_crash_ms: crashes
+                        .values()
+                        .map(|crash| crash.record.at_ms)
+                        .max()
+                        .unwrap_or_default(),
+                }
+            };
         let mut suspects: Vec<SuspectRequest> = self.requests.iter().map(suspect).collect();
         suspects.sort_by_key(|it| (std::cmp::Reverse(it.runners.len()), it.identity));
         suspects
     }
 
-    fn all(&self) -> impl Iterator<Item = (Crash, KnownCrash)> + '_ {
+    fn all(&self) -> impl Iterator<Item = (Crash, TrackedCrash)> + '_ {
         self.requests.iter().flat_map(|(request, crashes)| {
             crashes.iter().map(|(runner, known)| {
                 (Crash { request: *request, runner: runner.clone() }, *known)
--- a/crates/serving/src/request_identity.rs
+++ b/crates/serving/src/request_identity.rs
@@ -45,8 +45,8 @@
         let tenant = parts.tenant.map_or("", TenantName::as_str);
         let host = parts.host.to_ascii_lowercase();
         let path = parts.target.split('?').next().unwrap_or_default();
-        let asked = if parts.body.is_empty() { parts.target } else { path };
-        let fields = [parts.method, &host, asked, tenant];
+        let resource = if parts.body.is_empty() { parts.target } else { path };
+        let fields = [parts.method, &host, resource, tenant];
         let mut hash = Sha256::new();
         for field in fields.map(str::as_bytes).into_iter().chain([parts.body]) {
             // The length before each field keeps the end of one from passing for the start of the next.
@@ -87,8 +87,9 @@
             return Err(InvalidIdentity);
         }
         let mut identity = [0; IDENTITY_BYTES];
-        for (byte, place) in identity.iter_mut().zip((0..digits.len()).step_by(2)) {
-            *byte = u8::from_str_radix(&text[place..place + 2], 16).map_err(|_| InvalidIdentity)?;
+        for (byte, offset) in identity.iter_mut().zip((0..digits.len()).step_by(2)) {
+            *byte =
+                u8::from_str_radix(&text[offset..offset + 2], 16).map_err(|_| InvalidIdentity)?;
         }
         Ok(Self(identity))
     }
--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -15,14 +15,14 @@
     /// Extra attempts allowed for each request.
     pub ratio: f64,
     /// Most extra attempts that this node saves up, see [`RetryPolicy::part_of_slack`].
-    pub most_saved: f64,
+    pub max_saved: f64,
 }
 
 impl RetryPolicy {
     /// A node's part of the slack that a fleet of so many nodes shares. A node that knows of no
     /// other may only not have met them yet, so it saves no more than one attempt.
-    pub fn part_of_slack(slack: f64, nodes: usize) -> f64 {
-        let part = slack * SAVED_SHARE / nodes.max(1) as f64;
+    pub fn node_slack(slack: f64, nodes: usize) -> f64 {
+        let part = slack * SAVABLE_SLACK_SHARE / nodes.max(1) as f64;
         if nodes < 2 {
             return part.min(1.0);
         }
@@ -32,11 +32,11 @@
 
 /// Share of the slack that all nodes together may save. The rest covers extra attempts that were
 /// sent before a window and arrive in it, and nodes that do not know all others yet.
-const SAVED_SHARE: f64 = 0.75;
+const SAVABLE_SLACK_SHARE: f64 = 0.75;
 
 /// Share of the ratio that a request earns. The rest covers requests that a client sent before a
 /// window and that a node read only in it, as after a pause of the node.
-const EARNED_SHARE: f64 = 0.9;
+const EARNED_RATIO_SHARE: f64 = 0.9;
 
 /// The budget of one node for one service.
 #[derive(Clone, Debug)]
@@ -55,17 +55,17 @@
     /// Changes the bounds; what was saved beyond them is lost.
     pub fn set_policy(&mut self, policy: RetryPolicy) {
         self.policy = policy;
-        self.saved = self.saved.min(policy.most_saved);
+        self.saved = self.saved.min(policy.max_saved);
     }
 
     /// A request for the service was taken from a client.
     pub fn on_request(&mut self) {
-        self.add(self.policy.ratio * EARNED_SHARE);
+        self.add(self.policy.ratio * EARNED_RATIO_SHARE);
     }
 
     /// Takes one extra attempt, if there is one.
     pub fn withdraw(&mut self) -> bool {
-        if !self.allows_one() {
+        if !self.has_attempt() {
             return false;
         }
         self.saved -= 1.0;
@@ -78,12 +78,12 @@
     }
 
     /// Whether an extra attempt could be made now.
-    pub fn allows_one(&self) -> bool {
+    pub fn has_attempt(&self) -> bool {
         self.saved >= 1.0
     }
 
     fn add(&mut self, attempts: f64) {
-        self.saved = (self.saved + attempts).min(self.policy.most_saved);
+        self.saved = (self.saved + attempts).min(self.policy.max_saved);
     }
 }
 
@@ -106,7 +106,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ArrivalLedger {
     has_arrived: bool,
-    has_been_read: bool,
+    has_tried_prefill: bool,
 }
 
 impl ArrivalLedger {
@@ -119,9 +119,9 @@
     }
 
     /// The request goes to a runner that is to read it.
-    pub fn on_reading(&mut self) -> ArrivalCost {
-        let has_been_read = std::mem::replace(&mut self.has_been_read, true);
-        match (has_been_read, self.has_arrived) {
+    pub fn on_prefill(&mut self) -> ArrivalCost {
+        let has_tried_prefill = std::mem::replace(&mut self.has_tried_prefill, true);
+        match (has_tried_prefill, self.has_arrived) {
             (true, _) => ArrivalCost::Extra,
             (false, true) => ArrivalCost::Deposit,
             (false, false) => ArrivalCost::Free,
@@ -129,7 +129,7 @@
     }
 
     /// A reading was not taken up, or nobody knows: then it has been an arrival.
-    pub fn on_reading_not_taken(&mut self) {
+    pub fn on_prefill_not_accepted(&mut self) {
         self.has_arrived = true;
     }
 }
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -190,13 +190,13 @@
     /// not used up as far as is known.
     pub fn is_open_to_plans(&self, now_us: u64) -> bool {
         self.takes_work_from_here(now_us)
-            && self.availability.limit.short_until_us(now_us).is_none()
+            && self.availability.limit.throttled_until_us(now_us).is_none()
     }
 
     /// Until when this node gets nothing there because of a rest or a limit, microseconds; `None`: it may.
     pub fn withheld_until_us(&self, now_us: u64) -> Option<u64> {
         let rests_until_us = self.availability.rests_until_us(now_us);
-        rests_until_us.max(self.availability.limit.short_until_us(now_us))
+        rests_until_us.max(self.availability.limit.throttled_until_us(now_us))
     }
 
     /// What it takes from all nodes together, by its own word; `None`: as much as comes.
--- a/crates/serving/src/runner_limit.rs
+++ b/crates/serving/src/runner_limit.rs
@@ -12,76 +12,78 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
     /// The runner names this limit, and named none or another one before.
-    Named(RequestRate),
+    Set(RequestRate),
     /// It names none any more.
     Lifted,
 }
 
 /// What one life of a runner takes from all nodes together, as far as this node knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct NamedLimit {
+pub struct ReportedLimit {
     /// `None`: as much as comes.
     rate: Option<RequestRate>,
     /// When the answer came that says so, at this node or another one, microseconds.
-    heard_at_us: u64,
+    reported_at_us: u64,
     /// No request may be sent before, as the keeper had none left; microseconds.
-    short_until_us: u64,
+    throttled_until_us: u64,
 }
 
-impl NamedLimit {
+impl ReportedLimit {
     /// The head of an answer has come, to a request that was sent at `sent_at_us`.
     ///
     /// Answers pass each other on different connections. One to a request from before the last word may have been
     /// given before that word, so it can lower a limit, but not raise or end it.
-    pub fn on_head(
+    pub fn on_response_head(
         &mut self,
         notice: RunnerNotice,
         sent_at_us: u64,
         now_us: u64,
     ) -> Option<LimitChange> {
-        let is_later = self.rate.is_none() || sent_at_us > self.heard_at_us;
+        let is_later = self.rate.is_none() || sent_at_us > self.reported_at_us;
         match (notice.limit, self.rate) {
             // What is no rate says neither that there is a limit nor that there is none.
             (None, _) if notice.malformed => None,
             (None, Some(_)) if is_later => self.set(None, now_us),
             (None, _) => None,
-            (Some(named), _) if is_later => self.set(Some(named), now_us),
-            (Some(named), known) => self.set(known.map(|known| known.min(named)), now_us),
+            (Some(reported), _) if is_later => self.set(Some(reported), now_us),
+            (Some(reported), current) => {
+                self.set(current.map(|current| current.min(reported)), now_us)
+            }
         }
     }
 
     /// Another node has heard a word of the runner. The later one holds.
-    pub fn on_word(&mut self, word: &LimitWord, now_us: u64) -> Option<LimitChange> {
-        let heard_at_us = now_us.saturating_sub(word.heard_ago_us);
-        if heard_at_us <= self.heard_at_us {
+    pub fn on_message(&mut self, message: &LimitMessage, now_us: u64) -> Option<LimitChange> {
+        let reported_at_us = now_us.saturating_sub(message.age_us);
+        if reported_at_us <= self.reported_at_us {
             return None;
         }
-        self.set(word.rate, heard_at_us)
+        self.set(message.rate, reported_at_us)
     }
 
-    fn set(&mut self, rate: Option<RequestRate>, heard_at_us: u64) -> Option<LimitChange> {
+    fn set(&mut self, rate: Option<RequestRate>, reported_at_us: u64) -> Option<LimitChange> {
         let before = std::mem::replace(&mut self.rate, rate);
-        self.heard_at_us = heard_at_us;
+        self.reported_at_us = reported_at_us;
         if before == rate {
             return None;
         }
-        Some(rate.map_or(LimitChange::Lifted, LimitChange::Named))
+        Some(rate.map_or(LimitChange::Lifted, LimitChange::Set))
     }
 
     /// The keeper has none left before so long, microseconds.
     pub fn on_refused(&mut self, wait_us: u64, now_us: u64) {
-        self.short_until_us = now_us.saturating_add(wait_us);
+        self.throttled_until_us = now_us.saturating_add(wait_us);
     }
 
     /// Until when no request may be sent, microseconds; `None`: one may be asked for.
-    pub fn short_until_us(&self, now_us: u64) -> Option<u64> {
-        (self.rate.is_some() && now_us < self.short_until_us).then_some(self.short_until_us)
+    pub fn throttled_until_us(&self, now_us: u64) -> Option<u64> {
+        (self.rate.is_some() && now_us < self.throttled_until_us).then_some(self.throttled_until_us)
     }
 
     /// What the runner has said, as it is told to other nodes.
-    pub fn word(&self, runner: &RunnerId, now_us: u64) -> LimitWord {
-        let heard_ago_us = now_us.saturating_sub(self.heard_at_us);
-        LimitWord { runner: runner.clone(), rate: self.rate, heard_ago_us }
+    pub fn message(&self, runner: &RunnerId, now_us: u64) -> LimitMessage {
+        let age_us = now_us.saturating_sub(self.reported_at_us);
+        LimitMessage { runner: runner.clone(), rate: self.rate, age_us }
     }
 
     /// The limit; `None`: it names none.
@@ -92,7 +94,7 @@
 
 /// A runner has said what it takes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitWord {
+pub struct LimitMessage {
     /// The life of the runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
@@ -101,18 +103,18 @@
     pub rate: Option<RequestRate>,
     /// Time since the answer came that says so, microseconds.
     #[serde(rename = "a", default)]
-    pub heard_ago_us: u64,
+    pub age_us: u64,
 }
 
 /// A node asks whether it may send one request to a runner that names a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitQuestion {
+pub struct LimitQuery {
     /// Identifies the question at the asking node.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// What the runner has said to the asking node.
     #[serde(rename = "w")]
-    pub word: LimitWord,
+    pub message: LimitMessage,
 }
 
 /// What the keeper of a limit decides.
@@ -133,7 +135,7 @@
     Lifted {
         /// Microseconds since then.
         #[serde(rename = "a")]
-        heard_ago_us: u64,
+        age_us: u64,
     },
     /// The node is no keeper of this limit.
     #[serde(rename = "n")]
@@ -142,7 +144,7 @@
 
 /// A keeper's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitAnswer {
+pub struct LimitReply {
     /// The question.
     #[serde(rename = "i")]
     pub ticket: Ticket,
--- a/crates/serving/src/runner_notice.rs
+++ b/crates/serving/src/runner_notice.rs
@@ -5,7 +5,7 @@
 //! takes back what the other has said. A rest is asked of one node, and ends by its time alone.
 
 use crate::ids::RunnerId;
-use crate::runner_limit::NamedLimit;
+use crate::runner_limit::ReportedLimit;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -73,7 +73,7 @@
     /// no try: a stream may go on for many seconds.
     is_tried: bool,
     /// What it takes from all nodes together.
-    pub(crate) limit: NamedLimit,
+    pub(crate) limit: ReportedLimit,
 }
 
 impl Availability {
--- a/crates/serving/src/tenancy.rs
+++ b/crates/serving/src/tenancy.rs
@@ -48,8 +48,8 @@
             return None;
         }
         let mut bytes = [0; DIGEST_BYTES];
-        for (byte, place) in bytes.iter_mut().zip((0..text.len()).step_by(2)) {
-            *byte = u8::from_str_radix(&text[place..place + 2], 16).ok()?;
+        for (byte, offset) in bytes.iter_mut().zip((0..text.len()).step_by(2)) {
+            *byte = u8::from_str_radix(&text[offset..offset + 2], 16).ok()?;
         }
         Some(Self(bytes))
     }
@@ -89,7 +89,7 @@
 pub struct Tenants {
     by_key: HashMap<KeyDigest, Rc<Tenant>>,
     count: usize,
-    limited: usize,
+    limited_count: usize,
 }
 
 impl Tenants {
@@ -97,7 +97,7 @@
     pub fn add(&mut self, tenant: Tenant, keys: impl IntoIterator<Item = KeyDigest>) {
         let tenant = Rc::new(tenant);
         self.count += 1;
-        self.limited += usize::from(tenant.limit.is_some());
+        self.limited_count += usize::from(tenant.limit.is_some());
         for key in keys {
             self.by_key.insert(key, tenant.clone());
         }
@@ -110,7 +110,7 @@
 
     /// Whether any tenant has a limit.
     pub fn has_limits(&self) -> bool {
-        self.limited > 0
+        self.limited_count > 0
     }
 
     /// Whether the configuration knows no tenants: then no request needs a key.
@@ -119,29 +119,29 @@
     }
 
     /// The tenant that holds a key.
-    pub fn holder_of(&self, key: &KeyDigest) -> Option<&Rc<Tenant>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Rc<Tenant>> {
         self.by_key.get(key)
     }
 }
 
 /// How far a node may rely on its copy of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CopyAge {
+pub struct ReplicaAge {
     /// Milliseconds since the store confirmed it; `None`: it never has.
-    pub confirmed_ms: Option<u64>,
+    pub confirmed_ago_ms: Option<u64>,
     /// Whether another node is known to have seen a later one.
     pub is_behind: bool,
 }
 
-impl CopyAge {
+impl ReplicaAge {
     /// Whether what the copy does not hold is not there: it was confirmed within the time in which a
     /// version comes into force, and nobody has seen a later one.
-    pub fn is_relied_on(&self, config_apply_ms: u64) -> bool {
+    pub fn is_current(&self, config_apply_ms: u64) -> bool {
         !self.is_behind && self.is_confirmed_within(config_apply_ms)
     }
 
     fn is_confirmed_within(&self, limit_ms: u64) -> bool {
-        self.confirmed_ms.is_some_and(|age_ms| age_ms <= limit_ms)
+        self.confirmed_ago_ms.is_some_and(|age_ms| age_ms <= limit_ms)
     }
 }
 
@@ -178,7 +178,7 @@
     tenants: &Tenants,
     route_is_public: bool,
     credential: Credential,
-    copy: CopyAge,
+    replica: ReplicaAge,
     policy: KeyPolicy,
 ) -> Access {
     if tenants.is_empty() {
@@ -190,12 +190,14 @@
         Credential::Absent | Credential::Malformed => return Access::Denied,
         Credential::Key(key) => key,
     };
-    match tenants.holder_of(&key) {
-        Some(_) if policy.revoke_ms.is_some_and(|limit_ms| !copy.is_confirmed_within(limit_ms)) => {
+    match tenants.find_by_key(&key) {
+        Some(_)
+            if policy.revoke_ms.is_some_and(|limit_ms| !replica.is_confirmed_within(limit_ms)) =>
+        {
             Access::Unverifiable
         }
         Some(tenant) => Access::Granted(tenant.clone()),
-        None if copy.is_relied_on(policy.config_apply_ms) => Access::Denied,
+        None if replica.is_current(policy.config_apply_ms) => Access::Denied,
         None => Access::Unverifiable,
     }
 }
--- a/crates/serving/src/wall_clock.rs
+++ b/crates/serving/src/wall_clock.rs
@@ -11,31 +11,31 @@
 
 /// How far a clock may be from the median of all and still be gone by, milliseconds. Words take
 /// some ten milliseconds on a busy machine, and jumps are of a second and more.
-const AGREEING_MS: i64 = 250;
+const MAX_DEVIATION_MS: i64 = 250;
 /// Time for which another node's word counts, microseconds: digests reach each node every few
 /// seconds in fleets of some hundred.
-const WORD_LIFE_US: u64 = 30_000_000;
+const CLOCK_REPORT_TTL_US: u64 = 30_000_000;
 /// Between two looks at all clocks, microseconds.
-const LOOK_EVERY_US: u64 = 500_000;
+const EVALUATION_INTERVAL_US: u64 = 500_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 
 /// What a node knows of the time of day. Offsets are from its steady clock, in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct WallClock {
-    others: HashMap<NodeId, OtherClock>,
-    agreed: Option<Agreed>,
+    peers: HashMap<NodeId, PeerClock>,
+    estimate: Option<Estimate>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OtherClock {
+struct PeerClock {
     offset_ms: i64,
-    heard_at_us: u64,
+    received_at_us: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Agreed {
+struct Estimate {
     offset_ms: i64,
-    looked_at_us: u64,
+    evaluated_at_us: u64,
 }
 
 fn offset_ms(wall_ms: u64, now_us: u64) -> i64 {
@@ -44,31 +44,32 @@
 
 impl WallClock {
     /// Another node told what its machine's clock says, milliseconds since 1970.
-    pub fn on_word(&mut self, node: &NodeId, wall_ms: u64, now_us: u64) {
+    pub fn on_peer_clock(&mut self, node: &NodeId, wall_ms: u64, now_us: u64) {
         let offset_ms = offset_ms(wall_ms, now_us);
-        self.others.insert(node.clone(), OtherClock { offset_ms, heard_at_us: now_us });
+        self.peers.insert(node.clone(), PeerClock { offset_ms, received_at_us: now_us });
     }
 
     /// The time of day, milliseconds since 1970. `own_ms` is what this machine's clock says.
     pub fn now_ms(&mut self, own_ms: u64, now_us: u64) -> u64 {
-        let due = |agreed: Agreed| now_us >= agreed.looked_at_us + LOOK_EVERY_US;
-        let agreed = match self.agreed {
-            Some(agreed) if !due(agreed) => agreed,
-            _ => self.look(own_ms, now_us),
+        let is_due =
+            |estimate: Estimate| now_us >= estimate.evaluated_at_us + EVALUATION_INTERVAL_US;
+        let estimate = match self.estimate {
+            Some(estimate) if !is_due(estimate) => estimate,
+            _ => self.evaluate(own_ms, now_us),
         };
-        u64::try_from(agreed.offset_ms + (now_us / MICROS_PER_MILLI) as i64).unwrap_or_default()
+        u64::try_from(estimate.offset_ms + (now_us / MICROS_PER_MILLI) as i64).unwrap_or_default()
     }
 
-    fn look(&mut self, own_ms: u64, now_us: u64) -> Agreed {
-        self.others.retain(|_, clock| now_us < clock.heard_at_us + WORD_LIFE_US);
+    fn evaluate(&mut self, own_ms: u64, now_us: u64) -> Estimate {
+        self.peers.retain(|_, clock| now_us < clock.received_at_us + CLOCK_REPORT_TTL_US);
         let own = offset_ms(own_ms, now_us);
-        let mut all: Vec<i64> = self.others.values().map(|clock| clock.offset_ms).collect();
+        let mut all: Vec<i64> = self.peers.values().map(|clock| clock.offset_ms).collect();
         all.push(own);
         all.sort_unstable();
         let median = all[all.len() / 2];
-        let offset_ms = if (own - median).abs() <= AGREEING_MS { own } else { median };
-        let agreed = Agreed { offset_ms, looked_at_us: now_us };
-        self.agreed = Some(agreed);
-        agreed
+        let offset_ms = if (own - median).abs() <= MAX_DEVIATION_MS { own } else { median };
+        let estimate = Estimate { offset_ms, evaluated_at_us: now_us };
+        self.estimate = Some(estimate);
+        estimate
     }
 }
--- a/crates/serving/tests/authority.rs
+++ b/crates/serving/tests/authority.rs
@@ -19,7 +19,7 @@
 fn gained(now_us: u64) -> AuthorityHolder {
     let mut holder = AuthorityHolder::default();
     let term = AuthorityTerm::new(fence(9), now_us, now_us, TIMES);
-    holder.on_gained(LEASE, term, now_us, TIMES);
+    holder.on_acquired(LEASE, term, now_us, TIMES);
     holder
 }
 
@@ -29,7 +29,7 @@
     while now_us < until_us {
         match holder.step(now_us, chance) {
             AuthorityStep::Wait(us) => now_us += us,
-            AuthorityStep::Look => looks += 1,
+            AuthorityStep::Poll => looks += 1,
             other => unreachable!("{other:?} without a lease"),
         }
     }
@@ -41,7 +41,7 @@
     let mut holder = AuthorityHolder::default();
     assert!(looks(&mut holder, 9 * SECOND, 0.5) > 10);
     let mut later = AuthorityHolder::default();
-    later.on_holder_seen();
+    later.on_holder_observed();
     assert!((2..=4).contains(&looks(&mut later, 9 * SECOND, 0.5)));
 }
 
@@ -59,23 +59,23 @@
 #[test]
 fn a_term_that_ran_out_orders_nothing_and_goes_on_once_its_lease_is_renewed() {
     let mut holder = gained(0);
-    assert_eq!(holder.fence_to_order(SECOND / 2), None, "orders are a separation apart");
-    assert_eq!(holder.fence_to_order(2 * SECOND), Some(fence(9)));
-    assert!(!holder.has_run_out(2 * SECOND));
-    assert!(holder.has_run_out(4 * SECOND));
-    assert!(!holder.has_run_out(4 * SECOND), "it is said once");
-    assert_eq!((holder.fence_to_order(4 * SECOND), holder.fence()), (None, Some(fence(9))));
+    assert_eq!(holder.fence_for_orders(SECOND / 2), None, "orders are a separation apart");
+    assert_eq!(holder.fence_for_orders(2 * SECOND), Some(fence(9)));
+    assert!(!holder.check_expiry(2 * SECOND));
+    assert!(holder.check_expiry(4 * SECOND));
+    assert!(!holder.check_expiry(4 * SECOND), "it is said once");
+    assert_eq!((holder.fence_for_orders(4 * SECOND), holder.fence()), (None, Some(fence(9))));
     assert!(holder.on_renewed(5 * SECOND, 5 * SECOND, TIMES));
-    assert_eq!(holder.fence_to_order(5 * SECOND), Some(fence(9)));
+    assert_eq!(holder.fence_for_orders(5 * SECOND), Some(fence(9)));
 }
 
 #[test]
 fn a_holder_whose_order_was_refused_steps_down() {
     let mut holder = gained(0);
     holder.on_refused(fence(8));
-    assert_eq!(holder.fence_to_order(2 * SECOND), Some(fence(9)), "that was an earlier term");
+    assert_eq!(holder.fence_for_orders(2 * SECOND), Some(fence(9)), "that was an earlier term");
     holder.on_refused(fence(9));
-    assert_eq!((holder.fence_to_order(2 * SECOND), holder.fence()), (None, None));
+    assert_eq!((holder.fence_for_orders(2 * SECOND), holder.fence()), (None, None));
     assert_eq!(holder.step(2 * SECOND, 0.5), AuthorityStep::StepDown(LEASE));
     assert_eq!(holder.on_lost(), Some((LEASE, fence(9))));
     assert!(matches!(holder.step(2 * SECOND, 0.5), AuthorityStep::Wait(_)));
@@ -86,7 +86,7 @@
 fn a_holder_gives_its_term_up_once_the_store_has_come_back_older() {
     let mut holder = gained(0);
     assert_eq!(holder.on_later_era(), Some(fence(9)));
-    assert_eq!((holder.fence_to_order(2 * SECOND), holder.fence()), (None, None));
+    assert_eq!((holder.fence_for_orders(2 * SECOND), holder.fence()), (None, None));
     assert!(looks(&mut holder, 9 * SECOND, 0.5) > 10, "nobody may hold the key");
     assert_eq!(holder.on_later_era(), None);
 }
@@ -110,7 +110,7 @@
 #[test]
 fn roles_have_a_subject_a_region_only_where_several_regions_are_told() {
     let own = RegionId::new("here");
-    let of = |zones: &[(&str, &str)]| AuthoritySubject::of_roles(&topology(zones), &own);
+    let of = |zones: &[(&str, &str)]| AuthoritySubject::for_roles(&topology(zones), &own);
     assert_eq!(of(&[]), AuthoritySubject::Fleet);
     assert_eq!(of(&[("a", "here"), ("b", "here")]), AuthoritySubject::Fleet);
     let several = of(&[("a", "here"), ("b", "there")]);
--- a/crates/serving/tests/crash_evidence.rs
+++ b/crates/serving/tests/crash_evidence.rs
@@ -20,11 +20,11 @@
 #[test]
 fn a_broken_attempt_proves_nothing_until_its_runner_has_ended() {
     let mut evidence = CrashEvidence::default();
-    assert!(!evidence.on_broken(&runner("a"), request(1), 0));
-    assert!(!evidence.on_broken(&runner("a"), request(2), 5));
-    assert_eq!(evidence.in_doubt_under(request(1), 10).count(), 1);
-    assert_eq!(evidence.in_doubt_under(request(1), SECOND_US).count(), 0);
-    let mut under_way = evidence.on_ended(&runner("a"), 10);
+    assert!(!evidence.on_attempt_broken(&runner("a"), request(1), 0));
+    assert!(!evidence.on_attempt_broken(&runner("a"), request(2), 5));
+    assert_eq!(evidence.runners_in_doubt(request(1), 10).count(), 1);
+    assert_eq!(evidence.runners_in_doubt(request(1), SECOND_US).count(), 0);
+    let mut under_way = evidence.on_terminated(&runner("a"), 10);
     under_way.sort_unstable();
     let mut expected = vec![request(1), request(2)];
     expected.sort_unstable();
@@ -35,45 +35,45 @@
 #[test]
 fn an_end_is_told_once_for_each_request() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_broken(&runner("a"), request(1), 0);
-    evidence.on_broken(&runner("a"), request(1), 1);
-    assert_eq!(evidence.on_ended(&runner("a"), 10).len(), 1);
-    assert!(evidence.on_ended(&runner("a"), 20).is_empty());
+    evidence.on_attempt_broken(&runner("a"), request(1), 0);
+    evidence.on_attempt_broken(&runner("a"), request(1), 1);
+    assert_eq!(evidence.on_terminated(&runner("a"), 10).len(), 1);
+    assert!(evidence.on_terminated(&runner("a"), 20).is_empty());
 }
 
 #[test]
 fn an_attempt_that_breaks_after_its_runner_ended_is_no_doubt() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_ended(&runner("a"), 0);
-    assert!(evidence.on_broken(&runner("a"), request(1), SECOND_US));
-    assert!(!evidence.on_broken(&runner("b"), request(1), SECOND_US));
+    evidence.on_terminated(&runner("a"), 0);
+    assert!(evidence.on_attempt_broken(&runner("a"), request(1), SECOND_US));
+    assert!(!evidence.on_attempt_broken(&runner("b"), request(1), SECOND_US));
 }
 
 #[test]
 fn a_runner_that_lives_has_only_lost_answers() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_broken(&runner("a"), request(1), 0);
-    evidence.on_alive(&runner("a"));
-    assert_eq!(evidence.in_doubt_under(request(1), 5).count(), 0);
-    assert!(evidence.on_left_as_planned(&runner("a"), 10).is_empty());
+    evidence.on_attempt_broken(&runner("a"), request(1), 0);
+    evidence.on_connection_accepted(&runner("a"));
+    assert_eq!(evidence.runners_in_doubt(request(1), 5).count(), 0);
+    assert!(evidence.on_planned_departure(&runner("a"), 10).is_empty());
 }
 
 #[test]
 fn an_address_that_another_runner_has_taken_hides_no_end() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_broken(&runner("a"), request(1), 0);
-    evidence.on_alive(&runner("a"));
-    assert_eq!(evidence.on_ended(&runner("a"), 4 * SECOND_US), [request(1)]);
+    evidence.on_attempt_broken(&runner("a"), request(1), 0);
+    evidence.on_connection_accepted(&runner("a"));
+    assert_eq!(evidence.on_terminated(&runner("a"), 4 * SECOND_US), [request(1)]);
 }
 
 #[test]
 fn an_answer_clears_a_request_and_time_clears_all() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_broken(&runner("a"), request(1), 0);
-    evidence.on_broken(&runner("a"), request(2), 0);
-    evidence.on_answered(request(1));
-    assert_eq!(evidence.on_ended(&runner("a"), 10), [request(2)]);
-    evidence.on_broken(&runner("b"), request(1), 0);
-    evidence.on_broken(&runner("c"), request(1), 60 * SECOND_US);
-    assert!(evidence.on_ended(&runner("b"), 60 * SECOND_US).is_empty());
+    evidence.on_attempt_broken(&runner("a"), request(1), 0);
+    evidence.on_attempt_broken(&runner("a"), request(2), 0);
+    evidence.on_response_completed(request(1));
+    assert_eq!(evidence.on_terminated(&runner("a"), 10), [request(2)]);
+    evidence.on_attempt_broken(&runner("b"), request(1), 0);
+    evidence.on_attempt_broken(&runner("c"), request(1), 60 * SECOND_US);
+    assert!(evidence.on_terminated(&runner("b"), 60 * SECOND_US).is_empty());
 }
--- a/crates/serving/tests/limit_keeper.rs
+++ b/crates/serving/tests/limit_keeper.rs
@@ -3,10 +3,10 @@
 
 use pitchstall_serving::ids::{NodeId, RunnerId, ZoneId};
 use pitchstall_serving::limit_keeper::{
-    KeeperShare, KeeperTerm, LimitKeeper, GRANT_LIFE_US, MOST_KEEPERS,
+    KeeperShare, LimitKeeper, LimitKeeperTerm, GRANT_TTL_US, MAX_KEEPERS,
 };
 use pitchstall_serving::membership::{Member, Membership};
-use pitchstall_serving::runner_limit::{LimitQuestion, LimitVerdict, LimitWord};
+use pitchstall_serving::runner_limit::{LimitMessage, LimitQuery, LimitVerdict};
 use pitchstall_serving::runner_notice::RequestRate;
 use pitchstall_serving::scheduling::{Shard, Ticket};
 use pitchstall_serving::topology::Topology;
@@ -25,13 +25,13 @@
     RequestRate::from_requests_a_second(requests_a_second).unwrap()
 }
 
-fn word(rate: Option<RequestRate>, heard_ago_us: u64) -> LimitWord {
-    LimitWord { runner: runner(), rate, heard_ago_us }
+fn word(rate: Option<RequestRate>, heard_ago_us: u64) -> LimitMessage {
+    LimitMessage { runner: runner(), rate, age_us: heard_ago_us }
 }
 
-fn question(rate: RequestRate, heard_ago_us: u64) -> LimitQuestion {
+fn question(rate: RequestRate, heard_ago_us: u64) -> LimitQuery {
     let ticket = Ticket { incarnation: 1, number: 1 };
-    LimitQuestion { ticket, word: word(Some(rate), heard_ago_us) }
+    LimitQuery { ticket, message: word(Some(rate), heard_ago_us) }
 }
 
 /// What may arrive in any window: one and a half times the limit, and five.
@@ -53,7 +53,7 @@
 type Asked = (u64, usize, u64);
 
 fn asked() -> impl Strategy<Value = Vec<Asked>> {
-    let one = (0..20_000_u64, 0..MOST_KEEPERS, 0..GRANT_LIFE_US);
+    let one = (0..20_000_u64, 0..MAX_KEEPERS, 0..GRANT_TTL_US);
     prop::collection::vec(one, 1..1_500)
 }
 
@@ -68,12 +68,12 @@
         mut asked in asked(),
     ) {
         asked.sort_unstable();
-        let mut keepers = vec![LimitKeeper::default(); MOST_KEEPERS];
+        let mut keepers = vec![LimitKeeper::default(); MAX_KEEPERS];
         let mut arrivals = Vec::new();
         for (at_ms, place, used_after_us) in asked {
             let now_us = at_ms * 1_000;
-            let share = KeeperShare::of_place(place).unwrap();
-            let verdict = keepers[place].on_question(&question(rate(limit), 0), share, now_us);
+            let share = KeeperShare::at_rank(place).unwrap();
+            let verdict = keepers[place].on_query(&question(rate(limit), 0), share, now_us);
             if verdict == LimitVerdict::Granted {
                 arrivals.push(now_us + used_after_us);
             }
@@ -89,12 +89,12 @@
         for (number, edge) in edges.into_iter().enumerate() {
             let now_us = SECOND + number as u64 * SECOND / 2;
             match edge {
-                0 => keeper.on_word(&word(None, 0), now_us),
+                0 => keeper.on_message(&word(None, 0), now_us),
                 edge => {
                     let named = rate(f64::from(edge));
                     let asking = (0..20).map(|_| question(named, 0));
                     let grants = asking.filter(|question| {
-                        let verdict = keeper.on_question(question, KeeperShare::FIRST, now_us);
+                        let verdict = keeper.on_query(question, KeeperShare::FIRST, now_us);
                         verdict == LimitVerdict::Granted
                     });
                     granted.extend(grants.map(|_| now_us));
@@ -123,7 +123,7 @@
     for now_us in (0..TIME_US).step_by(1_000) {
         for asks_at_us in asks_at_us.iter_mut().filter(|at_us| **at_us <= now_us) {
             questions += 1;
-            match keeper.on_question(&question(rate(limit), 0), KeeperShare::FIRST, now_us) {
+            match keeper.on_query(&question(rate(limit), 0), KeeperShare::FIRST, now_us) {
                 LimitVerdict::Granted => granted.push(now_us),
                 LimitVerdict::Refused { wait_us } => *asks_at_us = now_us + wait_us.max(5_000),
                 verdict => panic!("{verdict:?}"),
@@ -140,23 +140,23 @@
 
 #[test]
 fn a_node_gives_the_first_share_only_when_it_has_been_the_first_for_some_time() {
-    let mut term = KeeperTerm::default();
-    let look = |term: &mut KeeperTerm, place: usize, from_us: u64, to_us: u64| {
+    let mut term = LimitKeeperTerm::default();
+    let look = |term: &mut LimitKeeperTerm, place: usize, from_us: u64, to_us: u64| {
         for now_us in (from_us..=to_us).step_by(250_000) {
-            term.on_look(place, now_us);
+            term.on_rank_checked(place, now_us);
         }
     };
-    assert_eq!(term.share(0, 0), KeeperShare::of_place(1));
+    assert_eq!(term.share(0, 0), KeeperShare::at_rank(1));
     look(&mut term, 0, 2 * SECOND, 3 * SECOND);
-    assert_eq!(term.share(0, 3 * SECOND), KeeperShare::of_place(1));
+    assert_eq!(term.share(0, 3 * SECOND), KeeperShare::at_rank(1));
     look(&mut term, 0, 3 * SECOND, 6 * SECOND);
     assert_eq!(term.share(0, 6 * SECOND), Some(KeeperShare::FIRST));
-    assert_eq!(term.share(1, 6 * SECOND), KeeperShare::of_place(1), "one comes before it now");
+    assert_eq!(term.share(1, 6 * SECOND), KeeperShare::at_rank(1), "one comes before it now");
     assert_eq!(term.share(4, 6 * SECOND), None);
     // It stood still, and may have been replaced: before it has looked, and after.
-    assert_eq!(term.share(0, 8 * SECOND), KeeperShare::of_place(1));
+    assert_eq!(term.share(0, 8 * SECOND), KeeperShare::at_rank(1));
     look(&mut term, 0, 8 * SECOND, 9 * SECOND);
-    assert_eq!(term.share(0, 9 * SECOND), KeeperShare::of_place(1));
+    assert_eq!(term.share(0, 9 * SECOND), KeeperShare::at_rank(1));
     look(&mut term, 0, 9 * SECOND, 11 * SECOND);
     assert_eq!(term.share(0, 11 * SECOND), Some(KeeperShare::FIRST));
 }
@@ -165,14 +165,14 @@
 fn the_later_word_of_a_runner_holds() {
     let mut keeper = LimitKeeper::default();
     let ask = |keeper: &mut LimitKeeper, ago_us, now_us| {
-        keeper.on_question(&question(rate(2.0), ago_us), KeeperShare::FIRST, now_us)
+        keeper.on_query(&question(rate(2.0), ago_us), KeeperShare::FIRST, now_us)
     };
     assert!(matches!(ask(&mut keeper, 0, SECOND), LimitVerdict::Refused { .. }));
-    keeper.on_word(&word(None, 0), 2 * SECOND);
-    let lifted = LimitVerdict::Lifted { heard_ago_us: SECOND };
+    keeper.on_message(&word(None, 0), 2 * SECOND);
+    let lifted = LimitVerdict::Lifted { age_us: SECOND };
     assert_eq!(ask(&mut keeper, 2 * SECOND, 3 * SECOND), lifted, "the node heard it before");
     assert!(matches!(ask(&mut keeper, 0, 4 * SECOND), LimitVerdict::Refused { .. }), "again");
-    keeper.on_word(&word(None, 3 * SECOND), 5 * SECOND);
+    keeper.on_message(&word(None, 3 * SECOND), 5 * SECOND);
     assert_eq!(
         ask(&mut keeper, 0, 5 * SECOND),
         LimitVerdict::Granted,
@@ -184,7 +184,7 @@
 fn a_refusal_tells_when_and_no_later_than_a_lifted_limit_is_to_be_noticed() {
     let mut keeper = LimitKeeper::default();
     for _ in 0..100 {
-        let verdict = keeper.on_question(&question(rate(0.0), 0), KeeperShare::FIRST, SECOND);
+        let verdict = keeper.on_query(&question(rate(0.0), 0), KeeperShare::FIRST, SECOND);
         let LimitVerdict::Refused { wait_us } = verdict else { panic!("{verdict:?}") };
         assert!(wait_us <= 2 * SECOND);
     }
@@ -193,12 +193,12 @@
 #[test]
 fn runners_that_nobody_asks_for_are_forgotten() {
     let mut keeper = LimitKeeper::default();
-    keeper.on_word(&word(Some(rate(2.0)), 0), SECOND);
-    assert_eq!(keeper.words(8, SECOND).len(), 1);
-    assert_eq!(keeper.short(KeeperShare::FIRST, SECOND), vec![runner()]);
-    assert!(keeper.short(KeeperShare::FIRST, 2 * SECOND).is_empty(), "one is left");
-    keeper.sweep(40 * SECOND);
-    assert!(keeper.words(8, 40 * SECOND).is_empty());
+    keeper.on_message(&word(Some(rate(2.0)), 0), SECOND);
+    assert_eq!(keeper.messages(8, SECOND).len(), 1);
+    assert_eq!(keeper.exhausted(KeeperShare::FIRST, SECOND), vec![runner()]);
+    assert!(keeper.exhausted(KeeperShare::FIRST, 2 * SECOND).is_empty(), "one is left");
+    keeper.remove_idle(40 * SECOND);
+    assert!(keeper.messages(8, 40 * SECOND).is_empty());
 }
 
 /// Keepers are counted in the order in which they are asked.
@@ -228,10 +228,10 @@
 #[test_case(1, 13; "the second one")]
 fn a_runner_that_takes_nothing_is_tried_within_seconds(place: usize, within_s: u64) {
     let mut keeper = LimitKeeper::default();
-    let share = KeeperShare::of_place(place).unwrap();
-    keeper.on_word(&word(Some(rate(0.0)), 0), 0);
+    let share = KeeperShare::at_rank(place).unwrap();
+    keeper.on_message(&word(Some(rate(0.0)), 0), 0);
     let is_granted = |keeper: &mut LimitKeeper, now_us| {
-        keeper.on_question(&question(rate(0.0), 0), share, now_us) == LimitVerdict::Granted
+        keeper.on_query(&question(rate(0.0), 0), share, now_us) == LimitVerdict::Granted
     };
     assert!(!is_granted(&mut keeper, SECOND));
     assert!(is_granted(&mut keeper, within_s * SECOND));
--- a/crates/serving/tests/retry_budget.rs
+++ b/crates/serving/tests/retry_budget.rs
@@ -11,7 +11,7 @@
 const RATIO: f64 = 0.2;
 
 fn policy(most_saved: f64) -> RetryPolicy {
-    RetryPolicy { ratio: RATIO, most_saved }
+    RetryPolicy { ratio: RATIO, max_saved: most_saved }
 }
 
 fn earning_budget(requests: usize) -> SharedRetryBudget {
@@ -35,7 +35,7 @@
 fn a_deposit_that_is_refunded_can_be_spent() {
     let mut budget = earning_budget(6);
     assert!(budget.withdraw());
-    assert!(!budget.allows_one());
+    assert!(!budget.has_attempt());
     budget.refund();
     assert!(budget.withdraw());
 }
@@ -43,7 +43,7 @@
 #[test]
 fn a_reading_that_was_taken_up_is_free_beside_the_run() {
     let mut arrivals = ArrivalLedger::default();
-    assert_eq!(arrivals.on_reading(), ArrivalCost::Free);
+    assert_eq!(arrivals.on_prefill(), ArrivalCost::Free);
     assert_eq!(arrivals.on_run(), ArrivalCost::Free);
     assert_eq!(arrivals.on_run(), ArrivalCost::Extra);
 }
@@ -52,16 +52,16 @@
 #[test]
 fn a_reading_that_was_not_taken_up_is_the_free_arrival() {
     let mut arrivals = ArrivalLedger::default();
-    assert_eq!(arrivals.on_reading(), ArrivalCost::Free);
-    arrivals.on_reading_not_taken();
+    assert_eq!(arrivals.on_prefill(), ArrivalCost::Free);
+    arrivals.on_prefill_not_accepted();
     assert_eq!(arrivals.on_run(), ArrivalCost::Extra, "the run is the second arrival");
 }
 
 #[test]
 fn a_second_reading_draws_on_the_budget() {
     let mut arrivals = ArrivalLedger::default();
-    assert_eq!(arrivals.on_reading(), ArrivalCost::Free);
-    assert_eq!(arrivals.on_reading(), ArrivalCost::Extra);
+    assert_eq!(arrivals.on_prefill(), ArrivalCost::Free);
+    assert_eq!(arrivals.on_prefill(), ArrivalCost::Extra);
 }
 
 /// In deep overload many requests are first declined by a decode runner and then sent to be
@@ -70,15 +70,15 @@
 fn the_first_reading_after_an_arrival_is_paid_for_before_it_is_sent() {
     let mut arrivals = ArrivalLedger::default();
     assert_eq!(arrivals.on_run(), ArrivalCost::Free);
-    assert_eq!(arrivals.on_reading(), ArrivalCost::Deposit);
+    assert_eq!(arrivals.on_prefill(), ArrivalCost::Deposit);
 }
 
 #[test]
 fn the_parts_of_the_slack_fit_whatever_the_size_of_the_fleet() {
     const SLACK: f64 = 54.0;
-    assert_eq!(RetryPolicy::part_of_slack(SLACK, 1), 1.0, "the others may not be known yet");
+    assert_eq!(RetryPolicy::node_slack(SLACK, 1), 1.0, "the others may not be known yet");
     for nodes in 2..400 {
-        assert!(RetryPolicy::part_of_slack(SLACK, nodes) * nodes as f64 <= SLACK);
+        assert!(RetryPolicy::node_slack(SLACK, nodes) * nodes as f64 <= SLACK);
     }
 }
 
@@ -144,14 +144,14 @@
     let mut extras = 0;
     budget.on_request();
     for (is_reading, fate) in attempts {
-        let cost = if is_reading { ledger.on_reading() } else { ledger.on_run() };
+        let cost = if is_reading { ledger.on_prefill() } else { ledger.on_run() };
         if cost != ArrivalCost::Free && !budget.withdraw() {
             return extras;
         }
         extras += u64::from(counted.is_extra(is_reading, fate));
         match (is_reading, fate) {
             (true, Fate::TakenUp) if cost == ArrivalCost::Deposit => budget.refund(),
-            (true, Fate::Declined | Fate::Unknown) => ledger.on_reading_not_taken(),
+            (true, Fate::Declined | Fate::Unknown) => ledger.on_prefill_not_accepted(),
             (false, Fate::TakenUp) => return extras,
             _ => {}
         }
@@ -169,7 +169,7 @@
         slack in 2.0_f64..60.0,
     ) {
         const NODES: usize = 5;
-        let policy = policy(RetryPolicy::part_of_slack(slack, NODES));
+        let policy = policy(RetryPolicy::node_slack(slack, NODES));
         let mut budgets = vec![SharedRetryBudget::new(policy); NODES];
         let mut now_us = 0;
         let mut history = Vec::new();
@@ -204,7 +204,7 @@
     const SLACK: f64 = 56.0;
     const REQUEST_EVERY_US: u64 = 25_000;
     const RESTART_EVERY_US: u64 = 1_500_000;
-    let policy = policy(RetryPolicy::part_of_slack(SLACK, NODES as usize));
+    let policy = policy(RetryPolicy::node_slack(SLACK, NODES as usize));
     let mut nodes: Vec<_> = (0..NODES).map(|_| SharedRetryBudget::new(policy)).collect();
     let mut requests = Vec::new();
     let mut extras = Vec::new();
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -30,27 +30,27 @@
     term.renew(2 * SECOND, TIMES);
     assert!(term.may_order(4 * SECOND));
     assert!(!term.may_order(9 * SECOND));
-    assert!(term.is_over(9 * SECOND));
+    assert!(term.has_expired(9 * SECOND));
 }
 
 #[test]
 fn a_renewal_counts_from_its_sending_and_never_shortens() {
     let mut term = AuthorityTerm::new(FencingToken::new(at(7)), 5 * SECOND, 5 * SECOND, TIMES);
     term.renew(4 * SECOND, TIMES);
-    assert!(!term.is_over(7 * SECOND));
+    assert!(!term.has_expired(7 * SECOND));
 }
 
 const STEP_US: usize = 1_000;
 
 /// When a term that began at a time is over, but for a step.
 fn end(term: &AuthorityTerm, began_us: u64) -> u64 {
-    let valid = (began_us..).step_by(STEP_US).take_while(|now| !term.is_over(*now));
+    let valid = (began_us..).step_by(STEP_US).take_while(|now| !term.has_expired(*now));
     valid.last().unwrap()
 }
 
 /// When orders may first be given in a term that was asked for at a time, or when it is over without any.
 fn first_order(term: &AuthorityTerm, asked_us: u64) -> u64 {
-    let is_first = |now: &u64| term.may_order(*now) || term.is_over(*now);
+    let is_first = |now: &u64| term.may_order(*now) || term.has_expired(*now);
     (asked_us..).step_by(STEP_US).find(is_first).unwrap()
 }
 
--- a/crates/serving/tests/runner_lives.rs
+++ b/crates/serving/tests/runner_lives.rs
@@ -227,10 +227,10 @@
     let mut evidence = CrashEvidence::default();
     let changes: Vec<CrashChange> = (1..=3)
         .map(|born_ms| {
-            assert!(!evidence.on_broken(&life(born_ms), request, born_ms * SECOND));
-            assert_eq!(evidence.on_ended(&life(born_ms), born_ms * SECOND), [request]);
+            assert!(!evidence.on_attempt_broken(&life(born_ms), request, born_ms * SECOND));
+            assert_eq!(evidence.on_terminated(&life(born_ms), born_ms * SECOND), [request]);
             let crash = Crash { request, runner: life(born_ms) };
-            quarantine.on_seen(&crash, 0, born_ms * SECOND)
+            quarantine.on_observed(&crash, 0, born_ms * SECOND)
         })
         .collect();
     use CrashChange::{Counted, Quarantined};
--- a/crates/serving/tests/tenancy.rs
+++ b/crates/serving/tests/tenancy.rs
@@ -4,15 +4,15 @@
 
 use pitchstall_serving::ids::TenantName;
 use pitchstall_serving::tenancy::{
-    authorize, Access, ApiKey, CopyAge, Credential, KeyDigest, KeyPolicy, Tenant, Tenants,
+    authorize, Access, ApiKey, Credential, KeyDigest, KeyPolicy, ReplicaAge, Tenant, Tenants,
 };
 use test_case::test_case;
 
-const FRESH: CopyAge = CopyAge { confirmed_ms: Some(500), is_behind: false };
-const BEHIND: CopyAge = CopyAge { confirmed_ms: Some(500), is_behind: true };
-const OLD: CopyAge = CopyAge { confirmed_ms: Some(4_000), is_behind: false };
-const VERY_OLD: CopyAge = CopyAge { confirmed_ms: Some(6_000), is_behind: false };
-const NEVER: CopyAge = CopyAge { confirmed_ms: None, is_behind: false };
+const FRESH: ReplicaAge = ReplicaAge { confirmed_ago_ms: Some(500), is_behind: false };
+const BEHIND: ReplicaAge = ReplicaAge { confirmed_ago_ms: Some(500), is_behind: true };
+const OLD: ReplicaAge = ReplicaAge { confirmed_ago_ms: Some(4_000), is_behind: false };
+const VERY_OLD: ReplicaAge = ReplicaAge { confirmed_ago_ms: Some(6_000), is_behind: false };
+const NEVER: ReplicaAge = ReplicaAge { confirmed_ago_ms: None, is_behind: false };
 const LENIENT: KeyPolicy = KeyPolicy { config_apply_ms: 3_000, revoke_ms: None };
 const STRICT: KeyPolicy = KeyPolicy { config_apply_ms: 3_000, revoke_ms: Some(5_000) };
 
@@ -52,7 +52,7 @@
 #[test_case(Credential::Malformed, FRESH, LENIENT, "denied"; "several keys")]
 fn a_request_on_a_route_that_needs_a_key(
     credential: Credential,
-    copy: CopyAge,
+    copy: ReplicaAge,
     policy: KeyPolicy,
     expected: &str,
 ) {
--- a/crates/serving/tests/usage.rs
+++ b/crates/serving/tests/usage.rs
@@ -3,23 +3,24 @@
 
 use pitchstall_serving::ids::{NodeId, TenantName};
 use pitchstall_serving::usage::{
-    Origin, ReportTimes, UsageCollector, UsageLedger, UsageWord, WindowCounts, Windows,
+    Origin, ReportSchedule, UsageCollector, UsageLedger, UsageMessage, WindowCounts, Windows,
 };
 use proptest::prelude::*;
 use test_case::test_case;
 
-const TIMES: ReportTimes = ReportTimes { windows: Windows { length_ms: 5_000 }, due_ms: 10_000 };
+const TIMES: ReportSchedule =
+    ReportSchedule { windows: Windows { length_ms: 5_000 }, due_ms: 10_000 };
 /// A window and its end.
 const WINDOW: u64 = 100;
 const END_MS: u64 = 505_000;
 
-fn word(node: &str, incarnation: u64, window: u64, count: u64) -> UsageWord {
+fn word(node: &str, incarnation: u64, window: u64, count: u64) -> UsageMessage {
     let counts = [(TenantName::new("taxis"), count)].into();
-    UsageWord {
+    UsageMessage {
         origin: Origin { node: NodeId::new(node), incarnation },
-        answers: None,
+        in_reply_to: None,
         windows: vec![WindowCounts { window, counts }],
-        fixed: Vec::new(),
+        finalized: Vec::new(),
     }
 }
 
@@ -30,20 +31,20 @@
 #[test]
 fn counts_of_all_starts_of_all_nodes_add_up() {
     let mut ledger = UsageLedger::default();
-    ledger.on_begun(WINDOW, &TenantName::new("taxis"));
-    ledger.take(&word("a", 1, WINDOW, 4));
-    ledger.take(&word("a", 2, WINDOW, 2));
-    ledger.take(&word("b", 1, WINDOW, 7));
-    ledger.take(&word("b", 1, WINDOW + 1, 9));
+    ledger.on_request_started(WINDOW, &TenantName::new("taxis"));
+    ledger.merge(&word("a", 1, WINDOW, 4));
+    ledger.merge(&word("a", 2, WINDOW, 2));
+    ledger.merge(&word("b", 1, WINDOW, 7));
+    ledger.merge(&word("b", 1, WINDOW + 1, 9));
     assert_eq!(total(&ledger), 14);
 }
 
 #[test]
 fn what_was_told_outlives_the_node_and_the_collector() {
     let mut deputy = UsageLedger::default();
-    deputy.take(&word("dead", 1, WINDOW, 4));
+    deputy.merge(&word("dead", 1, WINDOW, 4));
     let mut successor = UsageLedger::default();
-    deputy.told_since(WINDOW).iter().for_each(|word| successor.take(word));
+    deputy.relayed_since(WINDOW).iter().for_each(|word| successor.merge(word));
     assert_eq!(total(&successor), 4);
 }
 
@@ -55,10 +56,10 @@
         // Each start's counts rise from 1 to 6; the last word of each surely arrives.
         let mut ledger = UsageLedger::default();
         for (count, incarnation) in &order {
-            ledger.take(&word("a", *incarnation, WINDOW, 1 + *count as u64));
+            ledger.merge(&word("a", *incarnation, WINDOW, 1 + *count as u64));
         }
         for incarnation in 1..4 {
-            ledger.take(&word("a", incarnation, WINDOW, 6));
+            ledger.merge(&word("a", incarnation, WINDOW, 6));
         }
         prop_assert_eq!(total(&ledger), 18);
     }
@@ -67,8 +68,8 @@
 fn collector_with(answered: &[(&str, u64)]) -> UsageCollector {
     let mut collector = UsageCollector::default();
     for (number, (node, asked_ms)) in (1..).zip(answered) {
-        collector.on_asked(number, *asked_ms);
-        collector.on_answered(&NodeId::new(node), number);
+        collector.on_query_sent(number, *asked_ms);
+        collector.on_reply(&NodeId::new(node), number);
     }
     collector
 }
@@ -85,10 +86,13 @@
 ) {
     let nodes = [NodeId::new("a"), NodeId::new("b")];
     let mut collector = collector_with(answered);
-    let due = collector.to_fix(nodes.iter(), TIMES, now_ms);
+    let due = collector.to_finalize(nodes.iter(), TIMES, now_ms);
     assert_eq!(due.contains(&WINDOW), expected);
-    collector.on_fixed(WINDOW);
-    assert!(!collector.to_fix(nodes.iter(), TIMES, now_ms).contains(&WINDOW), "it is fixed once");
+    collector.on_finalized(WINDOW);
+    assert!(
+        !collector.to_finalize(nodes.iter(), TIMES, now_ms).contains(&WINDOW),
+        "it is fixed once"
+    );
 }
 
 #[test_case(END_MS - 4_000, false; "one that was there some seconds ago may be cut off")]
@@ -96,37 +100,37 @@
 fn a_node_that_is_gone_is_not_waited_for(last_answer_ms: u64, expected: bool) {
     let answered = [("b", last_answer_ms), ("a", END_MS + 800)];
     let nodes = [NodeId::new("a"), NodeId::new("b")];
-    let due = collector_with(&answered).to_fix(nodes.iter(), TIMES, END_MS + 1_000);
+    let due = collector_with(&answered).to_finalize(nodes.iter(), TIMES, END_MS + 1_000);
     assert_eq!(due.contains(&WINDOW), expected);
 }
 
 #[test]
 fn an_answer_to_an_unknown_question_says_nothing() {
     let mut collector = collector_with(&[]);
-    collector.on_answered(&NodeId::new("a"), 77);
+    collector.on_reply(&NodeId::new("a"), 77);
     let nodes = [NodeId::new("a")];
-    assert!(!collector.to_fix(nodes.iter(), TIMES, END_MS + 1_000).contains(&WINDOW));
+    assert!(!collector.to_finalize(nodes.iter(), TIMES, END_MS + 1_000).contains(&WINDOW));
 }
 
 #[test]
 fn old_windows_are_forgotten() {
     let mut ledger = UsageLedger::default();
-    ledger.take(&word("a", 1, WINDOW, 4));
-    ledger.on_begun(WINDOW, &TenantName::new("taxis"));
-    ledger.forget_before(WINDOW + 1);
+    ledger.merge(&word("a", 1, WINDOW, 4));
+    ledger.on_request_started(WINDOW, &TenantName::new("taxis"));
+    ledger.remove_before(WINDOW + 1);
     assert_eq!(total(&ledger), 0);
-    assert!(ledger.told_since(0).is_empty());
+    assert!(ledger.relayed_since(0).is_empty());
 }
 
 /// The node that had fixed it may be no collector any more, and have lost others' counts.
 #[test]
 fn what_was_fixed_for_a_window_is_final_whatever_is_counted_later() {
     let mut collector = UsageLedger::default();
-    collector.take(&word("a", 1, 7, 3));
-    collector.on_fixed(7, collector.total(7));
+    collector.merge(&word("a", 1, 7, 3));
+    collector.on_finalized(7, collector.total(7));
     let mut next = UsageLedger::default();
-    next.take(&word("a", 1, 7, 5));
-    next.take(&UsageWord { fixed: collector.fixed_since(6), ..word("b", 1, 8, 1) });
+    next.merge(&word("a", 1, 7, 5));
+    next.merge(&UsageMessage { finalized: collector.finalized_since(6), ..word("b", 1, 8, 1) });
     assert_eq!(next.to_report(7)[&TenantName::new("taxis")], 3);
     assert_eq!(next.to_report(8)[&TenantName::new("taxis")], 1, "that is not fixed");
 }
--- a/crates/serving/tests/wall_clock.rs
+++ b/crates/serving/tests/wall_clock.rs
@@ -12,7 +12,7 @@
     let mut clock = WallClock::default();
     for (number, offset_ms) in others.iter().enumerate() {
         let wall_ms = TRUE_MS.saturating_add_signed(*offset_ms);
-        clock.on_word(&NodeId::new(format!("node-{number}")), wall_ms, 0);
+        clock.on_peer_clock(&NodeId::new(format!("node-{number}")), wall_ms, 0);
     }
     clock
 }
