--- a/crates/serving/src/authority.rs
+++ b/crates/serving/src/authority.rs
@@ -1,38 +1,41 @@
-//! Authority over what one node at a time orders, under a lease of the store.
+//! Authority of one node at a time to issue orders, held under a lease in the store.
 //!
-//! What it is over is its subject: the duties of the fleet, and, where there are several regions,
-//! the roles of the runners of each region. Each subject has a key, and so a term, a fencing token
-//! and a separation of its own. A runner belongs to one region, so two holders never order the
-//! same runner; while nodes differ on the regions because their settings are being changed, the
-//! fencing tokens decide, which come from one sequence for all subjects.
+//! The subject of an authority is what it covers: the duties of the fleet or, where there are
+//! several regions, the roles of the runners of one region. Each subject has its own key, and so
+//! its own term, fencing token and separation between holders. A runner belongs to one region, so
+//! two holders never order the same runner. While nodes disagree on the regions during a change of
+//! their settings, the fencing tokens decide; those of all subjects come from one sequence.
 //!
-//! The holder's time runs from the sending of the call that granted or renewed the lease, so
-//! it ends no later than the store's. A new holder waits for the length of a lease before its
-//! first order: then no order of the holder before it can be on its way, and orders of the two
-//! never come in turns. What is late all the same is refused by the fencing token, which is
-//! the store's revision of the acquisition and so higher for each later holder.
+//! The holder's term is measured from the time at which it sent the call that granted or renewed
+//! the lease, so it ends no later than the lease in the store. A new holder waits for the length of
+//! a lease before its first order. By then no order of the previous holder can be in flight, and
+//! orders of the two never interleave. An order that is delayed even longer is rejected by its
+//! fencing token, which is the store revision of the acquisition and so higher for each later
+//! holder.
 //!
-//! When the store comes back from an older copy, its leases and revisions are given out again: a term ends at the
-//! first sign of a later era. A holder that has not heard of it may go on for the length of its lease, so that a new
-//! one waits for that too. Fencing tokens count eras before revisions.
+//! A store that is restored from an older copy grants its leases and revisions a second time. A
+//! term therefore ends at the first sign of a later era. A holder that has not yet observed the new
+//! era may go on for the length of its lease, so a new holder waits for that time as well. Fencing
+//! tokens compare eras before revisions.
 
 use crate::ids::RegionId;
 use crate::store_revision::{StoreLease, StoreRevision};
 use crate::topology::Topology;
 use std::collections::BTreeSet;
 
-/// What a term of authority is over.
+/// What a term of authority covers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthoritySubject {
-    /// What one node does for the fleet; where there is one region, its runners' roles, too.
+    /// The duties that one node performs for the fleet. If there is only one region, this includes
+    /// its runners' roles.
     Fleet,
-    /// The roles of a region's runners, where there are several regions.
+    /// The roles of the runners of one region, where there are several regions.
     Roles(RegionId),
 }
 
 impl AuthoritySubject {
-    /// The subject under which a node of a region orders roles. It goes by the regions that the
-    /// settings tell, and not by who is up: all nodes have to agree on it.
+    /// The subject under which a node of region `own` orders roles. It depends only on the
+    /// configured regions and not on which nodes are alive, since all nodes must agree on it.
     pub fn for_roles(topology: &Topology, own: &RegionId) -> Self {
         let configured: BTreeSet<&RegionId> = topology.zones().map(|(_, region)| region).collect();
         match configured.len() {
@@ -41,7 +44,7 @@
         }
     }
 
-    /// The region whose runners it is over; `None`: all.
+    /// The region whose runners it covers; `None` for all.
     pub fn region(&self) -> Option<&RegionId> {
         match self {
             Self::Fleet => None,
@@ -50,23 +53,25 @@
     }
 }
 
-/// Names a term to runners and to the platform's duties, which refuse lower ones than they have seen.
+/// Identifies a term to runners and to the platform's duties, which reject lower tokens than the
+/// highest they have received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FencingToken {
     acquired_at: StoreRevision,
 }
 
-/// Bits of a fencing token that count revisions within an era: a thousand a second for 34 years.
+/// Bits of a fencing token that hold the revision within an era: enough for 1,000 revisions per
+/// second over 34 years.
 const REVISION_BITS: u32 = 40;
 
 impl FencingToken {
-    /// The token of a term whose key was written at a revision.
+    /// The token of a term whose key was written at `acquired_at`.
     pub fn new(acquired_at: StoreRevision) -> Self {
         Self { acquired_at }
     }
 
-    /// As runners and duties are told it: higher for each later term. Up to some 8,000 eras it is an integer that JSON
-    /// carries exactly.
+    /// The token as it is sent to runners and duties, higher for each later term. Up to about 8,000
+    /// eras it is an integer that JSON represents exactly.
     pub fn number(self) -> u64 {
         let era = self.acquired_at.era().told_number().unwrap_or_default();
         (era << REVISION_BITS) | self.acquired_at.number().0
@@ -83,28 +88,28 @@
 pub struct AuthorityTerm {
     /// Fencing token of every order in this term.
     pub fence: FencingToken,
-    /// Orders may be given from here on, microseconds.
+    /// Start of the time in which orders may be sent, in microseconds.
     ready_at_us: u64,
-    /// And until here.
+    /// End of that time, in microseconds.
     valid_until_us: u64,
 }
 
-/// Lengths that a term depends on, microseconds.
+/// Durations that determine a term, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTimes {
     /// Time to live of the lease.
     pub ttl_us: u64,
-    /// Time that must lie between orders of two holders.
+    /// Minimum time between orders of two holders.
     pub separation_us: u64,
 }
 
-/// Part of the lease's time that is left unused, in hundredths: clocks differ in pace, and an
-/// order takes time to arrive.
+/// Safety margin at the end of the lease, as a percentage of its time to live: clocks run at
+/// different rates, and an order takes time to arrive.
 const LEASE_MARGIN_PERCENT: u64 = 15;
 
 impl AuthorityTerm {
-    /// A term that the store granted. `sent_at_us` is when the lease was asked for, `now_us`
-    /// when the key was known to be written.
+    /// Creates the term that the store granted. `sent_at_us` is when the lease was requested,
+    /// `now_us` when the key was known to be written.
     pub fn new(fence: FencingToken, sent_at_us: u64, now_us: u64, times: LeaseTimes) -> Self {
         Self {
             fence,
@@ -113,14 +118,14 @@
         }
     }
 
-    /// The store's era was first heard of at a time: a holder of the era before may give orders until its lease is
-    /// over.
+    /// Delays the term's first order after a new store era, first observed at `observed_at_us`: a
+    /// holder of the previous era may issue orders until its lease expires.
     pub fn after_era_began(self, observed_at_us: u64, times: LeaseTimes) -> Self {
         let ready_at_us = observed_at_us + times.ttl_us + times.separation_us;
         Self { ready_at_us: self.ready_at_us.max(ready_at_us), ..self }
     }
 
-    /// The lease was renewed by a call sent at the given time.
+    /// Extends the term after a renewal call that was sent at `sent_at_us`.
     pub fn renew(&mut self, sent_at_us: u64, times: LeaseTimes) {
         self.valid_until_us = self.valid_until_us.max(valid_until(sent_at_us, times));
     }
@@ -130,7 +135,7 @@
         self.ready_at_us <= now_us && now_us < self.valid_until_us
     }
 
-    /// Whether the term is over.
+    /// Whether the term has expired.
     pub fn has_expired(&self, now_us: u64) -> bool {
         now_us >= self.valid_until_us
     }
@@ -140,30 +145,30 @@
     sent_at_us + times.ttl_us * (100 - LEASE_MARGIN_PERCENT) / 100
 }
 
-/// Between two looks whether somebody has the authority, microseconds: the shortest, and what
-/// chance adds at the most. Each look is a call that is paid for.
+/// Minimum time between two polls for a holder, in microseconds, and the maximum jitter that is
+/// added. Each poll is a call that costs money.
 const POLL_INTERVAL_US: u64 = 2_000_000;
 const POLL_JITTER_US: f64 = 2_000_000.0;
-/// The same while this node has not seen anybody have it: the fleet has just started.
+/// The same as long as this node has not observed any holder, since the fleet has just started.
 const INITIAL_POLL_INTERVAL_US: u64 = 300_000;
 const INITIAL_POLL_JITTER_US: f64 = 600_000.0;
-/// Between two looks at an own lease, microseconds.
+/// Time between two checks of a held lease, in microseconds.
 const HOLDER_CHECK_INTERVAL_US: u64 = 250_000;
-/// Renewals in the time of a lease.
+/// Number of renewals within the time to live of a lease.
 const RENEWALS_PER_LEASE: u64 = 3;
-/// Between two tries to renew a lease after one that failed, microseconds.
+/// Time between two attempts to renew a lease after a failure, in microseconds.
 const RENEWAL_RETRY_INTERVAL_US: u64 = 400_000;
 
-/// What a node does next about a subject.
+/// The next action of a node for a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuthorityStep {
-    /// Nothing, for so many microseconds.
+    /// Wait for this many microseconds.
     Wait(u64),
-    /// Look whether somebody has the authority, and take it if nobody has.
+    /// Check whether a node holds the authority, and acquire it if none does.
     Poll,
     /// Renew the lease.
     Renew(StoreLease),
-    /// End the lease: an order was refused, as another node has the authority.
+    /// Revoke the lease: an order was rejected because another node has the authority.
     StepDown(StoreLease),
 }
 
@@ -172,23 +177,23 @@
     lease: StoreLease,
     term: AuthorityTerm,
     next_try_us: u64,
-    /// Whether the term has run out without a word from the store.
+    /// Whether the term has expired while the store did not reply.
     is_unconfirmed: bool,
     is_refused: bool,
 }
 
-/// One node's way to and through the authority over one subject. It has no clock: each call says
-/// what time it is.
+/// State machine of one node for acquiring and holding the authority over one subject. It has no
+/// clock; each call passes the current time.
 #[derive(Clone, Debug, Default)]
 pub struct AuthorityHolder {
     held: Option<Held>,
     next_poll_us: Option<u64>,
-    /// Whether this node has ever seen that somebody has the authority.
+    /// Whether this node has observed any holder in the current era of the store.
     has_observed_holder: bool,
 }
 
 impl AuthorityHolder {
-    /// What to do now. `chance` lies between 0 and 1 and spreads the looks of many nodes.
+    /// The next action. `jitter_fraction` is between 0 and 1 and spreads the polls of many nodes.
     pub fn step(&mut self, now_us: u64, jitter_fraction: f64) -> AuthorityStep {
         let Some(held) = &mut self.held else { return self.poll_step(now_us, jitter_fraction) };
         if held.is_refused {
@@ -215,12 +220,12 @@
         AuthorityStep::Poll
     }
 
-    /// A look found that somebody has the authority.
+    /// Records that a poll found a holder.
     pub fn on_holder_observed(&mut self) {
         self.has_observed_holder = true;
     }
 
-    /// The store has granted a term under a lease that was asked for at `sent_at_us`.
+    /// Records that the store granted a term under a lease that was requested at `sent_at_us`.
     pub fn on_acquired(
         &mut self,
         lease: StoreLease,
@@ -234,9 +239,9 @@
         self.held = Some(Held { lease, term, next_try_us, is_unconfirmed, is_refused });
     }
 
-    /// The lease was renewed by a call sent at the given time. Whether the term had run out: the
-    /// lease had waited in a store that was away, and with it the key, so that nobody else can have
-    /// had the authority.
+    /// Records a successful renewal by a call that was sent at `sent_at_us`. Returns whether the
+    /// term had expired: the lease, and with it the key, then survived while the store was
+    /// unavailable, so no other node can have held the authority.
     pub fn on_renewed(&mut self, sent_at_us: u64, now_us: u64, times: LeaseTimes) -> bool {
         let Some(held) = &mut self.held else { return false };
         held.term.renew(sent_at_us, times);
@@ -244,8 +249,8 @@
         std::mem::take(&mut held.is_unconfirmed)
     }
 
-    /// Whether the term has just run out without a word from the store. It gives no orders, and
-    /// goes on if the lease can be renewed after all.
+    /// Whether the term has just expired without a reply from the store; `true` once per expiry. An
+    /// expired term issues no orders, but continues if the lease can still be renewed.
     pub fn check_expiry(&mut self, now_us: u64) -> bool {
         let Some(held) = &mut self.held else { return false };
         let is_newly_expired = held.term.has_expired(now_us) && !held.is_unconfirmed;
@@ -253,13 +258,15 @@
         is_newly_expired
     }
 
-    /// The lease is over or has been given up. Returns it, and the fencing token of its term.
+    /// Ends the term after its lease has expired or has been revoked. Returns the lease and the
+    /// fencing token of the term.
     pub fn on_lost(&mut self) -> Option<(StoreLease, FencingToken)> {
         self.held.take().map(|held| (held.lease, held.term.fence))
     }
 
-    /// The store has come back from an older copy: this node looks soon whether the key is there, as nobody may hold
-    /// it, and at once if it has held it. Returns the fencing token of a term that is over with that.
+    /// Handles a store that was restored from an older copy. The key may have no holder, so this
+    /// node polls soon, and at once if it was the holder itself. Returns the fencing token of the
+    /// term that this ends.
     pub fn on_later_era(&mut self) -> Option<FencingToken> {
         self.has_observed_holder = false;
         let lost = self.on_lost().map(|(_, fence)| fence);
@@ -267,19 +274,19 @@
         lost
     }
 
-    /// The fencing token, while orders may be given.
+    /// The fencing token while orders may be sent.
     pub fn fence_for_orders(&self, now_us: u64) -> Option<FencingToken> {
         let held = self.held.as_ref().filter(|held| !held.is_refused)?;
         held.term.may_order(now_us).then_some(held.term.fence)
     }
 
-    /// The fencing token, from the beginning of the term on.
+    /// The fencing token from the start of the term on, also before the first order may be sent.
     pub fn fence(&self) -> Option<FencingToken> {
         self.held.as_ref().filter(|held| !held.is_refused).map(|held| held.term.fence)
     }
 
-    /// An order was refused because a higher fencing token had been used: another node has the
-    /// authority, and this one gives no further order in this term.
+    /// Records that an order was rejected because a higher fencing token has been used: another
+    /// node has the authority, and this one sends no further orders in this term.
     pub fn on_refused(&mut self, fence: FencingToken) {
         if let Some(held) = self.held.as_mut().filter(|held| held.term.fence == fence) {
             held.is_refused = true;
--- a/crates/serving/src/crash_evidence.rs
+++ b/crates/serving/src/crash_evidence.rs
@@ -1,38 +1,40 @@
-//! Which requests were under way at a runner when it ended.
+//! Determines which requests were in progress at a runner when it terminated.
 //!
-//! An attempt that breaks proves little: the runner may have ended, or have lost one answer. So a
-//! broken attempt is kept in doubt until the runner's fate is known:
+//! A broken attempt proves little: the runner may have terminated, or only one response may have
+//! been lost. A broken attempt is therefore kept in doubt until the state of its runner is known:
 //!
-//! - a connection that is *refused*, or the runner's entry leaving the list: it has ended;
-//! - a connection that is *accepted*: it lives, unless its entry leaves the list all the same. A node
-//!   that stood still looks so late that another runner may have taken the address;
-//! - a connection that hangs proves neither: the runner may be cut off.
+//! - A connection is *refused*, or the runner's entry leaves the registry: the runner has
+//!   terminated.
+//! - A connection is *accepted*: the runner is alive, unless its entry leaves the registry after
+//!   all. A node that was paused may probe so late that another runner has taken over the address.
+//! - A connection attempt hangs: neither is proved, since the runner may be partitioned off.
 //!
-//! Every attempt that was sent and had no end counts, whether its prompt was being read, it waited
-//! or it ran: a runner may end before the head of its answer is out, and what waited there is told
-//! apart from what ends runners by what happens to it elsewhere ([`crate::quarantine`]).
+//! Every attempt that was sent and did not complete counts, whether it was prefilling, queued or
+//! running: a runner may crash before it sends the response head. Requests that were merely queued
+//! there are told apart from those that crash runners by their outcome at other runners
+//! ([`crate::quarantine`]).
 
 use crate::ids::RunnerId;
 use crate::request_identity::RequestIdentity;
 use std::collections::HashMap;
 
-/// Time for which a broken attempt stays in doubt, microseconds: an entry leaves the list after
-/// three heartbeats, which are seconds apart, and a store that is away holds that up.
+/// How long a broken attempt stays in doubt, in microseconds. An entry leaves the registry after
+/// three missed heartbeats, which are seconds apart, and an unavailable store delays that further.
 const DOUBT_TTL_US: u64 = 15_000_000;
-/// Time within which a look at a runner tells whether it lives, microseconds: twice the limit of
-/// opening a connection.
+/// Time within which a probe shows whether a runner is alive, in microseconds: twice the connection
+/// timeout.
 const PROBE_TIMEOUT_US: u64 = 400_000;
-/// Time for which a runner is known to have ended, microseconds: its last attempts break within
-/// milliseconds, at a node that stands still within seconds.
+/// How long a terminated runner is remembered, in microseconds. Its last attempts break within
+/// milliseconds, or within seconds at a node that is paused.
 const TERMINATED_RUNNER_TTL_US: u64 = 10_000_000;
-/// Requests in doubt at one runner that are kept: a runner has some hundred slots and a queue.
+/// Maximum number of requests in doubt at one runner. A runner has some hundred slots and a queue.
 const MAX_IN_DOUBT_PER_RUNNER: usize = 1_024;
 
-/// What one node knows of attempts that broke.
+/// The broken attempts that one node knows of.
 #[derive(Clone, Debug, Default)]
 pub struct CrashEvidence {
     in_doubt: HashMap<RunnerId, Vec<BrokenAttempt>>,
-    /// Runners that have ended, and when that was learnt.
+    /// Terminated runners, and when this node learned of it.
     terminated: HashMap<RunnerId, u64>,
 }
 
@@ -40,13 +42,13 @@
 struct BrokenAttempt {
     request: RequestIdentity,
     broken_at_us: u64,
-    /// The runner has accepted a connection since.
+    /// Whether the runner has accepted a connection since.
     seems_alive: bool,
 }
 
 impl CrashEvidence {
-    /// An attempt broke, or was left without an answer. Returns whether its runner is already
-    /// known to have ended; otherwise it is in doubt.
+    /// Records an attempt that broke or got no response. Returns whether its runner is already
+    /// known to have terminated; otherwise the attempt is in doubt.
     pub fn on_attempt_broken(
         &mut self,
         runner: &RunnerId,
@@ -65,8 +67,9 @@
         false
     }
 
-    /// A runner has left as planned. Returns the requests that were under way there when it ended: what
-    /// broke while it was still there broke for another reason.
+    /// Records that a runner has left as planned. Returns the requests that were in progress when
+    /// it terminated. Attempts that broke while the runner still accepted connections broke for
+    /// another reason and are left out.
     pub fn on_planned_departure(&mut self, runner: &RunnerId, now_us: u64) -> Vec<RequestIdentity> {
         if let Some(broken) = self.in_doubt.get_mut(runner) {
             broken.retain(|attempt| !attempt.seems_alive);
@@ -74,7 +77,7 @@
         self.on_terminated(runner, now_us)
     }
 
-    /// A runner has ended. Returns the requests that were under way there.
+    /// Records that a runner has terminated. Returns the requests that were in progress there.
     pub fn on_terminated(&mut self, runner: &RunnerId, now_us: u64) -> Vec<RequestIdentity> {
         self.remove_expired(now_us);
         self.terminated.insert(runner.clone(), now_us);
@@ -82,22 +85,23 @@
         broken.into_iter().map(|attempt| attempt.request).collect()
     }
 
-    /// A runner has accepted a connection: what broke there most likely broke for another reason.
+    /// Records that a runner has accepted a connection: its broken attempts most likely broke for
+    /// another reason.
     pub fn on_connection_accepted(&mut self, runner: &RunnerId) {
         for attempt in self.in_doubt.get_mut(runner).into_iter().flatten() {
             attempt.seems_alive = true;
         }
     }
 
-    /// A request was answered whole: it does not end runners.
+    /// Records that a request got a complete response, which shows that it does not crash runners.
     pub fn on_response_completed(&mut self, request: RequestIdentity) {
         for broken in self.in_doubt.values_mut() {
             broken.retain(|attempt| attempt.request != request);
         }
     }
 
-    /// Runners at which a request broke just now and whose fate is not known: to be on the safe side
-    /// they count as ended until a look at them can have told.
+    /// Runners at which an attempt of the request broke just now and whose state is unknown. To be
+    /// on the safe side they count as crashed until a probe can have shown otherwise.
     pub fn runners_in_doubt(
         &self,
         request: RequestIdentity,
@@ -112,7 +116,7 @@
         self.in_doubt.iter().filter(move |(_, broken)| broke(broken)).map(|(runner, _)| runner)
     }
 
-    /// Whether nothing is in doubt.
+    /// Whether no attempt is in doubt.
     pub fn is_empty(&self) -> bool {
         self.in_doubt.is_empty()
     }
--- a/crates/serving/src/limit_keeper.rs
+++ b/crates/serving/src/limit_keeper.rs
@@ -1,63 +1,70 @@
-//! Counts for all nodes what they send to a runner that has named a limit.
+//! Enforces, across all nodes, the request rate that a runner has reported as its limit.
 //!
-//! In any 4 s such a runner may get `6 L + 5` requests, where `L` is its limit a second: one and a half times what it
-//! names, and five. The requests are counted by a keeper, the node that schedules the runner's shard. Keepers agree on
-//! nothing: which node is the first follows from what each knows, and nodes that miss its answers ask the next
-//! one. So four nodes at most may be keepers of a shard, each with a share of its own, and all shares together stay within
-//! the bound, whoever asks whom:
+//! In any 4 s, a runner with a limit of `L` requests per second may receive at most `6 L + 5`
+//! requests: one and a half times its limit, plus five. The requests are counted by a keeper, the
+//! node that schedules the runner's shard. Keepers are not elected: each node derives the order of
+//! the keepers from its own membership view, and a node that receives no reply from one keeper asks
+//! the next. Up to four nodes may therefore act as keepers of a shard at the same time, each with
+//! its own share. All shares together stay within the bound, whichever nodes ask whichever keepers:
 //!
-//! | | first | second | third | fourth | all |
+//! | | first | second | third | fourth | total |
 //! | --- | --- | --- | --- | --- | --- |
-//! | share of `L` a second | 1 | 0.1 | 0.05 | 0.025 | 1.175 |
-//! | but at the least, a second | 0.1 | 0.08 | 0.016 | 0.016 | 0.212 |
-//! | saved at most | 1 + 0.45 of it | the same | the same | the same | 4 + 0.53 `L`, or 4.1 |
+//! | share of `L` per second | 1 | 0.1 | 0.05 | 0.025 | 1.175 |
+//! | minimum per second | 0.1 | 0.08 | 0.016 | 0.016 | 0.212 |
+//! | bucket capacity | 1 + 0.45 s of its refill | the same | the same | the same | 4 + 0.53 `L`, or 4.1 |
 //!
-//! Of a runner that takes next to nothing nobody else would hear that it takes more again, so that each keeper lets some
-//! requests through whatever the limit is: all together 4.996 in 4 s with what is saved, where five may come.
+//! A raised or lifted limit is only noticed in the response to a request. Each keeper therefore
+//! grants some requests even if the limit is 0 or close to it: together, with full buckets, 4.996
+//! requests in 4 s, where five are allowed.
 //!
-//! A grant is used within [`GRANT_LIFE_US`], so what arrives in 4 s was granted in 4.25 s: `5.53 L + 4` at most. A first one
-//! that follows another within that time begins with nothing saved, and adds what it saves later to the sum, and no second rate.
+//! A grant must be used within [`GRANT_TTL_US`], so requests that arrive within 4 s were granted
+//! within 4.25 s: at most `5.53 L + 4`. A new first keeper that replaces another one within that
+//! time starts with an empty bucket. It adds to the sum what it accumulates later, but no second
+//! full rate.
 
 use crate::ids::RunnerId;
 use crate::runner_limit::{LimitMessage, LimitQuery, LimitVerdict};
 use crate::runner_notice::RequestRate;
 use std::collections::BTreeMap;
 
-/// Time from the question within which a grant is used, microseconds.
+/// Time after the query within which a grant must be used, in microseconds.
 pub const GRANT_TTL_US: u64 = 250_000;
-/// Nodes that may be keepers of a shard's limits.
+/// Maximum number of nodes that act as keepers of a shard's limits.
 pub const MAX_KEEPERS: usize = 4;
-/// Time for which a node has to be the first before it gives the first one's share, microseconds: the one before it has
-/// heard of it by then, in a digest or two, and gives no more than a second one.
+/// How long a node must be first in its own view before it grants the first keeper's share, in
+/// microseconds. By then the previous first keeper has received one or two digests that show the
+/// change, and grants no more than the second share.
 const SETTLING_PERIOD_US: u64 = 2_000_000;
-/// Longest time between two looks at who is the first, microseconds. A node that stood still for longer may have been
-/// replaced meanwhile, and settles anew.
+/// Maximum time between two rank checks, in microseconds. A node that was paused for longer may
+/// have been replaced meanwhile, and must wait for the settling period again.
 const MAX_CHECK_GAP_US: u64 = 1_000_000;
-/// Time whose refill a keeper saves besides one request, microseconds.
+/// Time whose refill fits into a bucket in addition to one request, in microseconds.
 const BURST_TIME_US: u64 = 450_000;
-/// One request, in the millionths that levels are counted in.
+/// One request, in millionths, the unit of bucket levels.
 const ONE_REQUEST: u64 = 1_000_000;
 const MICROS_PER_SECOND: u128 = 1_000_000;
-/// Rate that is counted with at the most: beyond it a limit is none.
+/// Maximum rate used in calculations. A limit above it has no effect.
 const MAX_RATE: RequestRate = RequestRate(1_000_000_000_000);
-/// Longest wait that is told, microseconds: how late a node may notice that the limit has been lifted.
+/// Maximum wait sent with a refusal, in microseconds. It bounds how late a node notices that a
+/// limit has been lifted.
 const MAX_WAIT_US: u64 = 2_000_000;
-/// Time after which a runner that nobody asked for is forgotten, microseconds.
+/// Time after the last query or report about a runner until its bucket is removed, in microseconds.
 const IDLE_BUCKET_TTL_US: u64 = 30_000_000;
 
-/// The part of a limit that one keeper gives.
+/// The part of a limit that one keeper grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeeperShare {
     per_mille: u64,
-    /// What it gives at the least, millionths of a request a second.
+    /// Minimum refill, in millionths of a request per second.
     min_per_second: u64,
 }
 
 impl KeeperShare {
-    /// The first keeper's.
+    /// The share of the first keeper.
     pub const FIRST: Self = Self { per_mille: 1_000, min_per_second: 100_000 };
 
-    /// That of a keeper with so many others before it; `None`: it is no keeper.
+    /// The share of the keeper with `rank` others before it; `None` if a node of this rank is not a
+    /// keeper.
     pub fn at_rank(rank: usize) -> Option<Self> {
         const SECOND: KeeperShare = KeeperShare { per_mille: 100, min_per_second: 80_000 };
         const MIN_PER_SECOND_OF_OTHERS: u64 = 16_000;
@@ -72,32 +79,32 @@
         }
     }
 
-    /// What it gives in a second, in millionths of a request.
+    /// Refill in millionths of a request per second.
     fn per_second(self, rate: RequestRate) -> u128 {
         const THOUSAND: u128 = 1_000;
         let share = u128::from(rate.0) * u128::from(self.per_mille) / THOUSAND;
         share.max(u128::from(self.min_per_second))
     }
 
-    /// What it gives in some time, in millionths of a request.
+    /// Refill within `time_us` microseconds, in millionths of a request.
     fn refill(self, rate: RequestRate, time_us: u64) -> u64 {
         let total = self.per_second(rate) * u128::from(time_us);
         u64::try_from(total / MICROS_PER_SECOND).unwrap_or(u64::MAX)
     }
 
-    /// The most that it saves.
+    /// Capacity of a bucket, in millionths of a request.
     fn capacity(self, rate: RequestRate) -> u64 {
         ONE_REQUEST + self.refill(rate, BURST_TIME_US)
     }
 
-    /// Time in which it gives so much, microseconds.
+    /// Time that it takes to refill `millionths` of a request, in microseconds.
     fn time_to_refill(self, rate: RequestRate, millionths: u64) -> u64 {
         let needed = u128::from(millionths) * MICROS_PER_SECOND;
         u64::try_from(needed.div_ceil(self.per_second(rate))).unwrap_or(u64::MAX)
     }
 }
 
-/// Since when a node has been the first keeper of a shard.
+/// Tracks since when a node has been the first keeper of a shard.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LimitKeeperTerm {
     first_since_us: Option<u64>,
@@ -105,7 +112,7 @@
 }
 
 impl LimitKeeperTerm {
-    /// The node looks at its place: so many nodes that it hears of come before it.
+    /// Records a check of the node's rank: the number of nodes before it in its membership view.
     pub fn on_rank_checked(&mut self, rank: usize, now_us: u64) {
         let was_paused = now_us.saturating_sub(self.checked_at_us) > MAX_CHECK_GAP_US;
         self.checked_at_us = now_us;
@@ -118,7 +125,7 @@
         }
     }
 
-    /// What the node may give at its place; `None`: it is no keeper.
+    /// The share that the node may grant at its rank; `None` if it is not a keeper.
     pub fn share(&self, rank: usize, now_us: u64) -> Option<KeeperShare> {
         let is_check_recent = now_us.saturating_sub(self.checked_at_us) <= MAX_CHECK_GAP_US;
         let is_settled =
@@ -128,21 +135,22 @@
     }
 }
 
-/// What one runner has named, and what is left of it here.
+/// The limit of one runner, and what is left of it at this keeper.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     rate: Option<RequestRate>,
     reported_at_us: u64,
-    /// Left, in millionths of a request.
+    /// Requests left, in millionths.
     level: u64,
     updated_at_us: u64,
     last_queried_us: u64,
-    /// When the last one that was refused may ask again: the next ones come after it, not all at once.
+    /// The latest retry time given with a refusal. Further refusals get later times, so that the
+    /// refused nodes do not all retry at once.
     last_retry_us: u64,
 }
 
 impl Bucket {
-    /// A runner that was not known: nothing is saved, as another keeper may have granted all of it just now.
+    /// Creates an empty bucket for a new runner: another keeper may just have granted a full one.
     fn new(now_us: u64) -> Self {
         Self {
             rate: None,
@@ -154,7 +162,7 @@
         }
     }
 
-    /// Takes in what the runner has said; the later word holds.
+    /// Applies a report of the runner's limit. The later report wins.
     fn on_message(&mut self, message: &LimitMessage, now_us: u64) {
         let reported_at_us = now_us.saturating_sub(message.age_us);
         if reported_at_us <= self.reported_at_us && self.reported_at_us > 0 {
@@ -162,7 +170,7 @@
         }
         self.reported_at_us = reported_at_us;
         if self.rate.is_none() {
-            // What was sent while there was no limit was not counted.
+            // Requests sent while there was no limit were not counted.
             self.level = 0;
             self.updated_at_us = now_us;
         }
@@ -196,14 +204,14 @@
     rate.min(MAX_RATE)
 }
 
-/// What one node counts as a keeper.
+/// The limits that one node enforces as a keeper.
 #[derive(Clone, Debug, Default)]
 pub struct LimitKeeper {
     buckets: BTreeMap<RunnerId, Bucket>,
 }
 
 impl LimitKeeper {
-    /// A node has heard what a runner takes.
+    /// Applies a report of a runner's limit that a node has received.
     pub fn on_message(&mut self, message: &LimitMessage, now_us: u64) {
         let bucket =
             self.buckets.entry(message.runner.clone()).or_insert_with(|| Bucket::new(now_us));
@@ -211,7 +219,7 @@
         bucket.last_queried_us = now_us;
     }
 
-    /// A node asks whether it may send a request.
+    /// Decides whether a node may send one request to a runner.
     pub fn on_query(
         &mut self,
         query: &LimitQuery,
@@ -231,12 +239,12 @@
         }
     }
 
-    /// Whether it knows of no limit.
+    /// Whether no runner is tracked.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Runners that have none left now, at a keeper with this share.
+    /// Runners with less than one request left at `now_us`, for a keeper with this share.
     pub fn exhausted(&self, share: KeeperShare, now_us: u64) -> Vec<RunnerId> {
         let is_exhausted = |(runner, bucket): (&RunnerId, &Bucket)| {
             let mut bucket = *bucket;
@@ -246,7 +254,7 @@
         self.buckets.iter().filter_map(is_exhausted).collect()
     }
 
-    /// What the runners have said that are known here, the latest words first, so many at most.
+    /// The most recent limit report of each tracked runner, newest first, at most `max_count`.
     pub fn messages(&self, max_count: usize, now_us: u64) -> Vec<LimitMessage> {
         let message = |(runner, bucket): (&RunnerId, &Bucket)| LimitMessage {
             runner: runner.clone(),
@@ -259,7 +267,7 @@
         messages
     }
 
-    /// Forgets runners that nobody has asked for lately.
+    /// Removes runners without a query or report for 30 s.
     pub fn remove_idle(&mut self, now_us: u64) {
         self.buckets
             .retain(|_, bucket| now_us < bucket.last_queried_us.saturating_add(IDLE_BUCKET_TTL_US));
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -1,91 +1,97 @@
-//! Requests under which runners have ended, and which of them reach no runner any more.
+//! Tracks requests during which runners have crashed, and quarantines those that crash them
+//! repeatedly.
 //!
-//! A request that crashes whatever runs it comes again under new ids, at any node. Its identity
-//! ([`crate::request_identity`]) is counted for each runner that ended while the request was under
-//! way there, once a runner, whoever tells of it and however often. A request with
-//! [`CRASHES_TO_QUARANTINE`] such crashes is in quarantine: no node sends it to a runner again.
+//! A request that crashes every runner that executes it is retried under new ids, at any node.
+//! Crashes are therefore counted by the identity of the request ([`crate::request_identity`]): one
+//! for each runner that crashed while the request was in progress there, however many nodes report
+//! it and however often. A request with [`CRASHES_TO_QUARANTINE`] crashes is quarantined: no node
+//! sends it to a runner again.
 //!
-//! Dozens of sound requests are under way beside it at each crash. They are told apart by what becomes
-//! of them: a whole answer of a runner with success clears a request of all that was counted, since one
-//! that crashes runners never gets one. A failure clears nothing: a runner may fail what it has not run.
+//! Dozens of harmless requests are in progress at each crash. They are told apart by their outcome:
+//! a complete, successful response from a runner clears a request of all its crashes, since a
+//! request that crashes runners never gets one. An error response clears nothing, as a runner may
+//! fail a request that it has not executed.
 //!
-//! What was counted lies in the store and outlives every node. Until it is there it is held here as
-//! *unwritten*; other nodes' words are held as *told*, in case their node dies before it writes. A
-//! first crash is written a little later than it is told: most requests that were under way are
-//! answered at another runner by then, and cost the store nothing. What is removed from the store, one
-//! node removes: the one that has cleared the request, or for old crashes the one with the authority.
+//! Crashes are kept in the store and outlive every node. Until a crash is written there, the node
+//! that observed it holds it as *unwritten*. Other nodes hold it as *reported*, in case that node
+//! fails before it has written it. The first crash of a request is reported at once but written
+//! after a delay: most of the requests in progress complete at another runner in that time, and
+//! then cost no write. Only one node removes a crash from the store: the node that cleared the
+//! request or, for expired crashes, the node with the authority.
 //!
-//! A store that comes back from an older copy of itself takes nothing back: what it has lost is written again, and what
-//! was cleared is passed over and removed again.
+//! If the store is restored from an older copy, nothing is undone: lost crashes are written again,
+//! and crashes of cleared requests are ignored and removed again.
 
 use crate::ids::RunnerId;
 use crate::request_identity::RequestIdentity;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Crashes of runners under a request after which it reaches no runner any more: the users allow three,
-/// and three repeats after the third has become known.
+/// Number of crashes after which a request is quarantined. The requirement allows three crashes,
+/// and three more repetitions after the third one is known.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// Time for which the first crash under a request waits before it is written, microseconds: a resumed
-/// stream or a repeated request is mostly answered within it, and it is a third of the shortest time
-/// after which the users' nodes count as in touch. Other nodes are told at once.
+/// Delay before the first crash of a request is written, in microseconds. A resumed stream or a
+/// repeated request mostly completes within it, and it is a third of the shortest time after which
+/// nodes must count as in contact. Other nodes are notified at once.
 const FIRST_WRITE_DELAY_US: u64 = 1_000_000;
-/// Entries that a transaction of the store takes.
+/// Maximum number of entries in one store transaction.
 pub const MAX_ENTRIES_PER_WRITE: usize = 32;
-/// Requests that are remembered. On a day of the aim (letter 1) 13 machines fail: with four runners each
-/// and 64 requests under way at each some 3,300 requests, worked out.
+/// Maximum number of tracked requests. At the fleet size that the design aims for, 13 machines fail
+/// per day; with four runners each and 64 requests in progress at each runner, that is an estimated
+/// 3,300 requests.
 pub const MAX_TRACKED_REQUESTS: usize = 4_096;
-/// Crashes of cleared requests that are remembered, in case an older copy of the store brings them back.
+/// Maximum number of remembered crashes of cleared requests, which an older copy of the store may
+/// bring back.
 const MAX_CLEARED_CRASHES: usize = 4_096;
-/// Time after which a crash is forgotten, milliseconds: the users count over the rest of a day.
+/// Time after which a crash expires, in milliseconds: crashes must count for the rest of a day.
 pub const CRASH_TTL_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// A runner ended while a request was under way there.
+/// A runner that crashed while a request was in progress there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Crash {
-    /// The request.
+    /// The request that was in progress.
     pub request: RequestIdentity,
-    /// The runner.
+    /// The runner that crashed.
     pub runner: RunnerId,
 }
 
-/// What the store keeps of a crash.
+/// The value stored for a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// When it was seen, milliseconds since 1970.
+    /// When the crash was observed, in milliseconds since 1970.
     pub at_ms: u64,
 }
 
-/// What a node tells all others.
+/// A message that a node sends to all others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashMessage {
-    /// A runner ended with these requests under way.
+    /// A runner crashed with these requests in progress.
     #[serde(rename = "ended")]
     Ended {
-        /// The runner.
+        /// The runner that crashed.
         #[serde(rename = "r")]
         runner: RunnerId,
-        /// The requests.
+        /// The requests that were in progress.
         #[serde(rename = "q")]
         requests: Vec<RequestIdentity>,
     },
-    /// A request is cleared: a runner answered it, or an operator lifted its quarantine.
+    /// A request is cleared: a runner completed it, or an operator lifted its quarantine.
     #[serde(rename = "cleared")]
     Cleared {
-        /// The request.
+        /// The cleared request.
         #[serde(rename = "q")]
         request: RequestIdentity,
     },
 }
 
-/// How a crash is known.
+/// Where a crash is known from, and whether it is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CrashState {
-    /// This node has seen it and will write it at `due_us`.
+    /// This node has observed it and writes it at `due_us`.
     Unwritten { due_us: u64 },
-    /// Another node has told of it.
+    /// Another node has reported it.
     Reported,
-    /// It lies in the store.
+    /// It is in the store.
     Stored,
 }
 
@@ -95,56 +101,56 @@
     record: CrashRecord,
 }
 
-/// What a new crash has changed.
+/// The effect of recording a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashChange {
-    /// It was known already.
+    /// The crash was already known.
     None,
-    /// It is counted.
+    /// The crash is counted.
     Counted,
-    /// With it the request is in quarantine.
+    /// The crash is counted, and the request is now quarantined.
     Quarantined,
 }
 
-/// A request as operators see it.
+/// A request with crashes as it is shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct SuspectRequest {
-    /// Its identity.
+    /// Identity of the request.
     pub identity: RequestIdentity,
-    /// Whether it reaches no runner any more.
+    /// Whether it is no longer sent to runners.
     pub quarantined: bool,
-    /// Runners that ended under it.
+    /// Runners that crashed while it was in progress.
     pub runners: Vec<RunnerId>,
-    /// When the last one did, milliseconds since 1970.
+    /// When the last of them crashed, in milliseconds since 1970.
     pub last_crash_ms: u64,
 }
 
-/// All requests under which runners have ended, as far as a node knows.
+/// All requests during which runners have crashed, as far as a node knows.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     requests: HashMap<RequestIdentity, BTreeMap<RunnerId, TrackedCrash>>,
-    /// Entries of the store that are to be removed.
+    /// Stored crashes that this node is to remove from the store.
     to_remove: BTreeSet<Crash>,
-    /// Entries of the store that there was no room for here.
+    /// Stored crashes of requests that were evicted because the limit was reached.
     evicted: BTreeSet<Crash>,
-    /// Crashes of requests that were cleared, the latest last.
+    /// Crashes of cleared requests, the latest last.
     cleared: VecDeque<ClearedCrash>,
 }
 
 #[derive(Clone, Debug)]
 struct ClearedCrash {
     crash: Crash,
-    /// Whether this node has cleared it, and removes it from the store.
+    /// Whether this node cleared it, and so removes it from the store.
     is_own: bool,
 }
 
 impl Quarantine {
-    /// Whether no runner has ended under any request.
+    /// Whether no request has crashes.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// This node has seen a crash.
+    /// Records a crash that this node has observed.
     pub fn on_observed(&mut self, crash: &Crash, at_ms: u64, now_us: u64) -> CrashChange {
         let is_first = self.crash_count(crash.request) == 0;
         let due_us = if is_first { now_us + FIRST_WRITE_DELAY_US } else { now_us };
@@ -160,8 +166,8 @@
         change
     }
 
-    /// What other nodes have told of a request in quarantine is written by the node that saw its last
-    /// crash too: they may have died before they wrote it.
+    /// Makes this node write the reported crashes of a quarantined request as well, after observing
+    /// its last crash: the nodes that reported them may have failed before writing them.
     fn write_reported(&mut self, request: RequestIdentity, now_us: u64) {
         let crashes = self.requests.get_mut(&request).into_iter().flat_map(BTreeMap::values_mut);
         for crash in crashes.filter(|crash| crash.state == CrashState::Reported) {
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Another node has told of a crash.
+    /// Records a crash that another node has reported.
     pub fn on_reported(&mut self, crash: &Crash, at_ms: u64, now_us: u64) -> CrashChange {
         let record = CrashRecord { at_ms };
         let change = self.count(crash, TrackedCrash { state: CrashState::Reported, record });
@@ -179,9 +185,9 @@
         change
     }
 
-    /// The store has a crash.
+    /// Records a crash that is in the store.
     pub fn on_stored(&mut self, crash: &Crash, record: CrashRecord) -> CrashChange {
-        // It was cleared here; a copy that lags, or is read anew, does not bring it back.
+        // This node has cleared it; an outdated or repeated snapshot must not bring it back.
         if self.to_remove.contains(crash) {
             return CrashChange::None;
         }
@@ -196,7 +202,7 @@
         let crashes = self.requests.entry(crash.request).or_default();
         let before = crashes.insert(crash.runner.clone(), known);
         match before {
-            // What the store has is never taken for unwritten again.
+            // A stored crash never becomes unwritten again.
             Some(before)
                 if before.state == CrashState::Stored || known.state != CrashState::Stored =>
             {
@@ -209,8 +215,8 @@
         }
     }
 
-    /// Forgets the request with the fewest crashes, the oldest among equals: a flood of requests with
-    /// one crash each cannot free one that has more.
+    /// Evicts the request with the fewest crashes, the oldest among equals. A flood of requests
+    /// with one crash each cannot release a request that has more.
     fn evict_weakest(&mut self) {
         let age = |crashes: &BTreeMap<RunnerId, TrackedCrash>| {
             crashes.values().map(|crash| crash.record.at_ms).max()
@@ -224,14 +230,14 @@
         }
     }
 
-    /// Takes a request out; returns those of its crashes that are in the store.
+    /// Removes a request and returns those of its crashes that are in the store.
     fn remove_request(&mut self, request: RequestIdentity) -> Vec<Crash> {
         let crashes = self.requests.remove(&request).unwrap_or_default();
         let stored = crashes.into_iter().filter(|(_, crash)| crash.state == CrashState::Stored);
         stored.map(|(runner, _)| Crash { request, runner }).collect()
     }
 
-    /// Crashes of a request that wait to be written wait no longer: it is not the first any more.
+    /// Ends the write delay of a request's crashes, as it now has more than one.
     fn expedite_writes(&mut self, request: RequestIdentity, now_us: u64) {
         for crash in self.requests.get_mut(&request).into_iter().flat_map(BTreeMap::values_mut) {
             if let CrashState::Unwritten { due_us } = &mut crash.state {
@@ -240,7 +246,7 @@
         }
     }
 
-    /// The store has a crash no more: the request was cleared, or the crash is forgotten.
+    /// Records that a crash is no longer in the store: its request was cleared, or it has expired.
     pub fn on_removed(&mut self, crash: &Crash) {
         self.to_remove.remove(crash);
         if let Some(crashes) = self.requests.get_mut(&crash.request) {
@@ -251,7 +257,7 @@
         }
     }
 
-    /// These are all crashes in the store; others that were there are gone.
+    /// Replaces the stored crashes by a full snapshot of the store.
     pub fn on_store_snapshot(&mut self, stored: &[(Crash, CrashRecord)]) {
         for crashes in self.requests.values_mut() {
             crashes.retain(|_, crash| crash.state != CrashState::Stored);
@@ -262,8 +268,8 @@
         }
     }
 
-    /// These are all crashes in a store that has come back from an older copy. What it has lost is written again from
-    /// `due_us` on, unless another node does so sooner.
+    /// Handles a snapshot of a store that was restored from an older copy. Crashes that the store
+    /// has lost are written again from `due_us` on, unless another node does so first.
     pub fn on_store_restored(&mut self, stored: &[(Crash, CrashRecord)], due_us: u64) {
         for crash in self.requests.values_mut().flat_map(BTreeMap::values_mut) {
             if crash.state == CrashState::Stored {
@@ -279,7 +285,8 @@
         }
     }
 
-    /// Another node has cleared a request, and removes what the store has of it.
+    /// Records that another node has cleared a request. That node removes its crashes from the
+    /// store.
     pub fn on_cleared_by_peer(&mut self, request: RequestIdentity) {
         self.remember_cleared(request, false);
         self.requests.remove(&request);
@@ -293,7 +300,7 @@
         self.cleared.drain(..surplus);
     }
 
-    /// A request is cleared of all crashes. Returns whether there were any.
+    /// Clears a request of all its crashes. Returns whether it had any.
     pub fn clear(&mut self, request: RequestIdentity) -> bool {
         let is_known = self.requests.contains_key(&request);
         self.remember_cleared(request, true);
@@ -302,13 +309,13 @@
         is_known
     }
 
-    /// Runners that have ended under a request.
+    /// Number of runners that crashed while the request was in progress.
     pub fn crash_count(&self, request: RequestIdentity) -> usize {
         self.requests.get(&request).map_or(0, BTreeMap::len)
     }
 
-    /// Whether a request reaches no runner any more. `in_doubt`: runners that have broken it off just
-    /// now and whose crash is not proved; they count until it is known.
+    /// Whether a request is no longer sent to runners. `suspected` are the runners at which it
+    /// broke just now without a proven crash; they count until their state is known.
     pub fn is_quarantined<'a>(
         &self,
         request: RequestIdentity,
@@ -321,14 +328,14 @@
         crashes.map_or(0, BTreeMap::len) + suspected_count >= CRASHES_TO_QUARANTINE
     }
 
-    /// Crashes that are to be written now, one write's worth.
+    /// Crashes to write now, at most one transaction's worth.
     pub fn due_writes(&self, now_us: u64) -> Vec<(Crash, CrashRecord)> {
         let is_due = |state: CrashState| matches!(state, CrashState::Unwritten { due_us } if due_us <= now_us);
         let due = self.all().filter(|(_, crash)| is_due(crash.state));
         due.take(MAX_ENTRIES_PER_WRITE).map(|(crash, known)| (crash, known.record)).collect()
     }
 
-    /// When the next crash is to be written, microseconds; `None`: none waits.
+    /// When the next crash is due to be written, in microseconds; `None` if none is unwritten.
     pub fn next_write_us(&self) -> Option<u64> {
         let due = self.requests.values().flat_map(BTreeMap::values).filter_map(|crash| match crash
             .state
@@ -339,12 +346,13 @@
         due.min()
     }
 
-    /// Entries that are to be removed from the store, one write's worth.
+    /// Crashes to remove from the store, at most one transaction's worth.
     pub fn due_removals(&self) -> Vec<Crash> {
         self.to_remove.iter().take(MAX_ENTRIES_PER_WRITE).cloned().collect()
     }
 
-    /// Crashes were written. One whose request has been cleared meanwhile is to be removed again.
+    /// Records that crashes were written. If their request was cleared meanwhile, they are
+    /// scheduled for removal.
     pub fn on_written(&mut self, written: &[(Crash, CrashRecord)]) {
         for (crash, record) in written {
             if self
@@ -359,15 +367,15 @@
         }
     }
 
-    /// Entries were removed from the store.
+    /// Records that crashes were removed from the store.
     pub fn on_removals_written(&mut self, removed: &[Crash]) {
         for crash in removed {
             self.to_remove.remove(crash);
         }
     }
 
-    /// Has crashes removed from the store that are older than [`REMEMBERED_MS`], or that there is no room for:
-    /// the work of one node for all.
+    /// Schedules the removal of stored crashes that are older than [`CRASH_TTL_MS`] or whose
+    /// request was evicted. One node does this for all.
     pub fn schedule_removals(&mut self, now_ms: u64) {
         self.to_remove.append(&mut self.evicted);
         let is_old =
@@ -380,7 +388,7 @@
         }
     }
 
-    /// All requests under which runners have ended, those with most crashes first.
+    /// All requests with crashes, those with the most crashes first.
     pub fn suspects(&self) -> Vec<SuspectRequest> {
         let suspect =
             |(identity, crashes): (&RequestIdentity, &BTreeMap<RunnerId, TrackedCrash>)| {
--- a/crates/serving/src/request_identity.rs
+++ b/crates/serving/src/request_identity.rs
@@ -1,46 +1,49 @@
-//! What makes two requests the same one, whatever ids they carry: who asks, and for what.
+//! Identifies repetitions of a request, whatever request ids they carry.
 //!
-//! A client that comes again has a new id each time. Method, host, path, tenant and body stay. What is
-//! asked stands in the body; where there is none, the query says it. The identity is a digest of these, so that it can be logged, told to other nodes and
-//! kept in the store: no key, body or word of a client can be read from it. It is a strong digest,
-//! cut to 128 bits, since a sound request must never be taken for another one.
+//! A client that retries uses a new request id each time, but the method, host, path, tenant and
+//! body stay the same. The body states what is requested; if there is none, the query string does.
+//! The identity is a digest of these parts, so it can be logged, sent to other nodes and kept in
+//! the store without revealing keys, bodies or other client data. It is a cryptographic digest,
+//! truncated to 128 bits, since a harmless request must never be mistaken for another one.
 
 use crate::ids::TenantName;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 
-/// Bytes of an identity: two requests of a day share one with a chance below one in 10^20.
+/// Bytes of an identity. The chance that two requests of one day share an identity is below 1 in
+/// 10^20.
 const IDENTITY_BYTES: usize = 16;
 
-/// The parts of a request that stay when it comes again.
+/// The parts of a request that stay the same when it is repeated.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that the client named.
+    /// Host that the client named, in any case.
     pub host: &'a str,
-    /// Path and query. The query counts only where there is no body.
+    /// Path and query. The query is only included if there is no body.
     pub target: &'a str,
-    /// The tenant for whom it runs; `None` where there are none. Without tenants nothing tells
-    /// callers apart that lasts: addresses change, and many callers may share one.
+    /// Tenant for which the request runs; `None` if no tenants are configured. Without tenants,
+    /// nothing permanent distinguishes clients: addresses change, and many clients may share one.
     pub tenant: Option<&'a TenantName>,
-    /// The body.
+    /// Request body; empty if there is none.
     pub body: &'a [u8],
 }
 
-/// Digest of a request's lasting parts. As text it is 32 hexadecimal digits.
+/// Digest of the parts of a request that stay the same when it is repeated. As text it is 32
+/// hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct RequestIdentity([u8; IDENTITY_BYTES]);
 
-/// A text is no identity.
+/// Error for a text that is not an identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an identity is 32 hexadecimal digits")]
 pub struct InvalidIdentity;
 
 impl RequestIdentity {
-    /// The identity of a request.
+    /// Computes the identity of a request.
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let tenant = parts.tenant.map_or("", TenantName::as_str);
         let host = parts.host.to_ascii_lowercase();
@@ -49,7 +52,8 @@
         let fields = [parts.method, &host, resource, tenant];
         let mut hash = Sha256::new();
         for field in fields.map(str::as_bytes).into_iter().chain([parts.body]) {
-            // The length before each field keeps the end of one from passing for the start of the next.
+            // The length prefix keeps the end of one field from being taken for the start of the
+            // next.
             hash.update((field.len() as u64).to_le_bytes());
             hash.update(field);
         }
--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -1,26 +1,26 @@
-//! A retry budget that all nodes share without talking to each other.
+//! A retry budget for the whole fleet that needs no communication between nodes.
 //!
-//! The fleet as a whole may repeat a share of its requests in any window, and a fixed number of
-//! attempts (the slack) besides. Each node keeps a token bucket: a request adds a share of a
-//! token, an extra attempt takes a whole one before it is sent, and the bucket holds no more
-//! than the node's part of the slack. What leaves a bucket within a window was in it when the
-//! window began, or was added within the window. So the extra attempts of all nodes are at most
-//! the sum of their buckets plus the share of the requests that they took in the same window,
-//! whatever the window, and whoever was restarted in it: a new process begins with an empty
-//! bucket, and what an earlier one had saved is lost with it.
-
-/// The bounds of a budget.
+//! In any window, the fleet may send extra attempts for a share of its requests (the ratio), plus a
+//! fixed number of attempts (the slack). Each node has a token bucket: a request adds a fraction of
+//! a token, an extra attempt takes a whole token before it is sent, and the capacity is the node's
+//! part of the slack. The tokens that leave a bucket within a window were either in it at the start
+//! of the window or were added within it. The extra attempts of all nodes are therefore at most the
+//! sum of the bucket capacities plus the ratio of the requests received in the same window. This
+//! also holds across restarts: a new process starts with an empty bucket, and the tokens of its
+//! predecessor are lost.
+
+/// Bounds of a node's retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// Extra attempts allowed for each request.
+    /// Extra attempts allowed per request.
     pub ratio: f64,
-    /// Most extra attempts that this node saves up, see [`RetryPolicy::part_of_slack`].
+    /// Capacity of this node's bucket, in extra attempts; see [`RetryPolicy::node_slack`].
     pub max_saved: f64,
 }
 
 impl RetryPolicy {
-    /// A node's part of the slack that a fleet of so many nodes shares. A node that knows of no
-    /// other may only not have met them yet, so it saves no more than one attempt.
+    /// A node's part of the slack that a fleet of `nodes` nodes shares. A node that knows no other
+    /// node may only not have discovered them yet, so its part is at most one attempt.
     pub fn node_slack(slack: f64, nodes: usize) -> f64 {
         let part = slack * SAVABLE_SLACK_SHARE / nodes.max(1) as f64;
         if nodes < 2 {
@@ -30,40 +30,41 @@
     }
 }
 
-/// Share of the slack that all nodes together may save. The rest covers extra attempts that were
-/// sent before a window and arrive in it, and nodes that do not know all others yet.
+/// Fraction of the slack that the buckets of all nodes together may hold. The rest covers extra
+/// attempts that were sent before a window and arrive within it, and nodes that do not know all
+/// others yet.
 const SAVABLE_SLACK_SHARE: f64 = 0.75;
 
-/// Share of the ratio that a request earns. The rest covers requests that a client sent before a
-/// window and that a node read only in it, as after a pause of the node.
+/// Fraction of the ratio that a request adds to the bucket. The rest covers requests that a client
+/// sent before a window but a node read within it, for example after the node was paused.
 const EARNED_RATIO_SHARE: f64 = 0.9;
 
-/// The budget of one node for one service.
+/// The retry budget of one node for one service.
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
     policy: RetryPolicy,
-    /// Extra attempts that may be made now.
+    /// Extra attempts that are available now.
     saved: f64,
 }
 
 impl SharedRetryBudget {
-    /// A budget with nothing earned.
+    /// Creates an empty budget.
     pub fn new(policy: RetryPolicy) -> Self {
         Self { policy, saved: 0.0 }
     }
 
-    /// Changes the bounds; what was saved beyond them is lost.
+    /// Changes the bounds. Tokens beyond the new capacity are lost.
     pub fn set_policy(&mut self, policy: RetryPolicy) {
         self.policy = policy;
         self.saved = self.saved.min(policy.max_saved);
     }
 
-    /// A request for the service was taken from a client.
+    /// Adds the tokens for a request received from a client.
     pub fn on_request(&mut self) {
         self.add(self.policy.ratio * EARNED_RATIO_SHARE);
     }
 
-    /// Takes one extra attempt, if there is one.
+    /// Takes one extra attempt; returns `false` if none is available.
     pub fn withdraw(&mut self) -> bool {
         if !self.has_attempt() {
             return false;
@@ -72,12 +73,12 @@
         true
     }
 
-    /// An extra attempt that was withdrawn turned out not to be one.
+    /// Returns a withdrawn attempt that turned out not to be an extra one.
     pub fn refund(&mut self) {
         self.add(1.0);
     }
 
-    /// Whether an extra attempt could be made now.
+    /// Whether an extra attempt is available now.
     pub fn has_attempt(&self) -> bool {
         self.saved >= 1.0
     }
@@ -87,22 +88,22 @@
     }
 }
 
-/// How an arrival of a request at a runner is paid for.
+/// How an arrival of a request at a runner is charged to the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalCost {
-    /// It is no extra attempt.
+    /// Not an extra attempt.
     Free,
-    /// It is an extra attempt unless the runner takes it up: paid for before it is sent, and
-    /// refunded afterwards if it was taken up.
+    /// An extra attempt unless the runner accepts it: it is charged before it is sent, and refunded
+    /// if it was accepted.
     Deposit,
-    /// It is an extra attempt.
+    /// An extra attempt.
     Extra,
 }
 
-/// Which arrivals of one request at runners draw on the budget.
+/// Tracks which arrivals of one request at runners are charged to the budget.
 ///
-/// The first arrival is free. A reading of the prompt is free besides, but only the first one,
-/// and only if a runner takes it up: otherwise it was an arrival like any other.
+/// The first arrival is free. In addition, the first prefill is free if a runner accepts it;
+/// otherwise it counts as an ordinary arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ArrivalLedger {
     has_arrived: bool,
@@ -110,7 +111,7 @@
 }
 
 impl ArrivalLedger {
-    /// The request goes to a runner that is to run it.
+    /// Charges for sending the request to a runner that runs it.
     pub fn on_run(&mut self) -> ArrivalCost {
         match std::mem::replace(&mut self.has_arrived, true) {
             false => ArrivalCost::Free,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The request goes to a runner that is to read it.
+    /// Charges for sending the request to a runner that prefills it.
     pub fn on_prefill(&mut self) -> ArrivalCost {
         let has_tried_prefill = std::mem::replace(&mut self.has_tried_prefill, true);
         match (has_tried_prefill, self.has_arrived) {
@@ -128,7 +129,8 @@
         }
     }
 
-    /// A reading was not taken up, or nobody knows: then it has been an arrival.
+    /// Records that a prefill was not accepted, or that its outcome is unknown: it counts as an
+    /// arrival.
     pub fn on_prefill_not_accepted(&mut self) {
         self.has_arrived = true;
     }
--- a/crates/serving/src/runner_limit.rs
+++ b/crates/serving/src/runner_limit.rs
@@ -1,38 +1,41 @@
-//! What a runner takes from all nodes together, by its own word, and what nodes say to each other about it.
+//! The request rate limit that a runner reports for all nodes together, and the messages in which
+//! nodes exchange it.
 //!
-//! A node believes the limit that an answer names from the moment at which its head has come. From then on it
-//! asks the keeper of the runner's limit before each request that it sends there ([`crate::limit_keeper`]).
+//! A node applies the limit in a response as soon as the response head has arrived. From then on it
+//! asks the keeper of the runner's limit before each request that it sends there
+//! ([`crate::limit_keeper`]).
 
 use crate::ids::RunnerId;
 use crate::runner_notice::{RequestRate, RunnerNotice};
 use crate::scheduling::Ticket;
 use serde::{Deserialize, Serialize};
 
-/// What has become known of a limit.
+/// A change of a runner's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
-    /// The runner names this limit, and named none or another one before.
+    /// The runner reports this limit, and reported none or a different one before.
     Set(RequestRate),
-    /// It names none any more.
+    /// The runner no longer reports a limit.
     Lifted,
 }
 
-/// What one life of a runner takes from all nodes together, as far as this node knows.
+/// The limit of one incarnation of a runner for all nodes together, as far as this node knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLimit {
-    /// `None`: as much as comes.
+    /// `None` if there is no limit.
     rate: Option<RequestRate>,
-    /// When the answer came that says so, at this node or another one, microseconds.
+    /// When the response with this limit arrived, at this node or another one, in microseconds.
     reported_at_us: u64,
-    /// No request may be sent before, as the keeper had none left; microseconds.
+    /// No request may be sent before this time, since the keeper refused one; in microseconds.
     throttled_until_us: u64,
 }
 
 impl ReportedLimit {
-    /// The head of an answer has come, to a request that was sent at `sent_at_us`.
+    /// Applies the head of a response to a request sent at `sent_at_us`.
     ///
-    /// Answers pass each other on different connections. One to a request from before the last word may have been
-    /// given before that word, so it can lower a limit, but not raise or end it.
+    /// Responses can overtake each other on different connections. If the request was sent before
+    /// the last report was received, the runner may have sent this response before that report.
+    /// Such a response can lower a limit, but not raise or lift it.
     pub fn on_response_head(
         &mut self,
         notice: RunnerNotice,
@@ -41,7 +44,7 @@
     ) -> Option<LimitChange> {
         let is_later = self.rate.is_none() || sent_at_us > self.reported_at_us;
         match (notice.limit, self.rate) {
-            // What is no rate says neither that there is a limit nor that there is none.
+            // A malformed rate neither sets nor lifts a limit.
             (None, _) if notice.malformed => None,
             (None, Some(_)) if is_later => self.set(None, now_us),
             (None, _) => None,
@@ -52,7 +55,7 @@
         }
     }
 
-    /// Another node has heard a word of the runner. The later one holds.
+    /// Applies a report that another node has received. The later report wins.
     pub fn on_message(&mut self, message: &LimitMessage, now_us: u64) -> Option<LimitChange> {
         let reported_at_us = now_us.saturating_sub(message.age_us);
         if reported_at_us <= self.reported_at_us {
@@ -70,85 +73,87 @@
         Some(rate.map_or(LimitChange::Lifted, LimitChange::Set))
     }
 
-    /// The keeper has none left before so long, microseconds.
+    /// Records that the keeper refused a request, which may be retried after `wait_us`
+    /// microseconds.
     pub fn on_refused(&mut self, wait_us: u64, now_us: u64) {
         self.throttled_until_us = now_us.saturating_add(wait_us);
     }
 
-    /// Until when no request may be sent, microseconds; `None`: one may be asked for.
+    /// Time until which no request may be sent, in microseconds; `None` if one may be asked for
+    /// now.
     pub fn throttled_until_us(&self, now_us: u64) -> Option<u64> {
         (self.rate.is_some() && now_us < self.throttled_until_us).then_some(self.throttled_until_us)
     }
 
-    /// What the runner has said, as it is told to other nodes.
+    /// The limit as it is sent to other nodes.
     pub fn message(&self, runner: &RunnerId, now_us: u64) -> LimitMessage {
         let age_us = now_us.saturating_sub(self.reported_at_us);
         LimitMessage { runner: runner.clone(), rate: self.rate, age_us }
     }
 
-    /// The limit; `None`: it names none.
+    /// The limit; `None` if the runner reports none.
     pub fn rate(&self) -> Option<RequestRate> {
         self.rate
     }
 }
 
-/// A runner has said what it takes.
+/// Reports the limit of a runner to another node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitMessage {
-    /// The life of the runner.
+    /// The incarnation of the runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
-    /// What it takes from all nodes together; `None`: it has ceased to name a limit.
+    /// The limit for all nodes together; `None` if the runner no longer reports one.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<RequestRate>,
-    /// Time since the answer came that says so, microseconds.
+    /// Time since the response with this limit arrived, in microseconds.
     #[serde(rename = "a", default)]
     pub age_us: u64,
 }
 
-/// A node asks whether it may send one request to a runner that names a limit.
+/// Asks the keeper whether the sender may send one request to a runner with a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitQuery {
-    /// Identifies the question at the asking node.
+    /// Identifies the query at the sender.
     #[serde(rename = "i")]
     pub ticket: Ticket,
-    /// What the runner has said to the asking node.
+    /// The limit as the sender knows it.
     #[serde(rename = "w")]
     pub message: LimitMessage,
 }
 
-/// What the keeper of a limit decides.
+/// The decision of a limit keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitVerdict {
-    /// The request may be sent, within [`crate::limit_keeper::GRANT_LIFE_US`] of the question.
+    /// The request may be sent within [`crate::limit_keeper::GRANT_TTL_US`] of the query.
     #[serde(rename = "g")]
     Granted,
-    /// There is none left.
+    /// The keeper's share of the limit is used up.
     #[serde(rename = "r")]
     Refused {
-        /// Microseconds until one may be asked for again.
+        /// Time until a request may be asked for again, in microseconds.
         #[serde(rename = "w")]
         wait_us: u64,
     },
-    /// The runner has said to another node, later, that it takes as much as comes.
+    /// The runner has later reported to another node that it has no limit.
     #[serde(rename = "l")]
     Lifted {
-        /// Microseconds since then.
+        /// Time since that report, in microseconds.
         #[serde(rename = "a")]
         age_us: u64,
     },
-    /// The node is no keeper of this limit.
+    /// The node is not a keeper of this limit.
     #[serde(rename = "n")]
     NotKeeper,
 }
 
-/// A keeper's answer.
+/// A keeper's reply to a [`LimitQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReply {
-    /// The question.
+    /// The ticket of the query.
     #[serde(rename = "i")]
     pub ticket: Ticket,
-    /// What it decides.
+    /// The decision.
     #[serde(rename = "v")]
     pub verdict: LimitVerdict,
 }
--- a/crates/serving/src/tenancy.rs
+++ b/crates/serving/src/tenancy.rs
@@ -1,9 +1,9 @@
-//! Who may send requests: the tenants of a configuration, and what a key that came with a request
-//! proves.
+//! Authentication of requests: the tenants of a configuration, and which of them the key of a
+//! request identifies.
 //!
-//! Keys themselves are never kept. What is compared, stored and handed from node to node is a
-//! SHA-256 digest of a key; keys are drawn at random, so a digest leads back to no key, and the
-//! time that a look-up takes tells nothing of how much of a key was right.
+//! Keys are never kept in plain text. Only SHA-256 digests are compared, stored and sent between
+//! nodes. Keys are random, so a digest does not reveal its key, and the duration of a look-up does
+//! not reveal how much of a key was correct.
 
 use crate::ids::TenantName;
 use crate::quota::TenantLimit;
@@ -13,36 +13,35 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Bytes of a digest.
 const DIGEST_BYTES: usize = 32;
 
-/// A key as a client sent it or an operator wrote it. It cannot be printed.
+/// A key as a client sent it or an operator wrote it. Its `Debug` output does not contain the key.
 #[derive(Debug)]
 pub struct ApiKey(SecretString);
 
 impl ApiKey {
-    /// Takes a key over.
+    /// Wraps the text of a key.
     pub fn new(text: &str) -> Self {
         Self(SecretString::from(text))
     }
 
-    /// What is kept of the key.
+    /// Digest under which the key is stored and compared.
     pub fn digest(&self) -> KeyDigest {
         KeyDigest(Sha256::digest(self.0.expose_secret().as_bytes()).into())
     }
 }
 
-/// What is kept of a key.
+/// SHA-256 digest of a key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest as text, two hexadecimal digits a byte.
+    /// The digest as text, two hexadecimal digits per byte.
     pub fn to_hex(self) -> String {
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Reads [`KeyDigest::to_hex`].
+    /// Parses the output of [`KeyDigest::to_hex`]; `None` if the text is not a digest.
     pub fn from_hex(text: &str) -> Option<Self> {
         if text.len() != 2 * DIGEST_BYTES || !text.is_ascii() {
             return None;
@@ -61,30 +60,30 @@
     }
 }
 
-/// What a request shows of who sent it.
+/// The credential that a request carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// No key.
+    /// The request has no key.
     #[default]
     Absent,
-    /// A key.
+    /// The digest of the request's key.
     Key(KeyDigest),
-    /// Something that can be no key, or several keys.
+    /// The request has an invalid key or several keys.
     Malformed,
 }
 
-/// Somebody whose requests are served and counted.
+/// An account whose requests are authenticated, prioritized and counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// The name.
+    /// Name under which its requests are counted and limited.
     pub name: TenantName,
-    /// Rank of its requests, 0 first; `None`: that of the route.
+    /// Priority of its requests, 0 first; `None` for the priority of the route.
     pub priority: Option<u8>,
-    /// What it may have run; `None`: there is no limit.
+    /// Limit on the requests that it may run; `None` if there is no limit.
     pub limit: Option<TenantLimit>,
 }
 
-/// The tenants of a configuration.
+/// The tenants of a configuration, indexed by key digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tenants {
     by_key: HashMap<KeyDigest, Rc<Tenant>>,
@@ -93,7 +92,7 @@
 }
 
 impl Tenants {
-    /// Adds a tenant with its keys.
+    /// Adds a tenant with the digests of its keys.
     pub fn add(&mut self, tenant: Tenant, keys: impl IntoIterator<Item = KeyDigest>) {
         let tenant = Rc::new(tenant);
         self.count += 1;
@@ -103,7 +102,7 @@
         }
     }
 
-    /// How many tenants there are.
+    /// Number of tenants.
     pub fn len(&self) -> usize {
         self.count
     }
@@ -113,29 +112,30 @@
         self.limited_count > 0
     }
 
-    /// Whether the configuration knows no tenants: then no request needs a key.
+    /// Whether the configuration has no tenants. In this case no request needs a key.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// The tenant that holds a key.
+    /// The tenant to which a key belongs.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Rc<Tenant>> {
         self.by_key.get(key)
     }
 }
 
-/// How far a node may rely on its copy of the configuration.
+/// How up to date a node's replica of the configuration is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaAge {
-    /// Milliseconds since the store confirmed it; `None`: it never has.
+    /// Time since the store last confirmed the replica, in milliseconds; `None` if it never has.
     pub confirmed_ago_ms: Option<u64>,
-    /// Whether another node is known to have seen a later one.
+    /// Whether another node is known to have a later version.
     pub is_behind: bool,
 }
 
 impl ReplicaAge {
-    /// Whether what the copy does not hold is not there: it was confirmed within the time in which a
-    /// version comes into force, and nobody has seen a later one.
+    /// Whether a key that is missing from the replica does not exist: the replica was confirmed
+    /// within the time in which a new version takes effect, and no node has reported a later
+    /// version.
     pub fn is_current(&self, config_apply_ms: u64) -> bool {
         !self.is_behind && self.is_confirmed_within(config_apply_ms)
     }
@@ -145,35 +145,35 @@
     }
 }
 
-/// Bounds on how long a node goes on by a copy that is not confirmed.
+/// Bounds on how long a node relies on a replica that the store has not confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyPolicy {
-    /// Time within which a version is to be in force everywhere, milliseconds: a copy that was
-    /// confirmed within it is taken to know every key.
+    /// Time within which a new version takes effect on all nodes, in milliseconds. A replica that
+    /// was confirmed within this time is assumed to contain every key.
     pub config_apply_ms: u64,
-    /// Time after which a key that was taken away may not be served any more by a node that cannot
-    /// know, milliseconds; `None`: a node that cannot know serves on.
+    /// Time after which a node that cannot check whether a key has been revoked must stop accepting
+    /// it, in milliseconds; `None` if it accepts the key without a time limit.
     pub revoke_ms: Option<u64>,
 }
 
-/// Whether a request may run, and for whom.
+/// Result of an authorization.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// It may, for nobody in particular.
+    /// The request may run without a tenant.
     Open,
-    /// It may, for this tenant.
+    /// The request may run for this tenant.
     Granted(Rc<Tenant>),
-    /// It carries no key, or one that nobody holds.
+    /// The request has no key, or one that belongs to no tenant.
     Denied,
-    /// This node's copy is too old to tell: another node may know.
+    /// This node's replica is too old to decide; another node may be able to.
     Unverifiable,
 }
 
 /// Decides whether a request may run.
 ///
-/// A key that the copy does not know is denied only by a node that would know it: one whose copy
-/// was confirmed lately. A key that the copy knows is served, unless operators want nodes that have
-/// lost touch for too long to stop.
+/// A node denies an unknown key only if its replica was confirmed recently; otherwise the key may
+/// be missing from its replica alone. A known key is accepted unless `revoke_ms` is set and the
+/// replica has not been confirmed within that time.
 pub fn authorize(
     tenants: &Tenants,
     route_is_public: bool,
@@ -186,7 +186,7 @@
     }
     let key = match credential {
         Credential::Absent if route_is_public => return Access::Open,
-        // No later version could allow it either.
+        // No later version of the configuration could allow it either.
         Credential::Absent | Credential::Malformed => return Access::Denied,
         Credential::Key(key) => key,
     };
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -1,87 +1,90 @@
-//! How many requests of each tenant began to run, by windows of the time of day.
+//! Counts the requests that started to run, per tenant and time window.
 //!
-//! Each start of a node counts for itself and tells its counts as totals, so a word that is lost,
-//! late or told twice changes nothing: totals of one start are merged by the greater one, and the
-//! counts of all starts are added up. The node that has the authority collects them, and with it a
-//! deputy, so that what a node had told outlives both the node and the collector.
+//! Each incarnation of a node keeps its own counts and reports them as totals, so lost, delayed or
+//! duplicated messages change nothing: totals of one incarnation are merged by taking the maximum,
+//! and the totals of all incarnations are added up. The node that holds the authority collects
+//! them. It has a deputy that receives them too, so that reported counts survive the failure of
+//! both the reporting node and the collector.
 //!
-//! What was fixed for a window is final. It lies in the store, and in the memory of those that fixed it, who tell a
-//! new collector of it: the store may come back from a copy without it.
+//! The counts of a window are final once they are finalized. They are kept in the store and in the
+//! memory of the nodes that finalized them, which report them to a new collector: the store may be
+//! restored from an older copy without them.
 
 use crate::ids::{NodeId, TenantName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Requests that began to run, by tenant.
+/// Number of requests that started to run, by tenant.
 pub type TenantCounts = BTreeMap<TenantName, u64>;
 
-/// One start of a node.
+/// One incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Origin {
     /// The node.
     #[serde(rename = "n")]
     pub node: NodeId,
-    /// Its start, drawn at random.
+    /// Random number that identifies the incarnation.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
-/// What one start of a node counted in one window.
+/// The counts of one incarnation of a node in one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
-    /// The window.
+    /// Number of the window.
     #[serde(rename = "w")]
     pub window: u64,
-    /// The counts so far.
+    /// The totals so far.
     #[serde(rename = "c")]
     pub counts: TenantCounts,
 }
 
-/// The collector asks the nodes for their counts.
+/// Asks the nodes for their counts; sent by the collector.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageQuery {
-    /// Identifies the question at the collector.
+    /// Identifies the query at the collector.
     pub number: u64,
-    /// Who gets the answer: the collector and its deputy.
+    /// Where replies are sent: the collector and its deputy.
     #[serde(rename = "answer_to")]
     pub reply_to: Vec<SocketAddr>,
-    /// The first window that is asked for.
+    /// The first window to report.
     pub from_window: u64,
-    /// Whether to tell also what others have told: the collector is new.
+    /// Whether nodes also report the counts that they received from others, as the collector is
+    /// new.
     #[serde(rename = "relays")]
     pub wants_relayed: bool,
 }
 
-/// A start of a node tells its counts, or what it was told by another.
+/// Reports the counts of one incarnation of a node, sent by that node or relayed by another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageMessage {
-    /// Whose counts these are.
+    /// The incarnation that counted.
     pub origin: Origin,
-    /// The question that it answers; `None`: handed on.
+    /// Number of the query that this message replies to; `None` if it is relayed.
     #[serde(rename = "answers")]
     pub in_reply_to: Option<u64>,
-    /// The counts.
+    /// The counts by window.
     pub windows: Vec<WindowCounts>,
-    /// What the node that tells it knows to be fixed for all. Former builds tell nothing of it.
+    /// Finalized windows that the sender knows. Earlier versions do not send them.
     #[serde(rename = "fixed", default, skip_serializing_if = "Vec::is_empty")]
     pub finalized: Vec<WindowCounts>,
 }
 
-/// Windows of the time of day, numbered from 1970.
+/// Time windows of equal length, numbered from 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Windows {
-    /// Length of a window, milliseconds.
+    /// Length of a window, in milliseconds.
     pub length_ms: u64,
 }
 
 impl Windows {
-    /// The window of a moment, milliseconds since 1970.
+    /// The window that contains a time, given in milliseconds since 1970.
     pub fn at(self, time_ms: u64) -> u64 {
         time_ms / self.length_ms.max(1)
     }
 
-    /// When a window is over.
+    /// The end of a window, in milliseconds since 1970.
     pub fn end_ms(self, window: u64) -> u64 {
         (window + 1) * self.length_ms
     }
@@ -89,50 +92,51 @@
 
 type CountsByWindow = BTreeMap<u64, TenantCounts>;
 
-/// What a node has counted, and what others have told it.
+/// The counts of this node and those that it received from others.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
     own: CountsByWindow,
     peers: HashMap<Origin, CountsByWindow>,
-    /// What is fixed for all nodes.
+    /// Finalized windows, which are the same on all nodes.
     finalized: CountsByWindow,
 }
 
-/// Windows that are kept: reports are due within two or three, and a store that is away for longer
-/// than the rest is left behind.
+/// Number of windows that are retained. Reports are due within two or three windows; if the store
+/// is unavailable for longer than the rest, older windows are dropped.
 const RETAINED_WINDOWS: u64 = 8;
 
 impl UsageLedger {
-    /// A request of a tenant began to run at this node's word.
+    /// Counts a request that this node started to run.
     pub fn on_request_started(&mut self, window: u64, tenant: &TenantName) {
         *self.own.entry(window).or_default().entry(tenant.clone()).or_default() += 1;
         let oldest = window.saturating_sub(RETAINED_WINDOWS);
         self.own.retain(|window, _| *window >= oldest);
     }
 
-    /// The counts of a window are fixed for all nodes; the first word on it holds.
+    /// Stores the finalized counts of a window. The first counts that are stored for a window win.
     pub fn on_finalized(&mut self, window: u64, counts: TenantCounts) {
         self.finalized.entry(window).or_insert(counts);
         let newest = self.finalized.keys().next_back().copied().unwrap_or_default();
         self.finalized.retain(|window, _| *window + RETAINED_WINDOWS >= newest);
     }
 
-    /// What is fixed for all nodes from a window on, as far as is known here.
+    /// The finalized windows that are known here, from `from_window` on.
     pub fn finalized_since(&self, from_window: u64) -> Vec<WindowCounts> {
         windows_since(&self.finalized, from_window)
     }
 
-    /// What is to be reported of a window: what is fixed, or the requests of all nodes, as far as they are known here.
+    /// The counts to report for a window: the finalized ones, or else the sum over all nodes that
+    /// is known here.
     pub fn to_report(&self, window: u64) -> TenantCounts {
         self.finalized.get(&window).cloned().unwrap_or_else(|| self.total(window))
     }
 
-    /// This start's counts from a window on.
+    /// The counts of this incarnation, from `from_window` on.
     pub fn own_since(&self, from_window: u64) -> Vec<WindowCounts> {
         windows_since(&self.own, from_window)
     }
 
-    /// Takes in another start's counts, which never fall.
+    /// Merges the counts of another incarnation, which never decrease.
     pub fn merge(&mut self, message: &UsageMessage) {
         message.finalized.iter().for_each(|it| self.on_finalized(it.window, it.counts.clone()));
         let known = self.peers.entry(message.origin.clone()).or_default();
@@ -147,7 +151,7 @@
         known.retain(|window, _| *window + RETAINED_WINDOWS >= newest);
     }
 
-    /// What others have told, from a window on.
+    /// The counts received from others, from `from_window` on.
     pub fn relayed_since(&self, from_window: u64) -> Vec<UsageMessage> {
         let message = |(origin, counts): (&Origin, &CountsByWindow)| {
             let windows = windows_since(counts, from_window);
@@ -168,7 +172,7 @@
         total
     }
 
-    /// Forgets starts of nodes that told nothing of the kept windows.
+    /// Removes windows before `window`, and incarnations that have no later one.
     pub fn remove_before(&mut self, window: u64) {
         self.own.retain(|known, _| *known >= window);
         self.peers.values_mut().for_each(|counts| counts.retain(|known, _| *known >= window));
@@ -184,38 +188,38 @@
     counts.range(from_window..).map(of_window).collect()
 }
 
-/// When windows are reported, milliseconds.
+/// When usage windows are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportSchedule {
-    /// The windows.
+    /// Length and numbering of the windows.
     pub windows: Windows,
-    /// Time after the end of a window within which its report is due.
+    /// Time after the end of a window within which its report is due, in milliseconds.
     pub due_ms: u64,
 }
 
-/// Time after the end of a window until nobody counts in it any more, milliseconds: a request is
-/// counted when its answer begins, which may be late on a busy machine.
+/// Time after the end of a window until its counts no longer change, in milliseconds. A request is
+/// counted when its response starts, which may be late on a busy machine.
 const COUNT_SETTLING_MS: u64 = 700;
-/// Part of the time until a report is due for which nodes that do not answer are waited for, in
-/// hundredths. The rest must do for another node to take over: three seconds until the lease has
-/// lapsed and three until the next holder may act.
+/// Maximum wait for nodes that do not reply, as a percentage of the time until the report is due.
+/// The rest is needed for another node to take over: 3 s until the lease expires, and 3 s until the
+/// next holder may act.
 const MAX_WAIT_PERCENT: u64 = 40;
 
-/// What the collector knows of its questions, for one term of its authority.
+/// The queries of a collector and their replies, during one term of its authority.
 #[derive(Clone, Debug, Default)]
 pub struct UsageCollector {
-    /// When the first question was asked, milliseconds since 1970.
+    /// When the first query was sent, in milliseconds since 1970.
     first_query_ms: Option<u64>,
-    /// When questions were asked, by their number, milliseconds since 1970.
+    /// When each query was sent, by query number, in milliseconds since 1970.
     sent_ms: BTreeMap<u64, u64>,
-    /// When the last question was asked that a node has answered.
+    /// For each node, when the latest query that it has replied to was sent.
     last_answered_ms: HashMap<NodeId, u64>,
-    /// Windows whose counts are fixed.
+    /// Windows whose counts are finalized.
     finalized: BTreeSet<u64>,
 }
 
 impl UsageCollector {
-    /// A question has been asked.
+    /// Records that a query was sent.
     pub fn on_query_sent(&mut self, number: u64, now_ms: u64) {
         const MAX_TRACKED_QUERIES: usize = 32;
         self.first_query_ms.get_or_insert(now_ms);
@@ -225,25 +229,25 @@
         }
     }
 
-    /// A node has answered a question.
+    /// Records a node's reply. Replies to unknown queries are ignored.
     pub fn on_reply(&mut self, node: &NodeId, number: u64) {
         let Some(sent_ms) = self.sent_ms.get(&number) else { return };
         let latest = self.last_answered_ms.entry(node.clone()).or_default();
         *latest = (*latest).max(*sent_ms);
     }
 
-    /// The counts of a window are fixed.
+    /// Records that the counts of a window are finalized.
     pub fn on_finalized(&mut self, window: u64) {
         self.finalized.insert(window);
     }
 
-    /// The first window that is still of interest.
+    /// The first window that may still have to be reported.
     pub fn first_open_window(&self, schedule: ReportSchedule, now_ms: u64) -> u64 {
         schedule.windows.at(now_ms.saturating_sub(schedule.due_ms)).saturating_sub(1)
     }
 
-    /// Windows whose counts are to be fixed now: all nodes have told what they counted in them, or
-    /// those that have not are not waited for any longer.
+    /// Windows to finalize now: all nodes have reported their final counts, or the wait for the
+    /// missing nodes has timed out.
     pub fn to_finalize<'a>(
         &self,
         nodes: impl Iterator<Item = &'a NodeId> + Clone,
@@ -255,7 +259,8 @@
             nodes.clone().all(|node| {
                 let last_answered_ms = self.last_answered_ms.get(node).copied();
                 let has_reported = last_answered_ms.is_some_and(|sent_ms| sent_ms >= settled_ms);
-                // One that has said nothing for so long is gone: it would hold up every window.
+                // A node that has been silent for this long is gone; waiting for it would delay
+                // every window.
                 let silent_since_ms = last_answered_ms.or(self.first_query_ms);
                 has_reported
                     || silent_since_ms.is_some_and(|since_ms| now_ms > since_ms + schedule.due_ms)
--- a/crates/serving/src/wall_clock.rs
+++ b/crates/serving/src/wall_clock.rs
@@ -1,25 +1,26 @@
-//! The time of day that all nodes agree on.
+//! Wall-clock time that is consistent across nodes.
 //!
-//! A machine's time of day may jump by seconds, and back. Each node tells the others what its own
-//! says; a node goes by its own as long as that is close to the median of all, and by the median
-//! otherwise. Between two looks it goes by the steady clock, so a jump changes nothing at once.
-//! Nodes tell what their machine says, never what they have worked out from others: a wrong clock
-//! cannot spread.
+//! A machine's wall clock may jump by seconds, in either direction. Each node reports its own wall
+//! clock to the others. A node uses its own clock while that is close to the median of all clocks,
+//! and the median otherwise. Between two evaluations it uses the monotonic clock, so a jump has no
+//! immediate effect. Nodes report only their machine's clock, never a time derived from others, so
+//! that a wrong clock cannot spread.
 
 use crate::ids::NodeId;
 use std::collections::HashMap;
 
-/// How far a clock may be from the median of all and still be gone by, milliseconds. Words take
-/// some ten milliseconds on a busy machine, and jumps are of a second and more.
+/// Maximum deviation from the median at which a node still uses its own clock, in milliseconds.
+/// Reports take about 10 ms on a busy machine, and clock jumps are of a second or more.
 const MAX_DEVIATION_MS: i64 = 250;
-/// Time for which another node's word counts, microseconds: digests reach each node every few
-/// seconds in fleets of some hundred.
+/// Time for which another node's clock report is used, in microseconds. In fleets of several
+/// hundred nodes, digests reach each node every few seconds.
 const CLOCK_REPORT_TTL_US: u64 = 30_000_000;
-/// Between two looks at all clocks, microseconds.
+/// Time between two evaluations of all clocks, in microseconds.
 const EVALUATION_INTERVAL_US: u64 = 500_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// What a node knows of the time of day. Offsets are from its steady clock, in milliseconds.
+/// Estimates the wall-clock time from this machine's clock and the reports of other nodes. Offsets
+/// are relative to the node's monotonic clock, in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct WallClock {
     peers: HashMap<NodeId, PeerClock>,
@@ -43,13 +44,14 @@
 }
 
 impl WallClock {
-    /// Another node told what its machine's clock says, milliseconds since 1970.
+    /// Records another machine's wall clock, in milliseconds since 1970.
     pub fn on_peer_clock(&mut self, node: &NodeId, wall_ms: u64, now_us: u64) {
         let offset_ms = offset_ms(wall_ms, now_us);
         self.peers.insert(node.clone(), PeerClock { offset_ms, received_at_us: now_us });
     }
 
-    /// The time of day, milliseconds since 1970. `own_ms` is what this machine's clock says.
+    /// The current time in milliseconds since 1970. `own_ms` is the reading of this machine's wall
+    /// clock.
     pub fn now_ms(&mut self, own_ms: u64, now_us: u64) -> u64 {
         let is_due =
             |estimate: Estimate| now_us >= estimate.evaluated_at_us + EVALUATION_INTERVAL_US;
