--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -118,12 +118,11 @@
     let origin = own_origin(node);
     let ledger = node.usage.borrow();
     let windows = ledger.own_since(question.from_window);
-    let fixed = match question.wants_relayed {
+    let finalized = match question.wants_relayed {
         true => ledger.finalized_since(question.from_window),
         false => Vec::new(),
     };
-    let own =
-        UsageMessage { origin, in_reply_to: Some(question.number), windows, finalized: fixed };
+    let own = UsageMessage { origin, in_reply_to: Some(question.number), windows, finalized };
     let mut words = vec![own];
     if question.wants_relayed {
         words.extend(ledger.relayed_since(question.from_window));
@@ -257,14 +256,10 @@
         self.node.usage.borrow_mut().remove_before(from_window.saturating_sub(1));
         let members = self.node.members.borrow();
         let own = self.node.settings().listen.peers;
-        let answer_to: Vec<SocketAddr> =
+        let reply_to: Vec<SocketAddr> =
             [Some(own), members.deputy()].into_iter().flatten().collect();
-        let question = UsageQuery {
-            number: self.questions,
-            reply_to: answer_to,
-            from_window,
-            wants_relayed: is_new,
-        };
+        let question =
+            UsageQuery { number: self.questions, reply_to, from_window, wants_relayed: is_new };
         self.node.scheduling.socket.send(&PeerWord::UsageQuestion(question), &members.others());
     }
 
--- a/crates/serving/tests/authority.rs
+++ b/crates/serving/tests/authority.rs
@@ -16,7 +16,7 @@
     FencingToken::new(StoreRevision::without_era(number))
 }
 
-fn gained(now_us: u64) -> AuthorityHolder {
+fn holder_since(now_us: u64) -> AuthorityHolder {
     let mut holder = AuthorityHolder::default();
     let term = AuthorityTerm::new(fence(9), now_us, now_us, TIMES);
     holder.on_acquired(LEASE, term, now_us, TIMES);
@@ -24,30 +24,30 @@
 }
 
 /// Looks in a time, each by the longest wait or the shortest.
-fn looks(holder: &mut AuthorityHolder, until_us: u64, chance: f64) -> usize {
-    let (mut now_us, mut looks) = (0, 0);
+fn count_polls(holder: &mut AuthorityHolder, until_us: u64, jitter_fraction: f64) -> usize {
+    let (mut now_us, mut count_polls) = (0, 0);
     while now_us < until_us {
-        match holder.step(now_us, chance) {
+        match holder.step(now_us, jitter_fraction) {
             AuthorityStep::Wait(us) => now_us += us,
-            AuthorityStep::Poll => looks += 1,
+            AuthorityStep::Poll => count_polls += 1,
             other => unreachable!("{other:?} without a lease"),
         }
     }
-    looks
+    count_polls
 }
 
 #[test]
-fn a_node_looks_often_until_it_has_seen_a_holder_and_seldom_from_then_on() {
+fn a_node_polls_often_until_it_has_observed_a_holder() {
     let mut holder = AuthorityHolder::default();
-    assert!(looks(&mut holder, 9 * SECOND, 0.5) > 10);
+    assert!(count_polls(&mut holder, 9 * SECOND, 0.5) > 10);
     let mut later = AuthorityHolder::default();
     later.on_holder_observed();
-    assert!((2..=4).contains(&looks(&mut later, 9 * SECOND, 0.5)));
+    assert!((2..=4).contains(&count_polls(&mut later, 9 * SECOND, 0.5)));
 }
 
 #[test]
-fn a_lease_is_renewed_three_times_in_its_life_and_sooner_after_a_failure() {
-    let mut holder = gained(0);
+fn a_lease_is_renewed_three_times_per_ttl_and_sooner_after_a_failure() {
+    let mut holder = holder_since(0);
     assert!(matches!(holder.step(SECOND / 2, 0.5), AuthorityStep::Wait(_)));
     assert_eq!(holder.step(SECOND, 0.5), AuthorityStep::Renew(LEASE));
     assert!(matches!(holder.step(SECOND + 1, 0.5), AuthorityStep::Wait(_)), "once is enough");
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn a_term_that_ran_out_orders_nothing_and_goes_on_once_its_lease_is_renewed() {
-    let mut holder = gained(0);
+fn an_expired_term_issues_no_orders_and_continues_once_its_lease_is_renewed() {
+    let mut holder = holder_since(0);
     assert_eq!(holder.fence_for_orders(SECOND / 2), None, "orders are a separation apart");
     assert_eq!(holder.fence_for_orders(2 * SECOND), Some(fence(9)));
     assert!(!holder.check_expiry(2 * SECOND));
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn a_holder_whose_order_was_refused_steps_down() {
-    let mut holder = gained(0);
+fn a_holder_whose_order_was_rejected_steps_down() {
+    let mut holder = holder_since(0);
     holder.on_refused(fence(8));
     assert_eq!(holder.fence_for_orders(2 * SECOND), Some(fence(9)), "that was an earlier term");
     holder.on_refused(fence(9));
@@ -83,11 +83,11 @@
 
 /// Its lease may be gone, or another holder's: it is neither renewed nor ended.
 #[test]
-fn a_holder_gives_its_term_up_once_the_store_has_come_back_older() {
-    let mut holder = gained(0);
+fn a_later_store_era_ends_the_term() {
+    let mut holder = holder_since(0);
     assert_eq!(holder.on_later_era(), Some(fence(9)));
     assert_eq!((holder.fence_for_orders(2 * SECOND), holder.fence()), (None, None));
-    assert!(looks(&mut holder, 9 * SECOND, 0.5) > 10, "nobody may hold the key");
+    assert!(count_polls(&mut holder, 9 * SECOND, 0.5) > 10, "nobody may hold the key");
     assert_eq!(holder.on_later_era(), None);
 }
 
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn roles_have_a_subject_a_region_only_where_several_regions_are_told() {
+fn roles_have_one_subject_per_region_only_with_several_regions() {
     let own = RegionId::new("here");
     let of = |zones: &[(&str, &str)]| AuthoritySubject::for_roles(&topology(zones), &own);
     assert_eq!(of(&[]), AuthoritySubject::Fleet);
--- a/crates/serving/tests/crash_evidence.rs
+++ b/crates/serving/tests/crash_evidence.rs
@@ -18,22 +18,22 @@
 }
 
 #[test]
-fn a_broken_attempt_proves_nothing_until_its_runner_has_ended() {
+fn a_broken_attempt_is_in_doubt_until_its_runner_has_terminated() {
     let mut evidence = CrashEvidence::default();
     assert!(!evidence.on_attempt_broken(&runner("a"), request(1), 0));
     assert!(!evidence.on_attempt_broken(&runner("a"), request(2), 5));
     assert_eq!(evidence.runners_in_doubt(request(1), 10).count(), 1);
     assert_eq!(evidence.runners_in_doubt(request(1), SECOND_US).count(), 0);
-    let mut under_way = evidence.on_terminated(&runner("a"), 10);
-    under_way.sort_unstable();
+    let mut in_progress = evidence.on_terminated(&runner("a"), 10);
+    in_progress.sort_unstable();
     let mut expected = vec![request(1), request(2)];
     expected.sort_unstable();
-    assert_eq!(under_way, expected);
+    assert_eq!(in_progress, expected);
     assert!(evidence.is_empty());
 }
 
 #[test]
-fn an_end_is_told_once_for_each_request() {
+fn a_termination_returns_each_request_once() {
     let mut evidence = CrashEvidence::default();
     evidence.on_attempt_broken(&runner("a"), request(1), 0);
     evidence.on_attempt_broken(&runner("a"), request(1), 1);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_attempt_that_breaks_after_its_runner_ended_is_no_doubt() {
+fn an_attempt_that_breaks_after_its_runner_terminated_is_not_in_doubt() {
     let mut evidence = CrashEvidence::default();
     evidence.on_terminated(&runner("a"), 0);
     assert!(evidence.on_attempt_broken(&runner("a"), request(1), SECOND_US));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_runner_that_lives_has_only_lost_answers() {
+fn a_planned_departure_of_a_live_runner_proves_no_crash() {
     let mut evidence = CrashEvidence::default();
     evidence.on_attempt_broken(&runner("a"), request(1), 0);
     evidence.on_connection_accepted(&runner("a"));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_address_that_another_runner_has_taken_hides_no_end() {
+fn a_reused_address_does_not_hide_a_termination() {
     let mut evidence = CrashEvidence::default();
     evidence.on_attempt_broken(&runner("a"), request(1), 0);
     evidence.on_connection_accepted(&runner("a"));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_answer_clears_a_request_and_time_clears_all() {
+fn a_response_clears_its_request_and_old_attempts_expire() {
     let mut evidence = CrashEvidence::default();
     evidence.on_attempt_broken(&runner("a"), request(1), 0);
     evidence.on_attempt_broken(&runner("a"), request(2), 0);
--- a/crates/serving/tests/limit_keeper.rs
+++ b/crates/serving/tests/limit_keeper.rs
@@ -21,22 +21,22 @@
     RunnerId::new("i-1")
 }
 
-fn rate(requests_a_second: f64) -> RequestRate {
-    RequestRate::from_requests_a_second(requests_a_second).unwrap()
+fn rate(requests_per_second: f64) -> RequestRate {
+    RequestRate::from_requests_a_second(requests_per_second).unwrap()
 }
 
-fn word(rate: Option<RequestRate>, heard_ago_us: u64) -> LimitMessage {
-    LimitMessage { runner: runner(), rate, age_us: heard_ago_us }
+fn message(rate: Option<RequestRate>, age_us: u64) -> LimitMessage {
+    LimitMessage { runner: runner(), rate, age_us }
 }
 
-fn question(rate: RequestRate, heard_ago_us: u64) -> LimitQuery {
+fn query(rate: RequestRate, age_us: u64) -> LimitQuery {
     let ticket = Ticket { incarnation: 1, number: 1 };
-    LimitQuery { ticket, message: word(Some(rate), heard_ago_us) }
+    LimitQuery { ticket, message: message(Some(rate), age_us) }
 }
 
 /// What may arrive in any window: one and a half times the limit, and five.
-fn allowed(requests_a_second: f64) -> usize {
-    (6.0 * requests_a_second + 5.0) as usize
+fn max_arrivals(requests_per_second: f64) -> usize {
+    (6.0 * requests_per_second + 5.0) as usize
 }
 
 /// The most that lies in any window.
@@ -50,9 +50,9 @@
 }
 
 /// One question: when, to which keeper, and how long after it a grant is used.
-type Asked = (u64, usize, u64);
+type Query = (u64, usize, u64);
 
-fn asked() -> impl Strategy<Value = Vec<Asked>> {
+fn queries() -> impl Strategy<Value = Vec<Query>> {
     let one = (0..20_000_u64, 0..MAX_KEEPERS, 0..GRANT_TTL_US);
     prop::collection::vec(one, 1..1_500)
 }
@@ -65,43 +65,43 @@
     #[test]
     fn all_keepers_together_stay_within_the_bound(
         limit in prop_oneof![Just(0.0), Just(0.1), Just(0.5), Just(2.1), Just(10.0), Just(50.0)],
-        mut asked in asked(),
+        mut queries in queries(),
     ) {
-        asked.sort_unstable();
+        queries.sort_unstable();
         let mut keepers = vec![LimitKeeper::default(); MAX_KEEPERS];
         let mut arrivals = Vec::new();
-        for (at_ms, place, used_after_us) in asked {
+        for (at_ms, rank, send_delay_us) in queries {
             let now_us = at_ms * 1_000;
-            let share = KeeperShare::at_rank(place).unwrap();
-            let verdict = keepers[place].on_query(&question(rate(limit), 0), share, now_us);
+            let share = KeeperShare::at_rank(rank).unwrap();
+            let verdict = keepers[rank].on_query(&query(rate(limit), 0), share, now_us);
             if verdict == LimitVerdict::Granted {
-                arrivals.push(now_us + used_after_us);
+                arrivals.push(now_us + send_delay_us);
             }
         }
-        prop_assert!(fullest_window(&mut arrivals) <= allowed(limit));
+        prop_assert!(fullest_window(&mut arrivals) <= max_arrivals(limit));
     }
 
     /// A runner names a limit, none, another one: at no edge more is given than the higher of them allows.
     #[test]
-    fn limits_that_come_and_go_save_nothing(edges in prop::collection::vec(0..3_u8, 1..40)) {
+    fn changing_limits_accumulate_no_requests(edges in prop::collection::vec(0..3_u8, 1..40)) {
         let mut keeper = LimitKeeper::default();
         let mut granted = Vec::new();
         for (number, edge) in edges.into_iter().enumerate() {
             let now_us = SECOND + number as u64 * SECOND / 2;
             match edge {
-                0 => keeper.on_message(&word(None, 0), now_us),
+                0 => keeper.on_message(&message(None, 0), now_us),
                 edge => {
-                    let named = rate(f64::from(edge));
-                    let asking = (0..20).map(|_| question(named, 0));
-                    let grants = asking.filter(|question| {
-                        let verdict = keeper.on_query(question, KeeperShare::FIRST, now_us);
+                    let limit = rate(f64::from(edge));
+                    let queries = (0..20).map(|_| query(limit, 0));
+                    let grants = queries.filter(|query| {
+                        let verdict = keeper.on_query(query, KeeperShare::FIRST, now_us);
                         verdict == LimitVerdict::Granted
                     });
                     granted.extend(grants.map(|_| now_us));
                 }
             }
         }
-        prop_assert!(fullest_window(&mut granted) <= allowed(2.0));
+        prop_assert!(fullest_window(&mut granted) <= max_arrivals(2.0));
     }
 }
 
@@ -114,86 +114,93 @@
 #[test_case(330, 0.5; "330 nodes, one in two seconds")]
 #[test_case(330, 2.1; "330 nodes, two a second")]
 #[test_case(330, 50.0; "330 nodes, fifty a second")]
-fn what_the_runner_takes_is_used(nodes: usize, limit: f64) {
+fn the_limit_is_used_up_under_demand(nodes: usize, limit: f64) {
     const TIME_US: u64 = 60 * SECOND;
     let mut keeper = LimitKeeper::default();
-    let mut asks_at_us: Vec<u64> = (0..nodes).map(|node| node as u64 * 997).collect();
+    let mut next_query_us: Vec<u64> = (0..nodes).map(|node| node as u64 * 997).collect();
     let mut granted = Vec::new();
-    let mut questions = 0_u32;
+    let mut query_count = 0_u32;
     for now_us in (0..TIME_US).step_by(1_000) {
-        for asks_at_us in asks_at_us.iter_mut().filter(|at_us| **at_us <= now_us) {
-            questions += 1;
-            match keeper.on_query(&question(rate(limit), 0), KeeperShare::FIRST, now_us) {
+        for next_query_us in next_query_us.iter_mut().filter(|at_us| **at_us <= now_us) {
+            query_count += 1;
+            match keeper.on_query(&query(rate(limit), 0), KeeperShare::FIRST, now_us) {
                 LimitVerdict::Granted => granted.push(now_us),
-                LimitVerdict::Refused { wait_us } => *asks_at_us = now_us + wait_us.max(5_000),
+                LimitVerdict::Refused { wait_us } => *next_query_us = now_us + wait_us.max(5_000),
                 verdict => panic!("{verdict:?}"),
             }
         }
     }
     let used = granted.len() as f64 / (limit * TIME_US as f64 / SECOND as f64);
     assert!(used > 0.9, "{used} of the limit");
-    assert!(fullest_window(&mut granted) <= allowed(limit));
+    assert!(fullest_window(&mut granted) <= max_arrivals(limit));
     // Each node that waits asks twice a second at the most, besides those that get one.
-    let most = (nodes as f64 / 2.0 + 4.0 * limit + 2.0) * TIME_US as f64 / SECOND as f64;
-    assert!(f64::from(questions) < most, "{questions} questions");
+    let max_queries = (nodes as f64 / 2.0 + 4.0 * limit + 2.0) * TIME_US as f64 / SECOND as f64;
+    assert!(f64::from(query_count) < max_queries, "{query_count} queries");
 }
 
 #[test]
-fn a_node_gives_the_first_share_only_when_it_has_been_the_first_for_some_time() {
+fn a_node_grants_the_first_share_only_after_the_settling_period() {
     let mut term = LimitKeeperTerm::default();
-    let look = |term: &mut LimitKeeperTerm, place: usize, from_us: u64, to_us: u64| {
+    let check_rank = |term: &mut LimitKeeperTerm, rank: usize, from_us: u64, to_us: u64| {
         for now_us in (from_us..=to_us).step_by(250_000) {
-            term.on_rank_checked(place, now_us);
+            term.on_rank_checked(rank, now_us);
         }
     };
     assert_eq!(term.share(0, 0), KeeperShare::at_rank(1));
-    look(&mut term, 0, 2 * SECOND, 3 * SECOND);
+    check_rank(&mut term, 0, 2 * SECOND, 3 * SECOND);
     assert_eq!(term.share(0, 3 * SECOND), KeeperShare::at_rank(1));
-    look(&mut term, 0, 3 * SECOND, 6 * SECOND);
+    check_rank(&mut term, 0, 3 * SECOND, 6 * SECOND);
     assert_eq!(term.share(0, 6 * SECOND), Some(KeeperShare::FIRST));
     assert_eq!(term.share(1, 6 * SECOND), KeeperShare::at_rank(1), "one comes before it now");
     assert_eq!(term.share(4, 6 * SECOND), None);
     // It stood still, and may have been replaced: before it has looked, and after.
     assert_eq!(term.share(0, 8 * SECOND), KeeperShare::at_rank(1));
-    look(&mut term, 0, 8 * SECOND, 9 * SECOND);
+    check_rank(&mut term, 0, 8 * SECOND, 9 * SECOND);
     assert_eq!(term.share(0, 9 * SECOND), KeeperShare::at_rank(1));
-    look(&mut term, 0, 9 * SECOND, 11 * SECOND);
+    check_rank(&mut term, 0, 9 * SECOND, 11 * SECOND);
     assert_eq!(term.share(0, 11 * SECOND), Some(KeeperShare::FIRST));
 }
 
 #[test]
-fn the_later_word_of_a_runner_holds() {
+fn the_latest_report_of_a_runner_wins() {
     let mut keeper = LimitKeeper::default();
-    let ask = |keeper: &mut LimitKeeper, ago_us, now_us| {
-        keeper.on_query(&question(rate(2.0), ago_us), KeeperShare::FIRST, now_us)
+    let query_after = |keeper: &mut LimitKeeper, age_us, now_us| {
+        keeper.on_query(&query(rate(2.0), age_us), KeeperShare::FIRST, now_us)
     };
-    assert!(matches!(ask(&mut keeper, 0, SECOND), LimitVerdict::Refused { .. }));
-    keeper.on_message(&word(None, 0), 2 * SECOND);
+    assert!(matches!(query_after(&mut keeper, 0, SECOND), LimitVerdict::Refused { .. }));
+    keeper.on_message(&message(None, 0), 2 * SECOND);
     let lifted = LimitVerdict::Lifted { age_us: SECOND };
-    assert_eq!(ask(&mut keeper, 2 * SECOND, 3 * SECOND), lifted, "the node heard it before");
-    assert!(matches!(ask(&mut keeper, 0, 4 * SECOND), LimitVerdict::Refused { .. }), "again");
-    keeper.on_message(&word(None, 3 * SECOND), 5 * SECOND);
     assert_eq!(
-        ask(&mut keeper, 0, 5 * SECOND),
+        query_after(&mut keeper, 2 * SECOND, 3 * SECOND),
+        lifted,
+        "the node heard it before"
+    );
+    assert!(
+        matches!(query_after(&mut keeper, 0, 4 * SECOND), LimitVerdict::Refused { .. }),
+        "again"
+    );
+    keeper.on_message(&message(None, 3 * SECOND), 5 * SECOND);
+    assert_eq!(
+        query_after(&mut keeper, 0, 5 * SECOND),
         LimitVerdict::Granted,
         "an old word changes nothing"
     );
 }
 
 #[test]
-fn a_refusal_tells_when_and_no_later_than_a_lifted_limit_is_to_be_noticed() {
+fn the_wait_after_a_refusal_is_bounded() {
     let mut keeper = LimitKeeper::default();
     for _ in 0..100 {
-        let verdict = keeper.on_query(&question(rate(0.0), 0), KeeperShare::FIRST, SECOND);
+        let verdict = keeper.on_query(&query(rate(0.0), 0), KeeperShare::FIRST, SECOND);
         let LimitVerdict::Refused { wait_us } = verdict else { panic!("{verdict:?}") };
         assert!(wait_us <= 2 * SECOND);
     }
 }
 
 #[test]
-fn runners_that_nobody_asks_for_are_forgotten() {
+fn idle_runners_are_removed() {
     let mut keeper = LimitKeeper::default();
-    keeper.on_message(&word(Some(rate(2.0)), 0), SECOND);
+    keeper.on_message(&message(Some(rate(2.0)), 0), SECOND);
     assert_eq!(keeper.messages(8, SECOND).len(), 1);
     assert_eq!(keeper.exhausted(KeeperShare::FIRST, SECOND), vec![runner()]);
     assert!(keeper.exhausted(KeeperShare::FIRST, 2 * SECOND).is_empty(), "one is left");
@@ -203,7 +210,7 @@
 
 /// Keepers are counted in the order in which they are asked.
 #[test]
-fn a_node_counts_those_before_it_that_are_there() {
+fn the_rank_of_a_node_counts_reachable_nodes_before_it() {
     let node = |number: u32| NodeId::new(format!("node-{number}"));
     let member = |number: u32| Member {
         address: SocketAddr::from(([127, 0, 0, 1], number as u16)),
@@ -215,23 +222,23 @@
     let shard = Shard { region: members.own_region(), number: 0, of: 1 };
     let order = members.schedulers_in_order(&shard);
     assert_eq!(order.len(), 40);
-    for (place, (name, _)) in order.iter().enumerate() {
-        assert_eq!(members.place_of(name, &shard, |_| true), place);
+    for (rank, (name, _)) in order.iter().enumerate() {
+        assert_eq!(members.place_of(name, &shard, |_| true), rank);
         assert_eq!(members.place_of(name, &shard, |_| false), 0);
     }
-    let second_is_gone = |name: &NodeId| *name != *order[1].0;
-    assert_eq!(members.place_of(order[2].0, &shard, second_is_gone), 1);
+    let is_not_second = |name: &NodeId| *name != *order[1].0;
+    assert_eq!(members.place_of(order[2].0, &shard, is_not_second), 1);
 }
 
 /// A request is what tells that a limit is over: the first keeper may be gone.
 #[test_case(0, 10; "the first keeper")]
 #[test_case(1, 13; "the second one")]
-fn a_runner_that_takes_nothing_is_tried_within_seconds(place: usize, within_s: u64) {
+fn a_runner_with_limit_zero_is_probed_within_seconds(rank: usize, within_s: u64) {
     let mut keeper = LimitKeeper::default();
-    let share = KeeperShare::at_rank(place).unwrap();
-    keeper.on_message(&word(Some(rate(0.0)), 0), 0);
+    let share = KeeperShare::at_rank(rank).unwrap();
+    keeper.on_message(&message(Some(rate(0.0)), 0), 0);
     let is_granted = |keeper: &mut LimitKeeper, now_us| {
-        keeper.on_query(&question(rate(0.0), 0), share, now_us) == LimitVerdict::Granted
+        keeper.on_query(&query(rate(0.0), 0), share, now_us) == LimitVerdict::Granted
     };
     assert!(!is_granted(&mut keeper, SECOND));
     assert!(is_granted(&mut keeper, within_s * SECOND));
--- a/crates/serving/tests/model_checking.rs
+++ b/crates/serving/tests/model_checking.rs
@@ -92,9 +92,9 @@
     assert!(states > 1_000, "the search was cut short: {states} states");
 }
 
-#[test_case(usage::Safeguards { fix_if_absent: false, ..usage::Safeguards::ALL }; "fix if absent")]
-#[test_case(usage::Safeguards { send_after_answer: false, ..usage::Safeguards::ALL }; "send after answer")]
-#[test_case(usage::Safeguards { adopt_fixed: false, ..usage::Safeguards::ALL }; "adopt fixed")]
+#[test_case(usage::Safeguards { finalize_if_absent: false, ..usage::Safeguards::ALL }; "fix if absent")]
+#[test_case(usage::Safeguards { send_after_reply: false, ..usage::Safeguards::ALL }; "send after answer")]
+#[test_case(usage::Safeguards { adopt_finalized: false, ..usage::Safeguards::ALL }; "adopt fixed")]
 fn usage_reports_without_a_safeguard_differ(guards: usage::Safeguards) {
     assert!(search_usage(guards).1);
 }
@@ -108,14 +108,14 @@
 }
 
 #[test_case(retry_budget::Safeguards { pay_before_sending: false, ..retry_budget::Safeguards::ALL }; "pay before sending")]
-#[test_case(retry_budget::Safeguards { limited_bucket: false, ..retry_budget::Safeguards::ALL }; "limited bucket")]
+#[test_case(retry_budget::Safeguards { bounded_bucket: false, ..retry_budget::Safeguards::ALL }; "limited bucket")]
 #[test_case(retry_budget::Safeguards { empty_start: false, ..retry_budget::Safeguards::ALL }; "empty start")]
 fn the_retry_budget_without_a_safeguard_is_unsafe(guards: retry_budget::Safeguards) {
     assert!(search_retry_budget(guards).1);
 }
 
 #[test_case(authority::State::default(); "before a store that loses nothing")]
-#[test_case(authority::State::with_return(); "before a store that comes back older")]
+#[test_case(authority::State::with_restored_store(); "before a store that comes back older")]
 fn authority_is_safe_in_every_state(initial: authority::State) {
     let (states, violated) = search_authority(initial, authority::Safeguards::ALL);
     println!("authority: {states} states");
@@ -168,7 +168,7 @@
 #[test_case(authority::Safeguards { lease_of_its_era: false, ..authority::Safeguards::ALL }; "lease of its era")]
 #[test_case(authority::Safeguards { wait_for_earlier_era: false, ..authority::Safeguards::ALL }; "wait for earlier era")]
 fn authority_across_eras_without_a_safeguard_is_unsafe(guards: authority::Safeguards) {
-    assert!(search_authority(authority::State::with_return(), guards).1);
+    assert!(search_authority(authority::State::with_restored_store(), guards).1);
 }
 
 #[test_case(adoption::Safeguards { only_higher: false, ..adoption::Safeguards::ALL }; "only higher")]
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -27,35 +27,35 @@
     Crash { request: request(number), runner: RunnerId::new(format!("i-{runner}")) }
 }
 
-fn holds(quarantine: &Quarantine, number: u64) -> bool {
+fn is_quarantined(quarantine: &Quarantine, number: u64) -> bool {
     quarantine.is_quarantined(request(number), std::iter::empty())
 }
 
 #[test]
-fn three_ends_are_counted_once_a_runner_whoever_tells() {
+fn three_crashes_quarantine_and_each_runner_counts_once() {
     let mut quarantine = Quarantine::default();
     assert_eq!(quarantine.on_observed(&crash(1, 1), 0, 0), CrashChange::Counted);
     assert_eq!(quarantine.on_reported(&crash(1, 1), 0, 0), CrashChange::None);
     assert_eq!(quarantine.on_stored(&crash(1, 1), RECORD), CrashChange::None);
     assert_eq!(quarantine.on_reported(&crash(1, 2), 0, 0), CrashChange::Counted);
-    assert!(!holds(&quarantine, 1));
+    assert!(!is_quarantined(&quarantine, 1));
     assert_eq!(quarantine.on_stored(&crash(1, 3), RECORD), CrashChange::Quarantined);
-    assert!(holds(&quarantine, 1) && !holds(&quarantine, 2));
+    assert!(is_quarantined(&quarantine, 1) && !is_quarantined(&quarantine, 2));
 }
 
 #[test]
-fn runners_in_doubt_count_until_they_are_known_to_live() {
+fn runners_in_doubt_count_until_they_are_known_to_be_alive() {
     let mut quarantine = Quarantine::default();
     quarantine.on_observed(&crash(1, 1), 0, 0);
     quarantine.on_observed(&crash(1, 2), 0, 0);
-    let in_doubt = [RunnerId::new("i-3")];
+    let suspected = [RunnerId::new("i-3")];
     let known = [RunnerId::new("i-2")];
-    assert!(quarantine.is_quarantined(request(1), in_doubt.iter()));
+    assert!(quarantine.is_quarantined(request(1), suspected.iter()));
     assert!(!quarantine.is_quarantined(request(1), known.iter()));
 }
 
 #[test]
-fn an_answer_clears_a_request_and_the_store_is_told() {
+fn a_response_clears_a_request_and_its_stored_crashes() {
     let mut quarantine = Quarantine::default();
     quarantine.on_stored(&crash(1, 1), RECORD);
     quarantine.on_observed(&crash(1, 2), 0, 0);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_another_node_has_cleared_it_also_removes() {
+fn the_node_that_cleared_a_request_removes_its_crashes() {
     let mut quarantine = Quarantine::default();
     quarantine.on_stored(&crash(1, 1), RECORD);
     quarantine.on_reported(&crash(1, 2), 0, 0);
@@ -77,19 +77,19 @@
 }
 
 #[test]
-fn a_copy_that_lags_brings_back_nothing_that_was_cleared() {
+fn an_outdated_snapshot_does_not_bring_back_cleared_crashes() {
     let mut quarantine = Quarantine::default();
     let stored = [1, 2, 3].map(|runner| (crash(1, runner), RECORD));
     quarantine.on_store_snapshot(&stored);
     quarantine.clear(request(1));
     quarantine.on_store_snapshot(&stored);
-    assert!(!holds(&quarantine, 1));
+    assert!(!is_quarantined(&quarantine, 1));
     stored.iter().for_each(|(crash, _)| quarantine.on_removed(crash));
     assert!(quarantine.due_removals().is_empty());
 }
 
 #[test]
-fn a_first_end_waits_to_be_written_and_a_second_one_hastens_it() {
+fn the_write_of_a_first_crash_is_delayed_until_a_second_one() {
     let mut quarantine = Quarantine::default();
     quarantine.on_observed(&crash(1, 1), 7, 0);
     assert!(quarantine.due_writes(0).is_empty());
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_last_end_has_all_written_that_others_have_told() {
+fn the_last_crash_makes_reported_crashes_due_for_writing() {
     let mut quarantine = Quarantine::default();
     quarantine.on_reported(&crash(1, 1), 0, 0);
     quarantine.on_reported(&crash(1, 2), 0, 0);
@@ -112,17 +112,17 @@
 }
 
 #[test]
-fn an_end_that_is_written_after_its_request_was_cleared_is_removed_again() {
+fn a_crash_written_after_its_request_was_cleared_is_removed_again() {
     let mut quarantine = Quarantine::default();
     quarantine.on_observed(&crash(1, 1), 0, 0);
-    let writing = quarantine.due_writes(SECOND_US);
+    let due = quarantine.due_writes(SECOND_US);
     quarantine.clear(request(1));
-    quarantine.on_written(&writing);
+    quarantine.on_written(&due);
     assert_eq!(quarantine.due_removals(), [crash(1, 1)]);
 }
 
 #[test]
-fn a_whole_list_replaces_what_was_stored_and_keeps_the_rest() {
+fn a_snapshot_replaces_stored_crashes_and_keeps_the_others() {
     let mut quarantine = Quarantine::default();
     quarantine.on_stored(&crash(1, 1), RECORD);
     quarantine.on_observed(&crash(2, 1), 0, 0);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_flood_of_first_ends_frees_no_request_from_quarantine() {
+fn a_flood_of_first_crashes_releases_no_quarantined_request() {
     let mut quarantine = Quarantine::default();
     for runner in 0..3 {
         quarantine.on_stored(&crash(0, runner), RECORD);
@@ -143,13 +143,13 @@
     for number in 1..=flood {
         quarantine.on_observed(&crash(number, number), number, 0);
     }
-    assert!(holds(&quarantine, 0));
+    assert!(is_quarantined(&quarantine, 0));
     assert_eq!(quarantine.suspects().len(), MAX_TRACKED_REQUESTS);
     assert!(quarantine.suspects()[0].quarantined);
 }
 
 #[test]
-fn what_there_is_no_room_for_is_removed_by_one_node_for_all() {
+fn evicted_crashes_are_removed_from_the_store() {
     let mut quarantine = Quarantine::default();
     for number in 0..=MAX_TRACKED_REQUESTS as u64 {
         quarantine.on_stored(&crash(number, number), CrashRecord { at_ms: number });
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn ends_are_forgotten_after_a_day() {
+fn crashes_expire_after_a_day() {
     let mut quarantine = Quarantine::default();
     quarantine.on_stored(&crash(1, 1), RECORD);
     quarantine.schedule_removals(CRASH_TTL_MS);
@@ -174,61 +174,61 @@
 /// at far more crashes than the hunts have: each second one runner in nine crashes, each with 20 requests
 /// under way; a request is tried twice by its node and comes again once, as on the users' routes.
 #[test]
-fn sound_requests_among_ends_of_other_causes_are_hardly_ever_held() {
+fn harmless_requests_are_rarely_quarantined_by_unrelated_crashes() {
     const RUNNERS: u64 = 9;
     const REQUESTS: u64 = 100_000;
-    const TRIES: u64 = 4;
+    const ATTEMPTS: u64 = 4;
     /// Chance that the runner crashes within the second for which a request is under way.
-    const ENDS_A_SECOND: f64 = 1.0 / RUNNERS as f64;
-    let mut chance = ChaCha8Rng::seed_from_u64(36);
+    const CRASH_PROBABILITY: f64 = 1.0 / RUNNERS as f64;
+    let mut random = ChaCha8Rng::seed_from_u64(36);
     let mut quarantine = Quarantine::default();
-    let mut held = 0;
+    let mut quarantined_count = 0;
     for number in 0..REQUESTS {
-        for attempt in 0..TRIES {
-            if holds(&quarantine, number) {
-                held += 1;
+        for attempt in 0..ATTEMPTS {
+            if is_quarantined(&quarantine, number) {
+                quarantined_count += 1;
                 break;
             }
-            if !chance.random_bool(ENDS_A_SECOND) {
+            if !random.random_bool(CRASH_PROBABILITY) {
                 quarantine.clear(request(number));
                 break;
             }
             // Each crash is one of another runner: one that starts anew has another id.
-            quarantine.on_observed(&crash(number, number * TRIES + attempt), 0, 0);
+            quarantine.on_observed(&crash(number, number * ATTEMPTS + attempt), 0, 0);
         }
     }
     // Three crashes in a row: 1 in 729. With one crash in ten seconds in a fleet of nine it is 1 in 700,000.
-    assert!(held < REQUESTS / 500, "{held} of {REQUESTS}");
-    assert!(held > 0, "the check sees nothing");
+    assert!(quarantined_count < REQUESTS / 500, "{quarantined_count} of {REQUESTS}");
+    assert!(quarantined_count > 0, "the check sees nothing");
 }
 
 #[test]
-fn ends_that_an_older_copy_of_the_store_lacks_are_kept_and_written_again() {
+fn crashes_missing_from_a_restored_store_are_written_again() {
     let mut quarantine = Quarantine::default();
     let stored: Vec<_> = (1..=3).map(|runner| (crash(1, runner), RECORD)).collect();
     quarantine.on_store_snapshot(&stored);
     quarantine.on_store_restored(&stored[..1], SECOND_US);
-    assert!(holds(&quarantine, 1));
+    assert!(is_quarantined(&quarantine, 1));
     assert_eq!(quarantine.due_writes(SECOND_US - 1), []);
     assert_eq!(quarantine.due_writes(SECOND_US), stored[1..]);
     // Another node has written one of them.
     quarantine.on_stored(&stored[1].0, RECORD);
     assert_eq!(quarantine.due_writes(SECOND_US), stored[2..]);
-    assert!(holds(&quarantine, 1));
+    assert!(is_quarantined(&quarantine, 1));
 }
 
 #[test]
-fn what_was_cleared_does_not_come_back_with_an_older_copy_of_the_store() {
+fn a_restored_store_does_not_bring_back_cleared_crashes() {
     let stored: Vec<_> = (1..=3).map(|runner| (crash(1, runner), RECORD)).collect();
-    let (mut here, mut elsewhere) = (Quarantine::default(), Quarantine::default());
-    here.on_store_snapshot(&stored);
-    elsewhere.on_store_snapshot(&stored);
-    here.clear(request(1));
-    here.on_removals_written(&here.due_removals());
-    elsewhere.on_cleared_by_peer(request(1));
-    here.on_store_restored(&stored, 0);
-    elsewhere.on_store_restored(&stored, 0);
-    assert!(!holds(&here, 1) && !holds(&elsewhere, 1));
-    assert_eq!(here.due_removals().len(), 3);
-    assert_eq!(elsewhere.due_removals(), [], "one node removes them");
+    let (mut own, mut peer) = (Quarantine::default(), Quarantine::default());
+    own.on_store_snapshot(&stored);
+    peer.on_store_snapshot(&stored);
+    own.clear(request(1));
+    own.on_removals_written(&own.due_removals());
+    peer.on_cleared_by_peer(request(1));
+    own.on_store_restored(&stored, 0);
+    peer.on_store_restored(&stored, 0);
+    assert!(!is_quarantined(&own, 1) && !is_quarantined(&peer, 1));
+    assert_eq!(own.due_removals().len(), 3);
+    assert_eq!(peer.due_removals(), [], "one node removes them");
 }
--- a/crates/serving/tests/request_identity.rs
+++ b/crates/serving/tests/request_identity.rs
@@ -29,19 +29,22 @@
 #[test_case(RequestParts { body: b"", ..PARTS }; "no body")]
 #[test_case(RequestParts { body: b"another", ..PARTS }; "body")]
 #[test_case(RequestParts { target: "/match/1a", body: b" call", ..PARTS }; "where one part ends")]
-fn another_part_makes_another_request(other: RequestParts<'_>) {
+fn a_different_part_makes_a_different_request(other: RequestParts<'_>) {
     assert_ne!(identity(PARTS), identity(other));
 }
 
 #[test]
-fn a_query_counts_only_without_a_body() {
-    let asks = |target, body| identity(RequestParts { target, body, ..PARTS });
-    assert_eq!(asks("/match/1?x=1", b"a call".as_slice()), asks("/match/1?x=2", b"a call"));
-    assert_ne!(asks("/match/1?x=1", b"".as_slice()), asks("/match/1?x=2", b""));
+fn the_query_is_included_only_without_a_body() {
+    let identity_of = |target, body| identity(RequestParts { target, body, ..PARTS });
+    assert_eq!(
+        identity_of("/match/1?x=1", b"a call".as_slice()),
+        identity_of("/match/1?x=2", b"a call")
+    );
+    assert_ne!(identity_of("/match/1?x=1", b"".as_slice()), identity_of("/match/1?x=2", b""));
 }
 
 #[test]
-fn another_tenant_asks_for_another_request() {
+fn a_different_tenant_makes_a_different_request() {
     let (one, two) = (TenantName::new("one"), TenantName::new("two"));
     let of = |tenant| identity(RequestParts { tenant: Some(tenant), ..PARTS });
     assert_ne!(of(&one), of(&two));
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn an_identity_is_written_and_read_as_text() {
+fn an_identity_survives_a_round_trip_as_text() {
     let known = identity(PARTS);
     assert_eq!(known.to_string().len(), 32);
     assert_eq!(known.to_string().parse(), Ok(known));
--- a/crates/serving/tests/retry_budget.rs
+++ b/crates/serving/tests/retry_budget.rs
@@ -10,30 +10,30 @@
 const WINDOW_US: u64 = 10 * SECOND;
 const RATIO: f64 = 0.2;
 
-fn policy(most_saved: f64) -> RetryPolicy {
-    RetryPolicy { ratio: RATIO, max_saved: most_saved }
+fn policy(max_saved: f64) -> RetryPolicy {
+    RetryPolicy { ratio: RATIO, max_saved }
 }
 
-fn earning_budget(requests: usize) -> SharedRetryBudget {
+fn budget_after_requests(requests: usize) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(policy(5.0));
     (0..requests).for_each(|_| budget.on_request());
     budget
 }
 
 #[test]
-fn a_new_process_has_nothing_to_spend() {
+fn a_new_budget_is_empty() {
     assert!(!SharedRetryBudget::new(policy(5.0)).withdraw());
 }
 
 #[test]
-fn requests_earn_extra_attempts_up_to_the_part_of_the_slack() {
-    let mut budget = earning_budget(1_000);
+fn requests_fill_the_bucket_up_to_its_capacity() {
+    let mut budget = budget_after_requests(1_000);
     assert_eq!((0..100).filter(|_| budget.withdraw()).count(), 5);
 }
 
 #[test]
 fn a_deposit_that_is_refunded_can_be_spent() {
-    let mut budget = earning_budget(6);
+    let mut budget = budget_after_requests(6);
     assert!(budget.withdraw());
     assert!(!budget.has_attempt());
     budget.refund();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_reading_that_was_taken_up_is_free_beside_the_run() {
+fn an_accepted_prefill_is_free_in_addition_to_the_run() {
     let mut arrivals = ArrivalLedger::default();
     assert_eq!(arrivals.on_prefill(), ArrivalCost::Free);
     assert_eq!(arrivals.on_run(), ArrivalCost::Free);
@@ -50,7 +50,7 @@
 
 /// Found by a hunt on a crowded day: 217 arrivals beyond the first where 208 were allowed.
 #[test]
-fn a_reading_that_was_not_taken_up_is_the_free_arrival() {
+fn a_prefill_that_is_not_accepted_uses_up_the_free_arrival() {
     let mut arrivals = ArrivalLedger::default();
     assert_eq!(arrivals.on_prefill(), ArrivalCost::Free);
     arrivals.on_prefill_not_accepted();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_second_reading_draws_on_the_budget() {
+fn a_second_prefill_is_charged() {
     let mut arrivals = ArrivalLedger::default();
     assert_eq!(arrivals.on_prefill(), ArrivalCost::Free);
     assert_eq!(arrivals.on_prefill(), ArrivalCost::Extra);
@@ -67,14 +67,14 @@
 /// In deep overload many requests are first declined by a decode runner and then sent to be
 /// read. Whether a runner takes the reading up is known only afterwards.
 #[test]
-fn the_first_reading_after_an_arrival_is_paid_for_before_it_is_sent() {
+fn the_first_prefill_after_an_arrival_needs_a_deposit() {
     let mut arrivals = ArrivalLedger::default();
     assert_eq!(arrivals.on_run(), ArrivalCost::Free);
     assert_eq!(arrivals.on_prefill(), ArrivalCost::Deposit);
 }
 
 #[test]
-fn the_parts_of_the_slack_fit_whatever_the_size_of_the_fleet() {
+fn the_node_slacks_add_up_to_at_most_the_slack() {
     const SLACK: f64 = 54.0;
     assert_eq!(RetryPolicy::node_slack(SLACK, 1), 1.0, "the others may not be known yet");
     for nodes in 2..400 {
@@ -84,9 +84,9 @@
 
 /// What becomes of an attempt.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Outcome {
     /// A reading is taken up; a run is answered.
-    TakenUp,
+    Accepted,
     /// The runner declines it.
     Declined,
     /// Nobody knows.
@@ -98,19 +98,19 @@
     /// A request comes, and is sent to be read (or run) with these fates until one is taken up.
     Request {
         node: usize,
-        attempts: [(bool, Fate); 4],
+        attempts: [(bool, Outcome); 4],
     },
     Restart {
         node: usize,
     },
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
-    prop_oneof![Just(Fate::TakenUp), Just(Fate::Declined), Just(Fate::Unknown)]
+fn outcome() -> impl Strategy<Value = Outcome> {
+    prop_oneof![Just(Outcome::Accepted), Just(Outcome::Declined), Just(Outcome::Unknown)]
 }
 
 fn step(nodes: usize) -> impl Strategy<Value = Step> {
-    let attempts = prop::array::uniform4((any::<bool>(), fate()));
+    let attempts = prop::array::uniform4((any::<bool>(), outcome()));
     prop_oneof![
         30 => (0..nodes, attempts).prop_map(|(node, attempts)| Step::Request { node, attempts }),
         1 => (0..nodes).prop_map(|node| Step::Restart { node }),
@@ -121,38 +121,38 @@
 /// reading that is taken up.
 #[derive(Default)]
 struct CountedArrivals {
-    seen: u64,
-    reading_taken: bool,
+    count: u64,
+    prefill_accepted: bool,
 }
 
 impl CountedArrivals {
     /// Whether this arrival is an extra one.
-    fn is_extra(&mut self, is_reading: bool, fate: Fate) -> bool {
-        if is_reading && matches!(fate, Fate::TakenUp) && !self.reading_taken {
-            self.reading_taken = true;
+    fn is_extra(&mut self, is_prefill: bool, outcome: Outcome) -> bool {
+        if is_prefill && matches!(outcome, Outcome::Accepted) && !self.prefill_accepted {
+            self.prefill_accepted = true;
             return false;
         }
-        self.seen += 1;
-        self.seen > 1
+        self.count += 1;
+        self.count > 1
     }
 }
 
 /// Makes the attempts of a request as far as the budget allows; returns the extra arrivals.
-fn play_request(budget: &mut SharedRetryBudget, attempts: [(bool, Fate); 4]) -> u64 {
+fn run_request(budget: &mut SharedRetryBudget, attempts: [(bool, Outcome); 4]) -> u64 {
     let mut ledger = ArrivalLedger::default();
     let mut counted = CountedArrivals::default();
     let mut extras = 0;
     budget.on_request();
-    for (is_reading, fate) in attempts {
-        let cost = if is_reading { ledger.on_prefill() } else { ledger.on_run() };
+    for (is_prefill, outcome) in attempts {
+        let cost = if is_prefill { ledger.on_prefill() } else { ledger.on_run() };
         if cost != ArrivalCost::Free && !budget.withdraw() {
             return extras;
         }
-        extras += u64::from(counted.is_extra(is_reading, fate));
-        match (is_reading, fate) {
-            (true, Fate::TakenUp) if cost == ArrivalCost::Deposit => budget.refund(),
-            (true, Fate::Declined | Fate::Unknown) => ledger.on_prefill_not_accepted(),
-            (false, Fate::TakenUp) => return extras,
+        extras += u64::from(counted.is_extra(is_prefill, outcome));
+        match (is_prefill, outcome) {
+            (true, Outcome::Accepted) if cost == ArrivalCost::Deposit => budget.refund(),
+            (true, Outcome::Declined | Outcome::Unknown) => ledger.on_prefill_not_accepted(),
+            (false, Outcome::Accepted) => return extras,
             _ => {}
         }
     }
@@ -164,7 +164,7 @@
     /// extra arrivals of any window keep to the ratio of the requests of that same window, and
     /// to the slack.
     #[test]
-    fn the_sum_over_nodes_keeps_to_the_bound_in_any_window(
+    fn extra_attempts_of_all_nodes_stay_within_the_bound_in_any_window(
         steps in prop::collection::vec((step(5), 0_u64..100_000), 1..400),
         slack in 2.0_f64..60.0,
     ) {
@@ -177,18 +177,18 @@
             now_us += pause_us;
             match step {
                 Step::Request { node, attempts } => {
-                    history.push((now_us, play_request(&mut budgets[node], attempts)));
+                    history.push((now_us, run_request(&mut budgets[node], attempts)));
                 }
                 Step::Restart { node } => budgets[node] = SharedRetryBudget::new(policy),
             }
         }
         for (first, (start_us, _)) in history.iter().enumerate() {
             let mut extras = 0;
-            for (number, (at_us, made)) in history[first..].iter().enumerate() {
+            for (number, (at_us, extra)) in history[first..].iter().enumerate() {
                 if *at_us > start_us + WINDOW_US {
                     break;
                 }
-                extras += made;
+                extras += extra;
                 let allowed = (number + 1) as f64 * RATIO + slack;
                 prop_assert!(extras as f64 <= allowed, "{extras} of {allowed} from {start_us}");
             }
@@ -199,7 +199,7 @@
 /// Nodes that are restarted in turn, all with requests that they repeat whenever they may, once
 /// broke the bound of the whole fleet: what a process had spent is forgotten with it.
 #[test]
-fn nodes_that_are_restarted_in_turn_keep_to_the_ratio_together() {
+fn rolling_restarts_stay_within_the_bound() {
     const NODES: u64 = 8;
     const SLACK: f64 = 56.0;
     const REQUEST_EVERY_US: u64 = 25_000;
--- a/crates/serving/tests/specification/authority.rs
+++ b/crates/serving/tests/specification/authority.rs
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const NODES: usize = 2;
-const MOST_REVISIONS: u8 = 2;
+const MAX_REVISIONS: u8 = 2;
 /// Orders of a node: fewer where the store comes back older, so that the search ends within seconds.
-const MOST_ORDERS: u8 = 2;
-const MOST_ORDERS_ACROSS_ERAS: u8 = 1;
-const MOST_INSTANCES: u8 = 2;
+const MAX_ORDERS: u8 = 2;
+const MAX_ORDERS_ACROSS_ERAS: u8 = 1;
+const MAX_INSTANCES: u8 = 2;
 /// Revisions that a fencing token has room for within an era.
-const REVISIONS_AN_ERA: u8 = 16;
+const REVISIONS_PER_ERA: u8 = 16;
 
 /// The switches. All on: the protocol as built.
 #[derive(Clone, Copy, Debug)]
@@ -54,15 +54,15 @@
 }
 
 /// What a holder has read at the runner: its start and the orders it had taken.
-type Picture = (u8, u8);
+type Observation = (u8, u8);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Holder {
     fence: Option<u8>,
     /// Fencing token of a term that has run out without a word from the store.
-    doubted: Option<u8>,
-    picture: Option<Picture>,
-    ordered: u8,
+    expired_fence: Option<u8>,
+    observation: Option<Observation>,
+    order_count: u8,
     /// The era of its term.
     era: u8,
 }
@@ -72,7 +72,7 @@
     from: u8,
     number: u8,
     fence: u8,
-    picture: Picture,
+    observation: Observation,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -80,31 +80,31 @@
     revision: u8,
     store_holder: Option<u8>,
     /// Whether the store comes back from an older copy, once.
-    comes_back: bool,
+    may_be_restored: bool,
     era: u8,
     /// The copy from which the store may come back: its revision, and who held the key.
-    copy: Option<(u8, Option<u8>)>,
+    backup: Option<(u8, Option<u8>)>,
     holders: [Holder; NODES],
-    on_the_way: BTreeSet<Order>,
+    in_flight: BTreeSet<Order>,
     /// Which node has ordered with a fencing token.
     token_users: BTreeMap<u8, u8>,
     instance: u8,
-    taken: u8,
+    order_total: u8,
     highest_fence: u8,
     pub violated: bool,
 }
 
 impl State {
     /// Before a store that comes back from an older copy of itself.
-    pub fn with_return() -> Self {
-        Self { comes_back: true, ..Self::default() }
+    pub fn with_restored_store() -> Self {
+        Self { may_be_restored: true, ..Self::default() }
     }
 
-    fn most_orders(&self) -> u8 {
-        if self.comes_back {
-            MOST_ORDERS_ACROSS_ERAS
+    fn max_orders(&self) -> u8 {
+        if self.may_be_restored {
+            MAX_ORDERS_ACROSS_ERAS
         } else {
-            MOST_ORDERS
+            MAX_ORDERS
         }
     }
 
@@ -120,17 +120,19 @@
     }
 
     fn store_steps(&self, states: &mut Vec<Self>) {
-        if !self.comes_back || self.era > 0 {
+        if !self.may_be_restored || self.era > 0 {
             return;
         }
-        match self.copy {
+        match self.backup {
             None => {
-                states
-                    .push(Self { copy: Some((self.revision, self.store_holder)), ..self.clone() });
+                states.push(Self {
+                    backup: Some((self.revision, self.store_holder)),
+                    ..self.clone()
+                });
             }
             Some((revision, store_holder)) => {
                 let era = self.era + 1;
-                states.push(Self { era, revision, store_holder, copy: None, ..self.clone() });
+                states.push(Self { era, revision, store_holder, backup: None, ..self.clone() });
             }
         }
     }
@@ -143,34 +145,37 @@
     fn lease_steps(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let is_absent = self.store_holder.is_none() || !guards.take_if_absent;
         let may_take = is_absent && !(guards.wait_for_earlier_era && self.is_earlier_era_held());
-        if may_take && self.revision < MOST_REVISIONS && self.holders[node].fence.is_none() {
-            let mut taken = self.clone();
-            taken.revision += 1;
-            taken.store_holder = Some(node as u8);
+        if may_take && self.revision < MAX_REVISIONS && self.holders[node].fence.is_none() {
+            let mut acquired = self.clone();
+            acquired.revision += 1;
+            acquired.store_holder = Some(node as u8);
             // The answer is lost: the key stands, its holder does not know.
-            states.push(taken.clone());
-            let eras = if guards.fence_counts_eras { taken.era * REVISIONS_AN_ERA } else { 0 };
-            let fence = eras + if guards.fence_from_revision { taken.revision } else { 1 };
-            taken.holders[node] = Holder { fence: Some(fence), era: self.era, ..Holder::default() };
-            let holding = taken.holders.iter().filter(|holder| holder.fence.is_some()).count();
-            taken.violated |= holding > 1;
-            states.push(taken);
+            states.push(acquired.clone());
+            let eras = if guards.fence_counts_eras { acquired.era * REVISIONS_PER_ERA } else { 0 };
+            let fence = eras + if guards.fence_from_revision { acquired.revision } else { 1 };
+            acquired.holders[node] =
+                Holder { fence: Some(fence), era: self.era, ..Holder::default() };
+            let holder_count =
+                acquired.holders.iter().filter(|holder| holder.fence.is_some()).count();
+            acquired.violated |= holder_count > 1;
+            states.push(acquired);
         }
-        let believes = self.holders[node].fence.is_some();
-        if believes {
+        let has_term = self.holders[node].fence.is_some();
+        if has_term {
             // It crashes.
             let mut crashed = self.clone();
             crashed.holders[node] = Holder::default();
             states.push(crashed);
             // Its own time is over.
-            let mut over = self.clone();
-            let Holder { fence, ordered, era, .. } = self.holders[node];
-            over.holders[node] = Holder { doubted: fence, ordered, era, ..Holder::default() };
-            states.push(over);
+            let mut expired = self.clone();
+            let Holder { fence, order_count, era, .. } = self.holders[node];
+            expired.holders[node] =
+                Holder { expired_fence: fence, order_count, era, ..Holder::default() };
+            states.push(expired);
         }
         self.renewal_steps(node, guards, states);
         let is_stored = self.store_holder == Some(node as u8);
-        if is_stored && (!believes || !guards.time_from_sending) {
+        if is_stored && (!has_term || !guards.time_from_sending) {
             let mut lapsed = self.clone();
             lapsed.store_holder = None;
             states.push(lapsed);
@@ -179,10 +184,10 @@
 
     /// The store answers the renewal of a lease whose term has run out.
     fn renewal_steps(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
-        let Some(fence) = self.holders[node].doubted else { return };
-        let Holder { era, ordered, .. } = self.holders[node];
+        let Some(fence) = self.holders[node].expired_fence else { return };
+        let Holder { era, order_count, .. } = self.holders[node];
         let has_key =
-            self.store_holder == Some(node as u8) && self.revision == fence % REVISIONS_AN_ERA;
+            self.store_holder == Some(node as u8) && self.revision == fence % REVISIONS_PER_ERA;
         // The number of its lease may be that of whoever holds the key now.
         let is_renewed = match era == self.era {
             true => has_key,
@@ -191,9 +196,10 @@
         if is_renewed || !guards.renewed_by_store {
             let mut renewed = self.clone();
             renewed.holders[node] =
-                Holder { fence: Some(fence), ordered, era, ..Holder::default() };
-            let holding = renewed.holders.iter().filter(|holder| holder.fence.is_some()).count();
-            renewed.violated |= holding > 1;
+                Holder { fence: Some(fence), order_count, era, ..Holder::default() };
+            let holder_count =
+                renewed.holders.iter().filter(|holder| holder.fence.is_some()).count();
+            renewed.violated |= holder_count > 1;
             states.push(renewed);
         }
     }
@@ -201,45 +207,47 @@
     fn order_steps(&self, node: usize, states: &mut Vec<Self>) {
         let holder = &self.holders[node];
         let Some(fence) = holder.fence else { return };
-        let mut asked = self.clone();
-        asked.holders[node].picture = Some((self.instance, self.taken));
-        states.push(asked);
-        if let Some(picture) = holder.picture.filter(|_| holder.ordered < self.most_orders()) {
+        let mut observed = self.clone();
+        observed.holders[node].observation = Some((self.instance, self.order_total));
+        states.push(observed);
+        if let Some(observation) =
+            holder.observation.filter(|_| holder.order_count < self.max_orders())
+        {
             let mut ordered = self.clone();
-            let number = holder.ordered;
-            ordered.on_the_way.insert(Order { from: node as u8, number, fence, picture });
+            let number = holder.order_count;
+            ordered.in_flight.insert(Order { from: node as u8, number, fence, observation });
             // A token names one holder: two that share it cannot be told apart.
             let user = *ordered.token_users.entry(fence).or_insert(node as u8);
             ordered.violated |= user != node as u8;
-            ordered.holders[node].ordered += 1;
-            ordered.holders[node].picture = None;
+            ordered.holders[node].order_count += 1;
+            ordered.holders[node].observation = None;
             states.push(ordered);
         }
     }
 
     fn runner_steps(&self, guards: Safeguards, states: &mut Vec<Self>) {
-        if self.instance + 1 < MOST_INSTANCES {
+        if self.instance + 1 < MAX_INSTANCES {
             // Orders taken and fencing tokens are forgotten.
             let mut restarted = self.clone();
             restarted.instance += 1;
-            restarted.taken = 0;
+            restarted.order_total = 0;
             restarted.highest_fence = 0;
             states.push(restarted);
         }
-        for order in &self.on_the_way {
+        for order in &self.in_flight {
             let mut arrived = self.clone();
-            arrived.on_the_way.remove(order);
-            let (instance, taken) = order.picture;
+            arrived.in_flight.remove(order);
+            let (instance, order_total) = order.observation;
             let misdirected = guards.named_instance && instance != self.instance;
-            let outdated = guards.expected_orders && taken != self.taken;
+            let outdated = guards.expected_orders && order_total != self.order_total;
             // Whoever holds the authority now is not refused for a token that somebody used before.
             let is_current = self.holders[order.from as usize].fence == Some(order.fence);
             arrived.violated |= is_current && order.fence < self.highest_fence;
             if !misdirected && !outdated && order.fence >= self.highest_fence {
                 arrived.highest_fence = order.fence;
-                arrived.taken += 1;
+                arrived.order_total += 1;
                 // It was decided on another picture than what the runner is now.
-                arrived.violated |= order.picture != (self.instance, self.taken);
+                arrived.violated |= order.observation != (self.instance, self.order_total);
             }
             states.push(arrived);
         }
--- a/crates/serving/tests/specification/regional_authority.rs
+++ b/crates/serving/tests/specification/regional_authority.rs
@@ -10,12 +10,12 @@
 const SUBJECTS: usize = 3;
 const FLEET: usize = 0;
 /// The subject of the runner's region, and of the other.
-const NEAR: usize = 1;
-const FAR: usize = 2;
+const LOCAL: usize = 1;
+const REMOTE: usize = 2;
 /// Region of each node.
-const REGIONS: [usize; NODES] = [NEAR, NEAR, FAR];
-const MOST_REVISIONS: u8 = 3;
-const MOST_ORDERS: u8 = 3;
+const REGIONS: [usize; NODES] = [LOCAL, LOCAL, REMOTE];
+const MAX_REVISIONS: u8 = 3;
+const MAX_ORDERS: u8 = 3;
 
 /// The switches. All on: the protocol as built.
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +36,7 @@
 struct Term {
     fence: u8,
     /// Revision of the store at which it was gained.
-    gained: u8,
+    acquired_at: u8,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -47,10 +47,10 @@
     store_holders: [Option<u8>; SUBJECTS],
     terms: [[Option<Term>; SUBJECTS]; NODES],
     knows_regions: [bool; NODES],
-    ordered: u8,
-    on_the_way: BTreeSet<(u8, Term)>,
+    order_count: u8,
+    in_flight: BTreeSet<(u8, Term)>,
     highest_fence: u8,
-    last_gained: u8,
+    last_acquired_at: u8,
     pub violated: bool,
 }
 
@@ -84,7 +84,7 @@
 
     fn take(&self, node: usize, subject: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let is_free = self.store_holders[subject].is_none() || !guards.take_if_absent;
-        if !is_free || self.revision >= MOST_REVISIONS || self.terms[node][subject].is_some() {
+        if !is_free || self.revision >= MAX_REVISIONS || self.terms[node][subject].is_some() {
             return;
         }
         let mut taken = self.clone();
@@ -92,16 +92,16 @@
         taken.versions[subject] += 1;
         taken.store_holders[subject] = Some(node as u8);
         let own = if guards.one_sequence { taken.revision } else { taken.versions[subject] };
-        taken.terms[node][subject] = Some(Term { fence: own, gained: taken.revision });
+        taken.terms[node][subject] = Some(Term { fence: own, acquired_at: taken.revision });
         states.push(taken);
     }
 
     /// A term ends by its own time, or with the node.
     fn end_term(&self, node: usize, subject: usize, states: &mut Vec<Self>) {
         if self.terms[node][subject].is_some() {
-            let mut over = self.clone();
-            over.terms[node][subject] = None;
-            states.push(over);
+            let mut expired = self.clone();
+            expired.terms[node][subject] = None;
+            states.push(expired);
         }
     }
 
@@ -120,18 +120,18 @@
     /// The term under which a node would order the runner now.
     fn ordering_term(&self, node: usize, guards: Safeguards) -> Option<Term> {
         let subject = if self.knows_regions[node] { REGIONS[node] } else { FLEET };
-        let is_own = subject == FLEET || subject == NEAR;
+        let is_own = subject == FLEET || subject == LOCAL;
         self.terms[node][subject].filter(|_| is_own || !guards.own_runners)
     }
 
     fn order(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let Some(term) = self.ordering_term(node, guards) else { return };
-        if self.ordered >= MOST_ORDERS {
+        if self.order_count >= MAX_ORDERS {
             return;
         }
         let mut ordered = self.clone();
-        ordered.ordered += 1;
-        ordered.on_the_way.insert((node as u8, term));
+        ordered.order_count += 1;
+        ordered.in_flight.insert((node as u8, term));
         // Nodes that agree on the regions never may order the same runner both.
         ordered.violated |= (0..NODES).any(|other| {
             let agrees = self.knows_regions[other] == self.knows_regions[node];
@@ -141,15 +141,15 @@
     }
 
     fn arrive(&self, states: &mut Vec<Self>) {
-        for order in &self.on_the_way {
+        for order in &self.in_flight {
             let mut arrived = self.clone();
-            arrived.on_the_way.remove(order);
+            arrived.in_flight.remove(order);
             let (_, term) = *order;
             if term.fence >= self.highest_fence {
                 arrived.highest_fence = term.fence;
                 // Orders of two terms never are taken in turns.
-                arrived.violated |= term.gained < self.last_gained;
-                arrived.last_gained = term.gained;
+                arrived.violated |= term.acquired_at < self.last_acquired_at;
+                arrived.last_acquired_at = term.acquired_at;
             }
             states.push(arrived);
         }
--- a/crates/serving/tests/specification/retry_budget.rs
+++ b/crates/serving/tests/specification/retry_budget.rs
@@ -5,12 +5,12 @@
 /// What an extra attempt costs, in the units that a request earns.
 const EXTRA_COST: u8 = 2;
 /// The most that a bucket holds: its node's part of the slack.
-const BUCKET: u8 = 2;
+const BUCKET_CAPACITY: u8 = 2;
 /// The fleet's slack.
-const SLACK: u8 = BUCKET * NODES as u8;
-const MOST_REQUESTS: u8 = 6;
+const SLACK: u8 = BUCKET_CAPACITY * NODES as u8;
+const MAX_REQUESTS: u8 = 6;
 /// Where a bucket without a limit stops in this search.
-const UNLIMITED: u8 = 8;
+const UNBOUNDED_CAPACITY: u8 = 8;
 
 /// The switches. All on: the budget as built.
 #[derive(Clone, Copy, Debug)]
@@ -18,20 +18,20 @@
     /// Whatever may turn out to be an extra attempt is paid for before it is sent.
     pub pay_before_sending: bool,
     /// A bucket holds no more than its node's part of the slack.
-    pub limited_bucket: bool,
+    pub bounded_bucket: bool,
     /// A new process begins with an empty bucket.
     pub empty_start: bool,
 }
 
 impl Safeguards {
     pub const ALL: Self =
-        Self { pay_before_sending: true, limited_bucket: true, empty_start: true };
+        Self { pay_before_sending: true, bounded_bucket: true, empty_start: true };
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct State {
     saved: [u8; NODES],
-    window_begun: bool,
+    has_window_started: bool,
     requests: u8,
     extras: u8,
 }
@@ -39,43 +39,43 @@
 impl State {
     /// More extra attempts in the window than its requests and the slack allow.
     pub fn is_violated(&self) -> bool {
-        self.window_begun && self.extras * EXTRA_COST > self.requests + SLACK
+        self.has_window_started && self.extras * EXTRA_COST > self.requests + SLACK
     }
 
     pub fn next(&self, guards: Safeguards) -> Vec<Self> {
         let mut states = Vec::new();
         for node in 0..NODES {
             self.request(node, guards, &mut states);
-            self.extra(node, guards, &mut states);
+            self.extra_attempt(node, guards, &mut states);
             let mut restarted = self.clone();
-            restarted.saved[node] = if guards.empty_start { 0 } else { BUCKET };
+            restarted.saved[node] = if guards.empty_start { 0 } else { BUCKET_CAPACITY };
             states.push(restarted);
         }
-        if !self.window_begun {
-            states.push(Self { window_begun: true, saved: self.saved, ..Self::default() });
+        if !self.has_window_started {
+            states.push(Self { has_window_started: true, saved: self.saved, ..Self::default() });
         }
         states
     }
 
     fn request(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
-        if self.requests == MOST_REQUESTS {
+        if self.requests == MAX_REQUESTS {
             return;
         }
-        let most = if guards.limited_bucket { BUCKET } else { UNLIMITED };
+        let capacity = if guards.bounded_bucket { BUCKET_CAPACITY } else { UNBOUNDED_CAPACITY };
         let mut taken = self.clone();
-        taken.saved[node] = (taken.saved[node] + 1).min(most);
+        taken.saved[node] = (taken.saved[node] + 1).min(capacity);
         taken.requests += 1;
         states.push(taken);
     }
 
-    fn extra(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
+    fn extra_attempt(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let is_paid = self.saved[node] >= EXTRA_COST;
         if (guards.pay_before_sending && !is_paid) || self.is_violated() {
             return;
         }
         let mut sent = self.clone();
         sent.saved[node] = sent.saved[node].saturating_sub(EXTRA_COST);
-        sent.extras += u8::from(self.window_begun);
+        sent.extras += u8::from(self.has_window_started);
         states.push(sent);
     }
 }
--- a/crates/serving/tests/specification/usage.rs
+++ b/crates/serving/tests/specification/usage.rs
@@ -7,21 +7,22 @@
 use std::collections::BTreeSet;
 
 const NODES: usize = 2;
-const MOST_TERMS: u8 = 3;
+const MAX_TERMS: u8 = 3;
 
 /// The switches. All on: the protocol as built.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
     /// A report is fixed only while the store has none of the window.
-    pub fix_if_absent: bool,
+    pub finalize_if_absent: bool,
     /// A report is sent only once the store has answered that it is fixed.
-    pub send_after_answer: bool,
+    pub send_after_reply: bool,
     /// A node that finds another report fixed sends that one.
-    pub adopt_fixed: bool,
+    pub adopt_finalized: bool,
 }
 
 impl Safeguards {
-    pub const ALL: Self = Self { fix_if_absent: true, send_after_answer: true, adopt_fixed: true };
+    pub const ALL: Self =
+        Self { finalize_if_absent: true, send_after_reply: true, adopt_finalized: true };
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -29,13 +30,13 @@
     fence: Option<u8>,
     /// The report that it may send.
     report: Option<u8>,
-    has_asked: bool,
+    has_requested: bool,
 }
 
 /// A call on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Call {
-    Fix { node: u8, count: u8 },
+    Finalize { node: u8, count: u8 },
     Report { fence: u8, count: u8 },
 }
 
@@ -43,8 +44,8 @@
 pub struct State {
     terms: u8,
     nodes: [Node; NODES],
-    fixed: Option<u8>,
-    on_the_way: BTreeSet<Call>,
+    finalized: Option<u8>,
+    in_flight: BTreeSet<Call>,
     highest_fence: u8,
     accepted: Option<u8>,
     pub violated: bool,
@@ -62,7 +63,7 @@
             self.term_steps(node, &mut states);
             self.report_steps(node, guards, &mut states);
         }
-        for call in &self.on_the_way {
+        for call in &self.in_flight {
             self.arrival(*call, guards, &mut states);
         }
         states
@@ -71,11 +72,11 @@
     /// A term begins whatever the others believe: one of them may stand still with a term that is
     /// over, and go on later.
     fn term_steps(&self, node: usize, states: &mut Vec<Self>) {
-        if self.terms < MOST_TERMS {
-            let mut begun = self.clone();
-            begun.terms += 1;
-            begun.nodes[node] = Node { fence: Some(begun.terms), ..Node::default() };
-            states.push(begun);
+        if self.terms < MAX_TERMS {
+            let mut started = self.clone();
+            started.terms += 1;
+            started.nodes[node] = Node { fence: Some(started.terms), ..Node::default() };
+            states.push(started);
         }
         if self.nodes[node].fence.is_some() {
             let mut restarted = self.clone();
@@ -86,37 +87,39 @@
 
     fn report_steps(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let Some(fence) = self.nodes[node].fence else { return };
-        let mut asked = self.clone();
-        asked.nodes[node].has_asked = true;
-        asked.on_the_way.insert(Call::Fix { node: node as u8, count: own_count(node) });
-        states.push(asked);
-        let is_early = self.nodes[node].has_asked && !guards.send_after_answer;
-        let report = self.nodes[node].report.or(is_early.then(|| own_count(node)));
+        let mut requested = self.clone();
+        requested.nodes[node].has_requested = true;
+        requested.in_flight.insert(Call::Finalize { node: node as u8, count: own_count(node) });
+        states.push(requested);
+        let may_skip_reply = self.nodes[node].has_requested && !guards.send_after_reply;
+        let report = self.nodes[node].report.or(may_skip_reply.then(|| own_count(node)));
         if let Some(count) = report {
             let mut sent = self.clone();
-            sent.on_the_way.insert(Call::Report { fence, count });
+            sent.in_flight.insert(Call::Report { fence, count });
             states.push(sent);
         }
     }
 
     fn arrival(&self, call: Call, guards: Safeguards, states: &mut Vec<Self>) {
         let mut arrived = self.clone();
-        arrived.on_the_way.remove(&call);
+        arrived.in_flight.remove(&call);
         // It is lost on its way.
         states.push(arrived.clone());
         match call {
-            Call::Fix { node, count } => arrived.on_fix(usize::from(node), count, guards, states),
+            Call::Finalize { node, count } => {
+                arrived.on_finalize(usize::from(node), count, guards, states)
+            }
             Call::Report { fence, count } => states.push(arrived.on_report(fence, count)),
         }
     }
 
-    fn on_fix(mut self, node: usize, count: u8, guards: Safeguards, states: &mut Vec<Self>) {
-        let found = self.fixed.filter(|_| guards.fix_if_absent);
-        self.fixed = found.or(Some(count));
+    fn on_finalize(mut self, node: usize, count: u8, guards: Safeguards, states: &mut Vec<Self>) {
+        let found = self.finalized.filter(|_| guards.finalize_if_absent);
+        self.finalized = found.or(Some(count));
         // The answer is lost.
         states.push(self.clone());
         if self.nodes[node].fence.is_some() {
-            let adopted = found.filter(|_| guards.adopt_fixed);
+            let adopted = found.filter(|_| guards.adopt_finalized);
             self.nodes[node].report = adopted.or(Some(count));
             states.push(self);
         }
--- a/crates/serving/tests/tenancy.rs
+++ b/crates/serving/tests/tenancy.rs
@@ -52,11 +52,11 @@
 #[test_case(Credential::Malformed, FRESH, LENIENT, "denied"; "several keys")]
 fn a_request_on_a_route_that_needs_a_key(
     credential: Credential,
-    copy: ReplicaAge,
+    replica: ReplicaAge,
     policy: KeyPolicy,
     expected: &str,
 ) {
-    assert_eq!(outcome(&authorize(&tenants(), false, credential, copy, policy)), expected);
+    assert_eq!(outcome(&authorize(&tenants(), false, credential, replica, policy)), expected);
 }
 
 #[test_case(Credential::Absent, "open"; "needs none")]
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_key_that_moves_belongs_to_the_tenant_of_the_version_in_force() {
+fn a_moved_key_belongs_to_the_tenant_of_the_current_version() {
     let mut moved = Tenants::default();
     let tenant = Tenant { name: TenantName::new("buses"), priority: None, limit: None };
     moved.add(tenant, [ApiKey::new("right").digest()]);
@@ -97,12 +97,12 @@
 #[test_case("", None; "empty")]
 #[test_case("zz", None; "no digits")]
 #[test_case("é", None; "no ASCII")]
-fn what_is_no_digest_is_none(text: &str, expected: Option<KeyDigest>) {
+fn an_invalid_digest_is_rejected(text: &str, expected: Option<KeyDigest>) {
     assert_eq!(KeyDigest::from_hex(text), expected);
 }
 
 #[test]
-fn a_digest_is_read_as_it_was_written() {
+fn a_digest_survives_a_round_trip_as_text() {
     let digest = ApiKey::new("right").digest();
     assert_eq!(KeyDigest::from_hex(&digest.to_hex()), Some(digest));
     assert_eq!(KeyDigest::from_hex(&format!("{}00", digest.to_hex())), None);
--- a/crates/serving/tests/usage.rs
+++ b/crates/serving/tests/usage.rs
@@ -8,13 +8,13 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-const TIMES: ReportSchedule =
+const SCHEDULE: ReportSchedule =
     ReportSchedule { windows: Windows { length_ms: 5_000 }, due_ms: 10_000 };
 /// A window and its end.
 const WINDOW: u64 = 100;
 const END_MS: u64 = 505_000;
 
-fn word(node: &str, incarnation: u64, window: u64, count: u64) -> UsageMessage {
+fn message(node: &str, incarnation: u64, window: u64, count: u64) -> UsageMessage {
     let counts = [(TenantName::new("taxis"), count)].into();
     UsageMessage {
         origin: Origin { node: NodeId::new(node), incarnation },
@@ -29,46 +29,46 @@
 }
 
 #[test]
-fn counts_of_all_starts_of_all_nodes_add_up() {
+fn counts_of_all_incarnations_add_up() {
     let mut ledger = UsageLedger::default();
     ledger.on_request_started(WINDOW, &TenantName::new("taxis"));
-    ledger.merge(&word("a", 1, WINDOW, 4));
-    ledger.merge(&word("a", 2, WINDOW, 2));
-    ledger.merge(&word("b", 1, WINDOW, 7));
-    ledger.merge(&word("b", 1, WINDOW + 1, 9));
+    ledger.merge(&message("a", 1, WINDOW, 4));
+    ledger.merge(&message("a", 2, WINDOW, 2));
+    ledger.merge(&message("b", 1, WINDOW, 7));
+    ledger.merge(&message("b", 1, WINDOW + 1, 9));
     assert_eq!(total(&ledger), 14);
 }
 
 #[test]
-fn what_was_told_outlives_the_node_and_the_collector() {
+fn reported_counts_survive_the_node_and_the_collector() {
     let mut deputy = UsageLedger::default();
-    deputy.merge(&word("dead", 1, WINDOW, 4));
+    deputy.merge(&message("dead", 1, WINDOW, 4));
     let mut successor = UsageLedger::default();
-    deputy.relayed_since(WINDOW).iter().for_each(|word| successor.merge(word));
+    deputy.relayed_since(WINDOW).iter().for_each(|message| successor.merge(message));
     assert_eq!(total(&successor), 4);
 }
 
 proptest! {
     #[test]
-    fn words_that_are_lost_late_or_doubled_change_nothing(
+    fn lost_delayed_or_duplicated_messages_change_nothing(
         order in proptest::collection::vec((0_usize..6, 1_u64..4), 1..60),
     ) {
         // Each start's counts rise from 1 to 6; the last word of each surely arrives.
         let mut ledger = UsageLedger::default();
         for (count, incarnation) in &order {
-            ledger.merge(&word("a", *incarnation, WINDOW, 1 + *count as u64));
+            ledger.merge(&message("a", *incarnation, WINDOW, 1 + *count as u64));
         }
         for incarnation in 1..4 {
-            ledger.merge(&word("a", incarnation, WINDOW, 6));
+            ledger.merge(&message("a", incarnation, WINDOW, 6));
         }
         prop_assert_eq!(total(&ledger), 18);
     }
 }
 
-fn collector_with(answered: &[(&str, u64)]) -> UsageCollector {
+fn collector_with(replies: &[(&str, u64)]) -> UsageCollector {
     let mut collector = UsageCollector::default();
-    for (number, (node, asked_ms)) in (1..).zip(answered) {
-        collector.on_query_sent(number, *asked_ms);
+    for (number, (node, sent_ms)) in (1..).zip(replies) {
+        collector.on_query_sent(number, *sent_ms);
         collector.on_reply(&NodeId::new(node), number);
     }
     collector
@@ -79,43 +79,43 @@
 #[test_case(&[("a", END_MS + 800)], END_MS + 1_000, false; "one has not answered")]
 #[test_case(&[("a", END_MS + 800)], END_MS + 4_000, true; "one that does not answer is not waited for any longer")]
 #[test_case(&[], END_MS - 1, false; "it is not over")]
-fn a_window_is_fixed_when_nothing_more_is_to_come(
-    answered: &[(&str, u64)],
+fn a_window_is_finalized_once_its_counts_are_complete(
+    replies: &[(&str, u64)],
     now_ms: u64,
     expected: bool,
 ) {
     let nodes = [NodeId::new("a"), NodeId::new("b")];
-    let mut collector = collector_with(answered);
-    let due = collector.to_finalize(nodes.iter(), TIMES, now_ms);
+    let mut collector = collector_with(replies);
+    let due = collector.to_finalize(nodes.iter(), SCHEDULE, now_ms);
     assert_eq!(due.contains(&WINDOW), expected);
     collector.on_finalized(WINDOW);
     assert!(
-        !collector.to_finalize(nodes.iter(), TIMES, now_ms).contains(&WINDOW),
+        !collector.to_finalize(nodes.iter(), SCHEDULE, now_ms).contains(&WINDOW),
         "it is fixed once"
     );
 }
 
 #[test_case(END_MS - 4_000, false; "one that was there some seconds ago may be cut off")]
 #[test_case(END_MS - 12_000, true; "one that has said nothing for as long as a report may take is gone")]
-fn a_node_that_is_gone_is_not_waited_for(last_answer_ms: u64, expected: bool) {
-    let answered = [("b", last_answer_ms), ("a", END_MS + 800)];
+fn a_silent_node_is_not_waited_for(last_reply_ms: u64, expected: bool) {
+    let replies = [("b", last_reply_ms), ("a", END_MS + 800)];
     let nodes = [NodeId::new("a"), NodeId::new("b")];
-    let due = collector_with(&answered).to_finalize(nodes.iter(), TIMES, END_MS + 1_000);
+    let due = collector_with(&replies).to_finalize(nodes.iter(), SCHEDULE, END_MS + 1_000);
     assert_eq!(due.contains(&WINDOW), expected);
 }
 
 #[test]
-fn an_answer_to_an_unknown_question_says_nothing() {
+fn a_reply_to_an_unknown_query_is_ignored() {
     let mut collector = collector_with(&[]);
     collector.on_reply(&NodeId::new("a"), 77);
     let nodes = [NodeId::new("a")];
-    assert!(!collector.to_finalize(nodes.iter(), TIMES, END_MS + 1_000).contains(&WINDOW));
+    assert!(!collector.to_finalize(nodes.iter(), SCHEDULE, END_MS + 1_000).contains(&WINDOW));
 }
 
 #[test]
-fn old_windows_are_forgotten() {
+fn old_windows_are_removed() {
     let mut ledger = UsageLedger::default();
-    ledger.merge(&word("a", 1, WINDOW, 4));
+    ledger.merge(&message("a", 1, WINDOW, 4));
     ledger.on_request_started(WINDOW, &TenantName::new("taxis"));
     ledger.remove_before(WINDOW + 1);
     assert_eq!(total(&ledger), 0);
@@ -124,13 +124,13 @@
 
 /// The node that had fixed it may be no collector any more, and have lost others' counts.
 #[test]
-fn what_was_fixed_for_a_window_is_final_whatever_is_counted_later() {
+fn finalized_counts_are_not_changed_by_later_reports() {
     let mut collector = UsageLedger::default();
-    collector.merge(&word("a", 1, 7, 3));
+    collector.merge(&message("a", 1, 7, 3));
     collector.on_finalized(7, collector.total(7));
     let mut next = UsageLedger::default();
-    next.merge(&word("a", 1, 7, 5));
-    next.merge(&UsageMessage { finalized: collector.finalized_since(6), ..word("b", 1, 8, 1) });
+    next.merge(&message("a", 1, 7, 5));
+    next.merge(&UsageMessage { finalized: collector.finalized_since(6), ..message("b", 1, 8, 1) });
     assert_eq!(next.to_report(7)[&TenantName::new("taxis")], 3);
     assert_eq!(next.to_report(8)[&TenantName::new("taxis")], 1, "that is not fixed");
 }
--- a/crates/serving/tests/wall_clock.rs
+++ b/crates/serving/tests/wall_clock.rs
@@ -8,9 +8,9 @@
 const TRUE_MS: u64 = 1_700_000_000_000;
 const SECOND_US: u64 = 1_000_000;
 
-fn clock_among(others: &[i64]) -> WallClock {
+fn clock_among(peers: &[i64]) -> WallClock {
     let mut clock = WallClock::default();
-    for (number, offset_ms) in others.iter().enumerate() {
+    for (number, offset_ms) in peers.iter().enumerate() {
         let wall_ms = TRUE_MS.saturating_add_signed(*offset_ms);
         clock.on_peer_clock(&NodeId::new(format!("node-{number}")), wall_ms, 0);
     }
@@ -22,14 +22,14 @@
 #[test_case(-2_000, &[0, 10, -20], 0; "its own has jumped back")]
 #[test_case(3_000, &[5, 5, 9], 5; "its own has jumped ahead")]
 #[test_case(20, &[0, 10, -20, 2_000, 2_000], 20; "others have jumped")]
-fn the_median_of_all_clocks_holds(own_ms: i64, others: &[i64], expected_ms: i64) {
-    let mut clock = clock_among(others);
+fn a_deviating_clock_is_replaced_by_the_median(own_ms: i64, peers: &[i64], expected_ms: i64) {
+    let mut clock = clock_among(peers);
     let now = clock.now_ms(TRUE_MS.saturating_add_signed(own_ms), 0);
     assert!(now.abs_diff(TRUE_MS.saturating_add_signed(expected_ms)) <= 10, "{now}");
 }
 
 #[test]
-fn a_jump_does_not_show_while_the_others_go_on() {
+fn a_jump_of_the_own_clock_has_no_effect_on_the_estimate() {
     let mut clock = clock_among(&[0, 0, 0]);
     assert_eq!(clock.now_ms(TRUE_MS, 0), TRUE_MS);
     for second in 1..10 {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn words_that_are_too_old_do_not_count() {
+fn expired_clock_reports_are_ignored() {
     let mut clock = clock_among(&[0, 0, 0]);
     let later = 60 * SECOND_US;
     assert_eq!(clock.now_ms(TRUE_MS + 90_000, later), TRUE_MS + 90_000);
