--- a/crates/serving/tests/authority.rs
+++ b/crates/serving/tests/authority.rs
@@ -1,4 +1,4 @@
-//! One node's way to and through the authority over one subject.
+//! Acquiring and holding the authority over one subject on one node.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::authority::{
@@ -23,7 +23,7 @@
     holder
 }
 
-/// Looks in a time, each by the longest wait or the shortest.
+/// Number of polls until `until_us`, with the jitter at `jitter_fraction`.
 fn count_polls(holder: &mut AuthorityHolder, until_us: u64, jitter_fraction: f64) -> usize {
     let (mut now_us, mut count_polls) = (0, 0);
     while now_us < until_us {
@@ -50,7 +50,10 @@
     let mut holder = holder_since(0);
     assert!(matches!(holder.step(SECOND / 2, 0.5), AuthorityStep::Wait(_)));
     assert_eq!(holder.step(SECOND, 0.5), AuthorityStep::Renew(LEASE));
-    assert!(matches!(holder.step(SECOND + 1, 0.5), AuthorityStep::Wait(_)), "once is enough");
+    assert!(
+        matches!(holder.step(SECOND + 1, 0.5), AuthorityStep::Wait(_)),
+        "a renewal is not repeated at once"
+    );
     assert_eq!(holder.step(SECOND + 400_000, 0.5), AuthorityStep::Renew(LEASE));
     assert!(!holder.on_renewed(SECOND + 400_000, SECOND + 500_000, TIMES));
     assert!(matches!(holder.step(2 * SECOND, 0.5), AuthorityStep::Wait(_)));
@@ -59,11 +62,11 @@
 #[test]
 fn an_expired_term_issues_no_orders_and_continues_once_its_lease_is_renewed() {
     let mut holder = holder_since(0);
-    assert_eq!(holder.fence_for_orders(SECOND / 2), None, "orders are a separation apart");
+    assert_eq!(holder.fence_for_orders(SECOND / 2), None, "the separation is not over");
     assert_eq!(holder.fence_for_orders(2 * SECOND), Some(fence(9)));
     assert!(!holder.check_expiry(2 * SECOND));
     assert!(holder.check_expiry(4 * SECOND));
-    assert!(!holder.check_expiry(4 * SECOND), "it is said once");
+    assert!(!holder.check_expiry(4 * SECOND), "expiry is reported once");
     assert_eq!((holder.fence_for_orders(4 * SECOND), holder.fence()), (None, Some(fence(9))));
     assert!(holder.on_renewed(5 * SECOND, 5 * SECOND, TIMES));
     assert_eq!(holder.fence_for_orders(5 * SECOND), Some(fence(9)));
@@ -81,13 +84,14 @@
     assert!(matches!(holder.step(2 * SECOND, 0.5), AuthorityStep::Wait(_)));
 }
 
-/// Its lease may be gone, or another holder's: it is neither renewed nor ended.
+/// The lease may no longer exist or may belong to another holder, so it is neither renewed nor
+/// revoked.
 #[test]
 fn a_later_store_era_ends_the_term() {
     let mut holder = holder_since(0);
     assert_eq!(holder.on_later_era(), Some(fence(9)));
     assert_eq!((holder.fence_for_orders(2 * SECOND), holder.fence()), (None, None));
-    assert!(count_polls(&mut holder, 9 * SECOND, 0.5) > 10, "nobody may hold the key");
+    assert!(count_polls(&mut holder, 9 * SECOND, 0.5) > 10, "the key may have no holder");
     assert_eq!(holder.on_later_era(), None);
 }
 
@@ -99,7 +103,7 @@
     };
     assert!(of_era(1, 1) > of_era(0, 1 << 39));
     assert!(of_era(2, 5) > of_era(1, 900));
-    assert_eq!(of_era(0, 7), fence(7).number(), "nothing changes where no later era has begun");
+    assert_eq!(of_era(0, 7), fence(7).number(), "tokens of the first era are plain revisions");
     assert!(of_era(8_000, 1) < 1 << 53);
 }
 
--- a/crates/serving/tests/crash_evidence.rs
+++ b/crates/serving/tests/crash_evidence.rs
@@ -1,4 +1,4 @@
-//! Which requests were under way at a runner when it ended.
+//! Which requests were in progress at a runner when it terminated.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::crash_evidence::CrashEvidence;
--- a/crates/serving/tests/limit_keeper.rs
+++ b/crates/serving/tests/limit_keeper.rs
@@ -1,4 +1,4 @@
-//! What keepers of runners' limits give, whoever asks whom.
+//! Grants of limit keepers stay within the bound, whichever nodes ask whichever keepers.
 #![allow(clippy::unwrap_used, clippy::panic, missing_docs)]
 
 use pitchstall_serving::ids::{NodeId, RunnerId, ZoneId};
@@ -34,12 +34,12 @@
     LimitQuery { ticket, message: message(Some(rate), age_us) }
 }
 
-/// What may arrive in any window: one and a half times the limit, and five.
+/// Requests that may arrive in any window: one and a half times the limit, plus five.
 fn max_arrivals(requests_per_second: f64) -> usize {
     (6.0 * requests_per_second + 5.0) as usize
 }
 
-/// The most that lies in any window.
+/// The maximum number of arrivals in any window.
 fn fullest_window(times_us: &mut [u64]) -> usize {
     times_us.sort_unstable();
     let from = |first: u64| {
@@ -49,7 +49,8 @@
     times_us.iter().copied().map(from).max().unwrap_or_default()
 }
 
-/// One question: when, to which keeper, and how long after it a grant is used.
+/// One query: its time in milliseconds, the rank of the keeper, and the delay until a grant is
+/// used.
 type Query = (u64, usize, u64);
 
 fn queries() -> impl Strategy<Value = Vec<Query>> {
@@ -60,8 +61,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// All four keepers answer all the time, each with its share, and know nothing of each other. Grants are used
-    /// at any moment of their life.
+    /// All four keepers reply all the time, each with its share, without knowing of each other.
+    /// Grants are used at any time before they expire.
     #[test]
     fn all_keepers_together_stay_within_the_bound(
         limit in prop_oneof![Just(0.0), Just(0.1), Just(0.5), Just(2.1), Just(10.0), Just(50.0)],
@@ -81,7 +82,8 @@
         prop_assert!(fullest_window(&mut arrivals) <= max_arrivals(limit));
     }
 
-    /// A runner names a limit, none, another one: at no edge more is given than the higher of them allows.
+    /// A runner changes its limit or lifts it again and again. At no change are more requests
+    /// granted than the higher of the limits allows.
     #[test]
     fn changing_limits_accumulate_no_requests(edges in prop::collection::vec(0..3_u8, 1..40)) {
         let mut keeper = LimitKeeper::default();
@@ -105,7 +107,7 @@
     }
 }
 
-/// Demand at many nodes at once: each asks again when it was told to.
+/// Demand at many nodes at once: each asks again when its refusal says so.
 #[test_case(7, 0.5; "7 nodes, one in two seconds")]
 #[test_case(7, 2.1; "7 nodes, two a second")]
 #[test_case(7, 50.0; "7 nodes, fifty a second")]
@@ -133,7 +135,7 @@
     let used = granted.len() as f64 / (limit * TIME_US as f64 / SECOND as f64);
     assert!(used > 0.9, "{used} of the limit");
     assert!(fullest_window(&mut granted) <= max_arrivals(limit));
-    // Each node that waits asks twice a second at the most, besides those that get one.
+    // Each waiting node asks at most twice per second, in addition to the queries that are granted.
     let max_queries = (nodes as f64 / 2.0 + 4.0 * limit + 2.0) * TIME_US as f64 / SECOND as f64;
     assert!(f64::from(query_count) < max_queries, "{query_count} queries");
 }
@@ -151,9 +153,9 @@
     assert_eq!(term.share(0, 3 * SECOND), KeeperShare::at_rank(1));
     check_rank(&mut term, 0, 3 * SECOND, 6 * SECOND);
     assert_eq!(term.share(0, 6 * SECOND), Some(KeeperShare::FIRST));
-    assert_eq!(term.share(1, 6 * SECOND), KeeperShare::at_rank(1), "one comes before it now");
+    assert_eq!(term.share(1, 6 * SECOND), KeeperShare::at_rank(1), "one node is ranked before it");
     assert_eq!(term.share(4, 6 * SECOND), None);
-    // It stood still, and may have been replaced: before it has looked, and after.
+    // The node was paused and may have been replaced: before its next rank check, and after it.
     assert_eq!(term.share(0, 8 * SECOND), KeeperShare::at_rank(1));
     check_rank(&mut term, 0, 8 * SECOND, 9 * SECOND);
     assert_eq!(term.share(0, 9 * SECOND), KeeperShare::at_rank(1));
@@ -173,17 +175,17 @@
     assert_eq!(
         query_after(&mut keeper, 2 * SECOND, 3 * SECOND),
         lifted,
-        "the node heard it before"
+        "the report of the node is older"
     );
     assert!(
         matches!(query_after(&mut keeper, 0, 4 * SECOND), LimitVerdict::Refused { .. }),
-        "again"
+        "a later report sets a limit again"
     );
     keeper.on_message(&message(None, 3 * SECOND), 5 * SECOND);
     assert_eq!(
         query_after(&mut keeper, 0, 5 * SECOND),
         LimitVerdict::Granted,
-        "an old word changes nothing"
+        "an older report changes nothing"
     );
 }
 
@@ -203,12 +205,12 @@
     keeper.on_message(&message(Some(rate(2.0)), 0), SECOND);
     assert_eq!(keeper.messages(8, SECOND).len(), 1);
     assert_eq!(keeper.exhausted(KeeperShare::FIRST, SECOND), vec![runner()]);
-    assert!(keeper.exhausted(KeeperShare::FIRST, 2 * SECOND).is_empty(), "one is left");
+    assert!(keeper.exhausted(KeeperShare::FIRST, 2 * SECOND).is_empty(), "one request is left");
     keeper.remove_idle(40 * SECOND);
     assert!(keeper.messages(8, 40 * SECOND).is_empty());
 }
 
-/// Keepers are counted in the order in which they are asked.
+/// The rank of a node follows the order in which keepers are asked.
 #[test]
 fn the_rank_of_a_node_counts_reachable_nodes_before_it() {
     let node = |number: u32| NodeId::new(format!("node-{number}"));
@@ -230,9 +232,10 @@
     assert_eq!(members.place_of(order[2].0, &shard, is_not_second), 1);
 }
 
-/// A request is what tells that a limit is over: the first keeper may be gone.
+/// Only the response to a request shows that a limit has been lifted, and the first keeper may be
+/// unavailable.
 #[test_case(0, 10; "the first keeper")]
-#[test_case(1, 13; "the second one")]
+#[test_case(1, 13; "the second keeper")]
 fn a_runner_with_limit_zero_is_probed_within_seconds(rank: usize, within_s: u64) {
     let mut keeper = LimitKeeper::default();
     let share = KeeperShare::at_rank(rank).unwrap();
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which runners crash, and sound ones beside them.
+//! Requests that crash runners, and harmless ones in progress beside them.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::RunnerId;
@@ -97,7 +97,7 @@
     assert_eq!(quarantine.due_writes(SECOND_US), [(crash(1, 1), CrashRecord { at_ms: 7 })]);
     quarantine.on_reported(&crash(1, 2), 8, 10);
     let written = quarantine.due_writes(10);
-    assert_eq!(written.len(), 1, "what another node has seen it writes itself");
+    assert_eq!(written.len(), 1, "a crash is written by the node that observed it");
     quarantine.on_written(&written);
     assert_eq!(quarantine.next_write_us(), None);
 }
@@ -156,7 +156,7 @@
     }
     assert!(quarantine.due_removals().is_empty());
     quarantine.schedule_removals(MAX_TRACKED_REQUESTS as u64);
-    assert_eq!(quarantine.due_removals(), [crash(0, 0)], "the oldest has gone");
+    assert_eq!(quarantine.due_removals(), [crash(0, 0)], "the oldest request was evicted");
 }
 
 #[test]
@@ -170,15 +170,16 @@
     assert_eq!(quarantine.due_removals(), [crash(1, 1)]);
 }
 
-/// How often sound requests are taken for ones that crash runners while runners crash for other reasons,
-/// at far more crashes than the hunts have: each second one runner in nine crashes, each with 20 requests
-/// under way; a request is tried twice by its node and comes again once, as on the users' routes.
+/// Measures how often harmless requests are quarantined while runners crash for other reasons, at a
+/// far higher crash rate than in the soak runs: one in nine runners crashes per second, each with
+/// 20 requests in progress. A request is tried twice by its node and repeated once by its client,
+/// as on the routes in use.
 #[test]
 fn harmless_requests_are_rarely_quarantined_by_unrelated_crashes() {
     const RUNNERS: u64 = 9;
     const REQUESTS: u64 = 100_000;
     const ATTEMPTS: u64 = 4;
-    /// Chance that the runner crashes within the second for which a request is under way.
+    /// Probability that the runner crashes within the second for which a request is in progress.
     const CRASH_PROBABILITY: f64 = 1.0 / RUNNERS as f64;
     let mut random = ChaCha8Rng::seed_from_u64(36);
     let mut quarantine = Quarantine::default();
@@ -193,13 +194,14 @@
                 quarantine.clear(request(number));
                 break;
             }
-            // Each crash is one of another runner: one that starts anew has another id.
+            // Each crash is on a different runner: a restarted runner has a new id.
             quarantine.on_observed(&crash(number, number * ATTEMPTS + attempt), 0, 0);
         }
     }
-    // Three crashes in a row: 1 in 729. With one crash in ten seconds in a fleet of nine it is 1 in 700,000.
+    // Three crashes in a row: 1 in 729. With one crash per 10 s in a fleet of nine runners it is 1
+    // in 700,000.
     assert!(quarantined_count < REQUESTS / 500, "{quarantined_count} of {REQUESTS}");
-    assert!(quarantined_count > 0, "the check sees nothing");
+    assert!(quarantined_count > 0, "no request was quarantined");
 }
 
 #[test]
@@ -230,5 +232,5 @@
     peer.on_store_restored(&stored, 0);
     assert!(!is_quarantined(&own, 1) && !is_quarantined(&peer, 1));
     assert_eq!(own.due_removals().len(), 3);
-    assert_eq!(peer.due_removals(), [], "one node removes them");
+    assert_eq!(peer.due_removals(), [], "only the node that cleared them removes them");
 }
--- a/crates/serving/tests/request_identity.rs
+++ b/crates/serving/tests/request_identity.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one.
+//! Which requests count as repetitions of the same request.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::TenantName;
@@ -28,7 +28,7 @@
 #[test_case(RequestParts { target: "/match/2?x=1", ..PARTS }; "path")]
 #[test_case(RequestParts { body: b"", ..PARTS }; "no body")]
 #[test_case(RequestParts { body: b"another", ..PARTS }; "body")]
-#[test_case(RequestParts { target: "/match/1a", body: b" call", ..PARTS }; "where one part ends")]
+#[test_case(RequestParts { target: "/match/1a", body: b" call", ..PARTS }; "boundary between parts")]
 fn a_different_part_makes_a_different_request(other: RequestParts<'_>) {
     assert_ne!(identity(PARTS), identity(other));
 }
--- a/crates/serving/tests/retry_budget.rs
+++ b/crates/serving/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget, and which arrivals draw on it.
+//! The retry budget, and which arrivals are charged to it.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::retry_budget::{
@@ -48,7 +48,8 @@
     assert_eq!(arrivals.on_run(), ArrivalCost::Extra);
 }
 
-/// Found by a hunt on a crowded day: 217 arrivals beyond the first where 208 were allowed.
+/// Guards against free extra arrivals: a randomized soak run under load counted 217 arrivals beyond
+/// the first where 208 were allowed, since prefills that no runner accepted were not charged.
 #[test]
 fn a_prefill_that_is_not_accepted_uses_up_the_free_arrival() {
     let mut arrivals = ArrivalLedger::default();
@@ -64,8 +65,8 @@
     assert_eq!(arrivals.on_prefill(), ArrivalCost::Extra);
 }
 
-/// In deep overload many requests are first declined by a decode runner and then sent to be
-/// read. Whether a runner takes the reading up is known only afterwards.
+/// Under heavy overload, many requests are first declined by a decode runner and then sent to a
+/// prefill runner. Whether that runner accepts the prefill is known only afterwards.
 #[test]
 fn the_first_prefill_after_an_arrival_needs_a_deposit() {
     let mut arrivals = ArrivalLedger::default();
@@ -82,20 +83,21 @@
     }
 }
 
-/// What becomes of an attempt.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Outcome {
-    /// A reading is taken up; a run is answered.
+    /// A prefill is accepted, or a run is completed.
     Accepted,
     /// The runner declines it.
     Declined,
-    /// Nobody knows.
+    /// The outcome is unknown.
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A request comes, and is sent to be read (or run) with these fates until one is taken up.
+    /// A request arrives and is sent to be prefilled (`true`) or run (`false`) until a run
+    /// completes; each attempt has the given outcome.
     Request {
         node: usize,
         attempts: [(bool, Outcome); 4],
@@ -118,7 +120,7 @@
 }
 
 /// Arrivals of one request as the runners count them: the first one is free, and so is the first
-/// reading that is taken up.
+/// accepted prefill.
 #[derive(Default)]
 struct CountedArrivals {
     count: u64,
@@ -137,7 +139,8 @@
     }
 }
 
-/// Makes the attempts of a request as far as the budget allows; returns the extra arrivals.
+/// Makes the attempts of a request as far as the budget allows; returns the number of extra
+/// arrivals.
 fn run_request(budget: &mut SharedRetryBudget, attempts: [(bool, Outcome); 4]) -> u64 {
     let mut ledger = ArrivalLedger::default();
     let mut counted = CountedArrivals::default();
@@ -160,9 +163,9 @@
 }
 
 proptest! {
-    /// Whatever the nodes do, whatever becomes of their attempts and whoever is restarted: the
-    /// extra arrivals of any window keep to the ratio of the requests of that same window, and
-    /// to the slack.
+    /// Whatever the nodes do, whatever the outcome of their attempts and whichever nodes restart:
+    /// the extra arrivals in any window are at most the ratio of the requests in that window plus
+    /// the slack.
     #[test]
     fn extra_attempts_of_all_nodes_stay_within_the_bound_in_any_window(
         steps in prop::collection::vec((step(5), 0_u64..100_000), 1..400),
@@ -196,8 +199,8 @@
     }
 }
 
-/// Nodes that are restarted in turn, all with requests that they repeat whenever they may, once
-/// broke the bound of the whole fleet: what a process had spent is forgotten with it.
+/// Guards against a rolling restart under load that exceeded the bound of the fleet: the record of
+/// spent attempts is lost with a process, so a new process must not start with a filled bucket.
 #[test]
 fn rolling_restarts_stay_within_the_bound() {
     const NODES: u64 = 8;
@@ -216,7 +219,8 @@
         for node in &mut nodes {
             node.on_request();
             requests.push(now_us);
-            // Overload comes after a calm time: then each node spends all that it may.
+            // Overload follows a period without retries, and each node then spends all that its
+            // budget allows.
             while now_us >= 7 * SECOND && node.withdraw() {
                 extras.push(now_us);
             }
--- a/crates/serving/tests/runner_limit.rs
+++ b/crates/serving/tests/runner_limit.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the limit that a runner names.
+//! A node's view of the limit that a runner reports.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::RunnerId;
@@ -75,7 +75,7 @@
 }
 
 proptest! {
-    /// Whatever order answers come in: after one that names a limit, only an answer to a later request ends it.
+    /// In any order of responses, only the response to a later request lifts a reported limit.
     #[test]
     fn no_response_order_lifts_a_limit_early(
         heads in prop::collection::vec((0..50_u64, prop::option::of(1..5_u64)), 0..40)
--- a/crates/serving/tests/specification/authority.rs
+++ b/crates/serving/tests/specification/authority.rs
@@ -1,41 +1,44 @@
-//! Authority over a runner's role: two nodes, the store's leased key, one runner.
+//! Model of the authority over a runner's role: two nodes, the store's leased key, one runner.
 //!
-//! A node takes the key if it is absent; the revision of that write is its fencing token. It
-//! asks the runner for the orders that it has taken, then orders. Orders arrive at any time or
-//! never, also after the runner has started anew. The store may come back from an older copy: the key may be gone then, and
-//! revisions and numbers of leases are given out again.
+//! A node acquires the key if it is absent; the revision of that write is its fencing token. It
+//! asks the runner how many orders it has accepted, then sends an order. Orders arrive at any time
+//! or never, even after a restart of the runner. The store may be restored from an older copy: the
+//! key may then be missing, and revisions and lease numbers are assigned again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 const NODES: usize = 2;
 const MAX_REVISIONS: u8 = 2;
-/// Orders of a node: fewer where the store comes back older, so that the search ends within seconds.
+/// Maximum number of orders per node. It is lower with a restored store, so that the search ends
+/// within seconds.
 const MAX_ORDERS: u8 = 2;
 const MAX_ORDERS_ACROSS_ERAS: u8 = 1;
 const MAX_INSTANCES: u8 = 2;
-/// Revisions that a fencing token has room for within an era.
+/// Revisions that a fencing token can represent within an era.
 const REVISIONS_PER_ERA: u8 = 16;
 
-/// The switches. All on: the protocol as built.
+/// The safeguards of the protocol. All on: the protocol as implemented.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
-    /// The key is taken only while it is absent.
+    /// The key is only acquired while it is absent.
     pub take_if_absent: bool,
-    /// A holder's own time ends no later than the store's.
+    /// A holder's term ends no later than its lease in the store.
     pub time_from_sending: bool,
-    /// The fencing token is the revision of the write that took the key.
+    /// The fencing token is the revision of the write that acquired the key.
     pub fence_from_revision: bool,
-    /// An order names the number of orders that the runner had taken when it was decided.
+    /// An order contains the number of orders that the runner had accepted when it was decided.
     pub expected_orders: bool,
-    /// An order names the start of the runner that it is for.
+    /// An order contains the incarnation of the runner that it is for.
     pub named_instance: bool,
-    /// A term that has run out goes on only if the store still has its lease, and so its key.
+    /// An expired term only continues if the store still has its lease, and so its key.
     pub renewed_by_store: bool,
-    /// Fencing tokens count eras before revisions.
+    /// Fencing tokens compare eras before revisions.
     pub fence_counts_eras: bool,
-    /// A renewal that is answered in a later era renews nothing: the number of the lease may be another holder's.
+    /// A renewal whose reply comes from a later era renews nothing: the lease number may belong to
+    /// another holder.
     pub lease_of_its_era: bool,
-    /// A holder waits until one of an earlier era, which has not heard of the later one, must have given up.
+    /// A new holder waits until a holder of an earlier era that has not observed the later one must
+    /// have given up.
     pub wait_for_earlier_era: bool,
 }
 
@@ -53,17 +56,17 @@
     };
 }
 
-/// What a holder has read at the runner: its start and the orders it had taken.
+/// What a holder has observed at the runner: its incarnation and the number of accepted orders.
 type Observation = (u8, u8);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Holder {
     fence: Option<u8>,
-    /// Fencing token of a term that has run out without a word from the store.
+    /// Fencing token of a term that has expired while the store did not reply.
     expired_fence: Option<u8>,
     observation: Option<Observation>,
     order_count: u8,
-    /// The era of its term.
+    /// Store era of the term.
     era: u8,
 }
 
@@ -79,14 +82,14 @@
 pub struct State {
     revision: u8,
     store_holder: Option<u8>,
-    /// Whether the store comes back from an older copy, once.
+    /// Whether the store is restored from an older copy, at most once.
     may_be_restored: bool,
     era: u8,
-    /// The copy from which the store may come back: its revision, and who held the key.
+    /// The backup from which the store may be restored: its revision and the holder of the key.
     backup: Option<(u8, Option<u8>)>,
     holders: [Holder; NODES],
     in_flight: BTreeSet<Order>,
-    /// Which node has ordered with a fencing token.
+    /// The node that has sent orders with a fencing token.
     token_users: BTreeMap<u8, u8>,
     instance: u8,
     order_total: u8,
@@ -95,7 +98,7 @@
 }
 
 impl State {
-    /// Before a store that comes back from an older copy of itself.
+    /// The initial state for a store that may be restored from an older copy of itself.
     pub fn with_restored_store() -> Self {
         Self { may_be_restored: true, ..Self::default() }
     }
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Whether a node of an earlier era may still order.
+    /// Whether a node with a term of an earlier era may still send orders.
     fn is_earlier_era_held(&self) -> bool {
         self.holders.iter().any(|holder| holder.fence.is_some() && holder.era < self.era)
     }
@@ -149,7 +152,7 @@
             let mut acquired = self.clone();
             acquired.revision += 1;
             acquired.store_holder = Some(node as u8);
-            // The answer is lost: the key stands, its holder does not know.
+            // The reply is lost: the key is written, but its holder does not know.
             states.push(acquired.clone());
             let eras = if guards.fence_counts_eras { acquired.era * REVISIONS_PER_ERA } else { 0 };
             let fence = eras + if guards.fence_from_revision { acquired.revision } else { 1 };
@@ -162,11 +165,11 @@
         }
         let has_term = self.holders[node].fence.is_some();
         if has_term {
-            // It crashes.
+            // The node crashes.
             let mut crashed = self.clone();
             crashed.holders[node] = Holder::default();
             states.push(crashed);
-            // Its own time is over.
+            // The term expires.
             let mut expired = self.clone();
             let Holder { fence, order_count, era, .. } = self.holders[node];
             expired.holders[node] =
@@ -182,13 +185,13 @@
         }
     }
 
-    /// The store answers the renewal of a lease whose term has run out.
+    /// The store replies to the renewal of a lease whose term has expired.
     fn renewal_steps(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let Some(fence) = self.holders[node].expired_fence else { return };
         let Holder { era, order_count, .. } = self.holders[node];
         let has_key =
             self.store_holder == Some(node as u8) && self.revision == fence % REVISIONS_PER_ERA;
-        // The number of its lease may be that of whoever holds the key now.
+        // The lease number may now be that of the current holder of the key.
         let is_renewed = match era == self.era {
             true => has_key,
             false => !guards.lease_of_its_era && self.store_holder.is_some(),
@@ -216,7 +219,7 @@
             let mut ordered = self.clone();
             let number = holder.order_count;
             ordered.in_flight.insert(Order { from: node as u8, number, fence, observation });
-            // A token names one holder: two that share it cannot be told apart.
+            // A token identifies one holder: two holders that share it cannot be told apart.
             let user = *ordered.token_users.entry(fence).or_insert(node as u8);
             ordered.violated |= user != node as u8;
             ordered.holders[node].order_count += 1;
@@ -227,7 +230,7 @@
 
     fn runner_steps(&self, guards: Safeguards, states: &mut Vec<Self>) {
         if self.instance + 1 < MAX_INSTANCES {
-            // Orders taken and fencing tokens are forgotten.
+            // The runner loses its accepted orders and its highest fencing token.
             let mut restarted = self.clone();
             restarted.instance += 1;
             restarted.order_total = 0;
@@ -240,13 +243,13 @@
             let (instance, order_total) = order.observation;
             let misdirected = guards.named_instance && instance != self.instance;
             let outdated = guards.expected_orders && order_total != self.order_total;
-            // Whoever holds the authority now is not refused for a token that somebody used before.
+            // The current holder is never rejected because of a token that was used before.
             let is_current = self.holders[order.from as usize].fence == Some(order.fence);
             arrived.violated |= is_current && order.fence < self.highest_fence;
             if !misdirected && !outdated && order.fence >= self.highest_fence {
                 arrived.highest_fence = order.fence;
                 arrived.order_total += 1;
-                // It was decided on another picture than what the runner is now.
+                // The order was decided on an observation that no longer matches the runner.
                 arrived.violated |= order.observation != (self.instance, self.order_total);
             }
             states.push(arrived);
--- a/crates/serving/tests/specification/regional_authority.rs
+++ b/crates/serving/tests/specification/regional_authority.rs
@@ -1,15 +1,17 @@
-//! Authority by region: three nodes, the store's leased keys of three subjects, one runner.
+//! Model of authority by region: three nodes, the store's leased keys of three subjects, one
+//! runner.
 //!
-//! Two nodes lie in the runner's region, one in another. Each learns at a time of its own that there
-//! are several regions; before, it orders under the subject of the fleet, and afterwards under that
-//! of its region. What one key alone has to keep is the matter of the specification of authority.
+//! Two nodes are in the runner's region, one is in another region. Each node learns at a different
+//! time that there are several regions. Before that it orders under the subject of the fleet,
+//! afterwards under that of its region. The properties of a single key are covered by the model of
+//! authority.
 
 use std::collections::BTreeSet;
 
 const NODES: usize = 3;
 const SUBJECTS: usize = 3;
 const FLEET: usize = 0;
-/// The subject of the runner's region, and of the other.
+/// The subjects of the runner's region and of the other region.
 const LOCAL: usize = 1;
 const REMOTE: usize = 2;
 /// Region of each node.
@@ -17,14 +19,14 @@
 const MAX_REVISIONS: u8 = 3;
 const MAX_ORDERS: u8 = 3;
 
-/// The switches. All on: the protocol as built.
+/// The safeguards of the protocol. All on: the protocol as implemented.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
-    /// A holder orders only runners of its subject's region.
+    /// A holder only orders runners of its subject's region.
     pub own_runners: bool,
-    /// The key of a subject is taken only while it is absent.
+    /// The key of a subject is only acquired while it is absent.
     pub take_if_absent: bool,
-    /// Fencing tokens of all subjects come from the store's one sequence of revisions.
+    /// The fencing tokens of all subjects come from the store's single sequence of revisions.
     pub one_sequence: bool,
 }
 
@@ -35,14 +37,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Term {
     fence: u8,
-    /// Revision of the store at which it was gained.
+    /// Store revision at which the term was acquired.
     acquired_at: u8,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct State {
     revision: u8,
-    /// Writes of each key.
+    /// Number of writes of each key.
     versions: [u8; SUBJECTS],
     store_holders: [Option<u8>; SUBJECTS],
     terms: [[Option<Term>; SUBJECTS]; NODES],
@@ -76,7 +78,7 @@
         states
     }
 
-    /// The subjects at which a node looks.
+    /// The subjects that a node polls.
     fn subjects(&self, node: usize) -> Vec<usize> {
         let of_region = self.knows_regions[node].then_some(REGIONS[node]);
         [FLEET].into_iter().chain(of_region).collect()
@@ -96,7 +98,7 @@
         states.push(taken);
     }
 
-    /// A term ends by its own time, or with the node.
+    /// A term expires, or its node fails.
     fn end_term(&self, node: usize, subject: usize, states: &mut Vec<Self>) {
         if self.terms[node][subject].is_some() {
             let mut expired = self.clone();
@@ -105,7 +107,7 @@
         }
     }
 
-    /// A key goes with its lease, which outlives the term.
+    /// A key is deleted with its lease, which outlasts the term.
     fn lapse(&self, states: &mut Vec<Self>) {
         for (subject, holder) in self.store_holders.iter().enumerate() {
             let Some(holder) = holder else { continue };
@@ -132,7 +134,7 @@
         let mut ordered = self.clone();
         ordered.order_count += 1;
         ordered.in_flight.insert((node as u8, term));
-        // Nodes that agree on the regions never may order the same runner both.
+        // Two nodes that agree on the regions never may both order the same runner.
         ordered.violated |= (0..NODES).any(|other| {
             let agrees = self.knows_regions[other] == self.knows_regions[node];
             other != node && agrees && self.ordering_term(other, guards).is_some()
@@ -147,7 +149,7 @@
             let (_, term) = *order;
             if term.fence >= self.highest_fence {
                 arrived.highest_fence = term.fence;
-                // Orders of two terms never are taken in turns.
+                // Orders of two terms are never accepted alternately.
                 arrived.violated |= term.acquired_at < self.last_acquired_at;
                 arrived.last_acquired_at = term.acquired_at;
             }
--- a/crates/serving/tests/specification/retry_budget.rs
+++ b/crates/serving/tests/specification/retry_budget.rs
@@ -1,25 +1,26 @@
-//! The retry budget: two nodes with a token bucket each, restarts, and one window that begins at
-//! any moment. Two requests earn one extra attempt; a bucket holds one, the slack is two.
+//! Model of the retry budget: two nodes with a token bucket each, restarts, and one window that
+//! starts at any time. Two requests earn one extra attempt; a bucket holds one, and the slack is
+//! two.
 
 const NODES: usize = 2;
-/// What an extra attempt costs, in the units that a request earns.
+/// Cost of an extra attempt, in units of which a request earns one.
 const EXTRA_COST: u8 = 2;
-/// The most that a bucket holds: its node's part of the slack.
+/// Capacity of a bucket: its node's part of the slack.
 const BUCKET_CAPACITY: u8 = 2;
-/// The fleet's slack.
+/// Slack of the fleet.
 const SLACK: u8 = BUCKET_CAPACITY * NODES as u8;
 const MAX_REQUESTS: u8 = 6;
-/// Where a bucket without a limit stops in this search.
+/// Capacity of a bucket without a limit in this search.
 const UNBOUNDED_CAPACITY: u8 = 8;
 
-/// The switches. All on: the budget as built.
+/// The safeguards of the protocol. All on: the budget as implemented.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
-    /// Whatever may turn out to be an extra attempt is paid for before it is sent.
+    /// An attempt that may turn out to be an extra one is charged before it is sent.
     pub pay_before_sending: bool,
     /// A bucket holds no more than its node's part of the slack.
     pub bounded_bucket: bool,
-    /// A new process begins with an empty bucket.
+    /// A new process starts with an empty bucket.
     pub empty_start: bool,
 }
 
@@ -37,7 +38,7 @@
 }
 
 impl State {
-    /// More extra attempts in the window than its requests and the slack allow.
+    /// Whether there are more extra attempts in the window than its requests and the slack allow.
     pub fn is_violated(&self) -> bool {
         self.has_window_started && self.extras * EXTRA_COST > self.requests + SLACK
     }
--- a/crates/serving/tests/specification/usage.rs
+++ b/crates/serving/tests/specification/usage.rs
@@ -1,22 +1,24 @@
-//! The report of one window: two nodes that know different counts, the store, the platform.
+//! Model of the usage report of one window: two nodes with different counts, the store and the
+//! platform.
 //!
-//! A node that has, or believes to have, the authority fixes its count in the store and sends what
-//! is fixed. Calls to the store and to the platform arrive at any time or never, also after a later
-//! holder's; answers are lost; nodes stand still and go on, or start anew and know nothing.
+//! A node that has the authority, or wrongly assumes so, finalizes its count in the store and sends
+//! what is finalized there. Calls to the store and the platform arrive at any time or never, even
+//! after those of a later holder. Replies may be lost. Nodes may be paused and continue, or restart
+//! without any state.
 
 use std::collections::BTreeSet;
 
 const NODES: usize = 2;
 const MAX_TERMS: u8 = 3;
 
-/// The switches. All on: the protocol as built.
+/// The safeguards of the protocol. All on: the protocol as implemented.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
-    /// A report is fixed only while the store has none of the window.
+    /// A report is only finalized while the store has none for the window.
     pub finalize_if_absent: bool,
-    /// A report is sent only once the store has answered that it is fixed.
+    /// A report is only sent once the store has replied that it is finalized.
     pub send_after_reply: bool,
-    /// A node that finds another report fixed sends that one.
+    /// A node that finds another report finalized sends that one.
     pub adopt_finalized: bool,
 }
 
@@ -28,12 +30,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Node {
     fence: Option<u8>,
-    /// The report that it may send.
+    /// The report that the node may send.
     report: Option<u8>,
     has_requested: bool,
 }
 
-/// A call on its way.
+/// A call in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Call {
     Finalize { node: u8, count: u8 },
@@ -51,7 +53,7 @@
     pub violated: bool,
 }
 
-/// What a node counts by itself: nodes have heard of different counts.
+/// The count of a node, different for each node, as they have received different counts.
 fn own_count(node: usize) -> u8 {
     node as u8 + 1
 }
@@ -69,8 +71,8 @@
         states
     }
 
-    /// A term begins whatever the others believe: one of them may stand still with a term that is
-    /// over, and go on later.
+    /// A term may start regardless of the views of the other nodes: one of them may be paused in an
+    /// expired term and continue later.
     fn term_steps(&self, node: usize, states: &mut Vec<Self>) {
         if self.terms < MAX_TERMS {
             let mut started = self.clone();
@@ -103,7 +105,7 @@
     fn arrival(&self, call: Call, guards: Safeguards, states: &mut Vec<Self>) {
         let mut arrived = self.clone();
         arrived.in_flight.remove(&call);
-        // It is lost on its way.
+        // The call is lost.
         states.push(arrived.clone());
         match call {
             Call::Finalize { node, count } => {
@@ -116,7 +118,7 @@
     fn on_finalize(mut self, node: usize, count: u8, guards: Safeguards, states: &mut Vec<Self>) {
         let found = self.finalized.filter(|_| guards.finalize_if_absent);
         self.finalized = found.or(Some(count));
-        // The answer is lost.
+        // The reply is lost.
         states.push(self.clone());
         if self.nodes[node].fence.is_some() {
             let adopted = found.filter(|_| guards.adopt_finalized);
--- a/crates/serving/tests/tenancy.rs
+++ b/crates/serving/tests/tenancy.rs
@@ -1,5 +1,5 @@
-//! Who may send requests, on both sides: no key that nobody holds runs, and no key that holds is
-//! refused by a node that merely does not know it.
+//! Authentication in both directions: no unknown key is accepted, and no valid key is rejected by a
+//! node that merely does not know it yet.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::TenantName;
@@ -37,18 +37,18 @@
     }
 }
 
-#[test_case(key("right"), FRESH, LENIENT, "taxis"; "a key that holds")]
-#[test_case(key("other"), FRESH, STRICT, "taxis"; "a tenant's second key")]
-#[test_case(key("wrong"), FRESH, LENIENT, "denied"; "a key that nobody holds")]
-#[test_case(key("wrong"), BEHIND, LENIENT, "unverifiable"; "a key that a later version may hold")]
-#[test_case(key("wrong"), OLD, LENIENT, "unverifiable"; "a key that an old copy does not know")]
-#[test_case(key("wrong"), NEVER, LENIENT, "unverifiable"; "a key that a copy of unknown age does not know")]
-#[test_case(key("right"), VERY_OLD, LENIENT, "taxis"; "a key that may have been taken away, served on")]
-#[test_case(key("right"), OLD, STRICT, "taxis"; "a key within the time that strictness allows")]
-#[test_case(key("right"), VERY_OLD, STRICT, "unverifiable"; "a key that may have been taken away, refused")]
-#[test_case(key("right"), NEVER, STRICT, "unverifiable"; "strict with a copy of unknown age")]
+#[test_case(key("right"), FRESH, LENIENT, "taxis"; "valid key")]
+#[test_case(key("other"), FRESH, STRICT, "taxis"; "second key of a tenant")]
+#[test_case(key("wrong"), FRESH, LENIENT, "denied"; "unknown key")]
+#[test_case(key("wrong"), BEHIND, LENIENT, "unverifiable"; "unknown key, later version exists")]
+#[test_case(key("wrong"), OLD, LENIENT, "unverifiable"; "unknown key, old replica")]
+#[test_case(key("wrong"), NEVER, LENIENT, "unverifiable"; "unknown key, replica of unknown age")]
+#[test_case(key("right"), VERY_OLD, LENIENT, "taxis"; "possibly revoked key, accepted")]
+#[test_case(key("right"), OLD, STRICT, "taxis"; "valid key within the revoke time")]
+#[test_case(key("right"), VERY_OLD, STRICT, "unverifiable"; "possibly revoked key, refused")]
+#[test_case(key("right"), NEVER, STRICT, "unverifiable"; "valid key, revoke time, replica of unknown age")]
 #[test_case(Credential::Absent, FRESH, LENIENT, "denied"; "no key")]
-#[test_case(Credential::Absent, NEVER, LENIENT, "denied"; "no key is never enough")]
+#[test_case(Credential::Absent, NEVER, LENIENT, "denied"; "no key, replica of unknown age")]
 #[test_case(Credential::Malformed, FRESH, LENIENT, "denied"; "several keys")]
 fn a_request_on_a_route_that_needs_a_key(
     credential: Credential,
@@ -59,9 +59,9 @@
     assert_eq!(outcome(&authorize(&tenants(), false, credential, replica, policy)), expected);
 }
 
-#[test_case(Credential::Absent, "open"; "needs none")]
-#[test_case(key("right"), "taxis"; "runs for the tenant that shows one")]
-#[test_case(key("wrong"), "denied"; "but not with one that nobody holds")]
+#[test_case(Credential::Absent, "open"; "no key")]
+#[test_case(key("right"), "taxis"; "valid key")]
+#[test_case(key("wrong"), "denied"; "unknown key")]
 fn a_request_on_a_public_route(credential: Credential, expected: &str) {
     assert_eq!(outcome(&authorize(&tenants(), true, credential, FRESH, LENIENT)), expected);
 }
@@ -82,7 +82,7 @@
     let access = authorize(&moved, false, key("right"), FRESH, LENIENT);
     assert_eq!(outcome(&access), "another");
     let lost = authorize(&moved, false, key("other"), FRESH, LENIENT);
-    assert_eq!(lost, Access::Denied, "its tenant has lost all keys");
+    assert_eq!(lost, Access::Denied, "its tenant has no keys left");
 }
 
 #[test]
@@ -95,8 +95,8 @@
 }
 
 #[test_case("", None; "empty")]
-#[test_case("zz", None; "no digits")]
-#[test_case("é", None; "no ASCII")]
+#[test_case("zz", None; "not hexadecimal")]
+#[test_case("é", None; "not ASCII")]
 fn an_invalid_digest_is_rejected(text: &str, expected: Option<KeyDigest>) {
     assert_eq!(KeyDigest::from_hex(text), expected);
 }
--- a/crates/serving/tests/usage.rs
+++ b/crates/serving/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counting requests by tenant: words that are lost, late or doubled change nothing.
+//! Usage counts per tenant: lost, delayed or duplicated messages change nothing.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::{NodeId, TenantName};
@@ -10,7 +10,7 @@
 
 const SCHEDULE: ReportSchedule =
     ReportSchedule { windows: Windows { length_ms: 5_000 }, due_ms: 10_000 };
-/// A window and its end.
+/// A window, and its end in milliseconds.
 const WINDOW: u64 = 100;
 const END_MS: u64 = 505_000;
 
@@ -53,7 +53,7 @@
     fn lost_delayed_or_duplicated_messages_change_nothing(
         order in proptest::collection::vec((0_usize..6, 1_u64..4), 1..60),
     ) {
-        // Each start's counts rise from 1 to 6; the last word of each surely arrives.
+        // The counts of each incarnation rise from 1 to 6; the last message of each always arrives.
         let mut ledger = UsageLedger::default();
         for (count, incarnation) in &order {
             ledger.merge(&message("a", *incarnation, WINDOW, 1 + *count as u64));
@@ -74,11 +74,11 @@
     collector
 }
 
-#[test_case(&[("a", END_MS + 800), ("b", END_MS + 900)], END_MS + 1_000, true; "all have told everything")]
-#[test_case(&[("a", END_MS + 800), ("b", END_MS + 100)], END_MS + 1_000, false; "one was asked before all had begun")]
-#[test_case(&[("a", END_MS + 800)], END_MS + 1_000, false; "one has not answered")]
-#[test_case(&[("a", END_MS + 800)], END_MS + 4_000, true; "one that does not answer is not waited for any longer")]
-#[test_case(&[], END_MS - 1, false; "it is not over")]
+#[test_case(&[("a", END_MS + 800), ("b", END_MS + 900)], END_MS + 1_000, true; "all nodes have reported their final counts")]
+#[test_case(&[("a", END_MS + 800), ("b", END_MS + 100)], END_MS + 1_000, false; "one replied to a query before the counts settled")]
+#[test_case(&[("a", END_MS + 800)], END_MS + 1_000, false; "one has not replied")]
+#[test_case(&[("a", END_MS + 800)], END_MS + 4_000, true; "the wait for a missing reply has timed out")]
+#[test_case(&[], END_MS - 1, false; "the window has not ended")]
 fn a_window_is_finalized_once_its_counts_are_complete(
     replies: &[(&str, u64)],
     now_ms: u64,
@@ -91,12 +91,12 @@
     collector.on_finalized(WINDOW);
     assert!(
         !collector.to_finalize(nodes.iter(), SCHEDULE, now_ms).contains(&WINDOW),
-        "it is fixed once"
+        "a window is finalized once"
     );
 }
 
-#[test_case(END_MS - 4_000, false; "one that was there some seconds ago may be cut off")]
-#[test_case(END_MS - 12_000, true; "one that has said nothing for as long as a report may take is gone")]
+#[test_case(END_MS - 4_000, false; "silent for seconds, may be partitioned off")]
+#[test_case(END_MS - 12_000, true; "silent for longer than the report time")]
 fn a_silent_node_is_not_waited_for(last_reply_ms: u64, expected: bool) {
     let replies = [("b", last_reply_ms), ("a", END_MS + 800)];
     let nodes = [NodeId::new("a"), NodeId::new("b")];
@@ -122,7 +122,8 @@
     assert!(ledger.relayed_since(0).is_empty());
 }
 
-/// The node that had fixed it may be no collector any more, and have lost others' counts.
+/// The node that finalized a window may no longer be the collector, and may have lost the counts of
+/// others.
 #[test]
 fn finalized_counts_are_not_changed_by_later_reports() {
     let mut collector = UsageLedger::default();
@@ -132,5 +133,5 @@
     next.merge(&message("a", 1, 7, 5));
     next.merge(&UsageMessage { finalized: collector.finalized_since(6), ..message("b", 1, 8, 1) });
     assert_eq!(next.to_report(7)[&TenantName::new("taxis")], 3);
-    assert_eq!(next.to_report(8)[&TenantName::new("taxis")], 1, "that is not fixed");
+    assert_eq!(next.to_report(8)[&TenantName::new("taxis")], 1, "this window is not finalized");
 }
--- a/crates/serving/tests/wall_clock.rs
+++ b/crates/serving/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The time of day that all nodes agree on.
+//! Wall-clock time that is consistent across nodes.
 #![allow(missing_docs)]
 
 use pitchstall_serving::ids::NodeId;
@@ -17,11 +17,11 @@
     clock
 }
 
-#[test_case(0, &[], 0; "alone it goes by its own clock")]
-#[test_case(40, &[0, 10, -20], 40; "its own is close to the others'")]
-#[test_case(-2_000, &[0, 10, -20], 0; "its own has jumped back")]
-#[test_case(3_000, &[5, 5, 9], 5; "its own has jumped ahead")]
-#[test_case(20, &[0, 10, -20, 2_000, 2_000], 20; "others have jumped")]
+#[test_case(0, &[], 0; "no peers")]
+#[test_case(40, &[0, 10, -20], 40; "own clock close to the median")]
+#[test_case(-2_000, &[0, 10, -20], 0; "own clock jumped back")]
+#[test_case(3_000, &[5, 5, 9], 5; "own clock jumped ahead")]
+#[test_case(20, &[0, 10, -20, 2_000, 2_000], 20; "a minority of peers jumped ahead")]
 fn a_deviating_clock_is_replaced_by_the_median(own_ms: i64, peers: &[i64], expected_ms: i64) {
     let mut clock = clock_among(peers);
     let now = clock.now_ms(TRUE_MS.saturating_add_signed(own_ms), 0);
