--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -7,7 +7,7 @@
 use crate::ids::RunnerId;
 use crate::prefix::PromptPart;
 use crate::runner::{AttemptDemand, Load, LoadReport, ReportedLoad, Runner, Stage};
-use crate::runner_limit::{LimitChange, LimitWord, NamedLimit};
+use crate::runner_limit::{LimitChange, LimitMessage, ReportedLimit};
 use crate::runner_notice::{AvailabilityChange, RunnerNotice};
 use crate::runner_speed::{PrefillDuration, PrefillTiming};
 use crate::scheduling::{RunnerLoad, Shard};
@@ -243,12 +243,16 @@
         sent_at_us: u64,
         now_us: u64,
     ) -> Option<LimitChange> {
-        self.update_limit(id, |limit| limit.on_head(notice, sent_at_us, now_us))
+        self.update_limit(id, |limit| limit.on_response_head(notice, sent_at_us, now_us))
     }
 
     /// Applies a runner's limit that another node reported.
-    pub fn on_limit_reported(&mut self, message: &LimitWord, now_us: u64) -> Option<LimitChange> {
-        self.update_limit(&message.runner, |limit| limit.on_word(message, now_us))
+    pub fn on_limit_reported(
+        &mut self,
+        message: &LimitMessage,
+        now_us: u64,
+    ) -> Option<LimitChange> {
+        self.update_limit(&message.runner, |limit| limit.on_message(message, now_us))
     }
 
     /// Records that the keeper of a runner's limit has no capacity left for `wait_us` microseconds.
@@ -261,7 +265,7 @@
     fn update_limit<R: Default>(
         &mut self,
         id: &RunnerId,
-        update: impl FnOnce(&mut NamedLimit) -> R,
+        update: impl FnOnce(&mut ReportedLimit) -> R,
     ) -> R {
         if let Some(runner) = self.runners.get_mut(id) {
             return update(&mut runner.availability.limit);
@@ -274,9 +278,9 @@
 
     /// The limit that a runner reported, as a message for other nodes; `None` if the runner names
     /// no limit.
-    pub fn limit_message(&self, id: &RunnerId, now_us: u64) -> Option<LimitWord> {
+    pub fn limit_message(&self, id: &RunnerId, now_us: u64) -> Option<LimitMessage> {
         let runner = self.runners.get(id)?;
-        runner.limit().map(|_| runner.availability.limit.word(id, now_us))
+        runner.limit().map(|_| runner.availability.limit.message(id, now_us))
     }
 
     /// Records that a runner has accepted a request of this node.
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -196,14 +196,14 @@
     /// its limit for all nodes together is not known to be used up.
     pub fn is_available_for_placement(&self, now_us: u64) -> bool {
         self.accepts_work_from_this_node(now_us)
-            && self.availability.limit.short_until_us(now_us).is_none()
+            && self.availability.limit.throttled_until_us(now_us).is_none()
     }
 
     /// Time until which this node may not send requests to the runner because of a requested rest
     /// or a limit, microseconds; `None` if it may send now.
     pub fn withheld_until_us(&self, now_us: u64) -> Option<u64> {
         let rests_until_us = self.availability.rests_until_us(now_us);
-        rests_until_us.max(self.availability.limit.short_until_us(now_us))
+        rests_until_us.max(self.availability.limit.throttled_until_us(now_us))
     }
 
     /// Rate of requests that the runner accepts from all nodes together, as it has reported; `None`
--- a/crates/serving/src/runner_notice.rs
+++ b/crates/serving/src/runner_notice.rs
@@ -7,7 +7,7 @@
 //! only when its time is over.
 
 use crate::ids::RunnerId;
-use crate::runner_limit::NamedLimit;
+use crate::runner_limit::ReportedLimit;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -80,7 +80,7 @@
     /// Requests that it had accepted before do not count: a stream may go on for many seconds.
     is_trial_in_flight: bool,
     /// Rate of requests that the runner accepts from all nodes together.
-    pub(crate) limit: NamedLimit,
+    pub(crate) limit: ReportedLimit,
 }
 
 impl Availability {
--- a/crates/serving/tests/authority.rs
+++ b/crates/serving/tests/authority.rs
@@ -1,4 +1,4 @@
-//! One node's way to and through the authority over one subject.
+//! Acquiring and holding the authority over one subject on one node.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::authority::{
@@ -16,78 +16,82 @@
     FencingToken::new(StoreRevision::without_era(number))
 }
 
-fn gained(now_us: u64) -> AuthorityHolder {
+fn holder_since(now_us: u64) -> AuthorityHolder {
     let mut holder = AuthorityHolder::default();
     let term = AuthorityTerm::new(fence(9), now_us, now_us, TIMES);
-    holder.on_gained(LEASE, term, now_us, TIMES);
+    holder.on_acquired(LEASE, term, now_us, TIMES);
     holder
 }
 
-/// Looks in a time, each by the longest wait or the shortest.
-fn looks(holder: &mut AuthorityHolder, until_us: u64, chance: f64) -> usize {
-    let (mut now_us, mut looks) = (0, 0);
+/// Number of polls until `until_us`, with the jitter at `jitter_fraction`.
+fn count_polls(holder: &mut AuthorityHolder, until_us: u64, jitter_fraction: f64) -> usize {
+    let (mut now_us, mut count_polls) = (0, 0);
     while now_us < until_us {
-        match holder.step(now_us, chance) {
+        match holder.step(now_us, jitter_fraction) {
             AuthorityStep::Wait(us) => now_us += us,
-            AuthorityStep::Look => looks += 1,
+            AuthorityStep::Poll => count_polls += 1,
             other => unreachable!("{other:?} without a lease"),
         }
     }
-    looks
+    count_polls
 }
 
 #[test]
-fn a_node_looks_often_until_it_has_seen_a_holder_and_seldom_from_then_on() {
+fn a_node_polls_often_until_it_has_observed_a_holder() {
     let mut holder = AuthorityHolder::default();
-    assert!(looks(&mut holder, 9 * SECOND, 0.5) > 10);
+    assert!(count_polls(&mut holder, 9 * SECOND, 0.5) > 10);
     let mut later = AuthorityHolder::default();
-    later.on_holder_seen();
-    assert!((2..=4).contains(&looks(&mut later, 9 * SECOND, 0.5)));
+    later.on_holder_observed();
+    assert!((2..=4).contains(&count_polls(&mut later, 9 * SECOND, 0.5)));
 }
 
 #[test]
-fn a_lease_is_renewed_three_times_in_its_life_and_sooner_after_a_failure() {
-    let mut holder = gained(0);
+fn a_lease_is_renewed_three_times_per_ttl_and_sooner_after_a_failure() {
+    let mut holder = holder_since(0);
     assert!(matches!(holder.step(SECOND / 2, 0.5), AuthorityStep::Wait(_)));
     assert_eq!(holder.step(SECOND, 0.5), AuthorityStep::Renew(LEASE));
-    assert!(matches!(holder.step(SECOND + 1, 0.5), AuthorityStep::Wait(_)), "once is enough");
+    assert!(
+        matches!(holder.step(SECOND + 1, 0.5), AuthorityStep::Wait(_)),
+        "a renewal is not repeated at once"
+    );
     assert_eq!(holder.step(SECOND + 400_000, 0.5), AuthorityStep::Renew(LEASE));
     assert!(!holder.on_renewed(SECOND + 400_000, SECOND + 500_000, TIMES));
     assert!(matches!(holder.step(2 * SECOND, 0.5), AuthorityStep::Wait(_)));
 }
 
 #[test]
-fn a_term_that_ran_out_orders_nothing_and_goes_on_once_its_lease_is_renewed() {
-    let mut holder = gained(0);
-    assert_eq!(holder.fence_to_order(SECOND / 2), None, "orders are a separation apart");
-    assert_eq!(holder.fence_to_order(2 * SECOND), Some(fence(9)));
-    assert!(!holder.has_run_out(2 * SECOND));
-    assert!(holder.has_run_out(4 * SECOND));
-    assert!(!holder.has_run_out(4 * SECOND), "it is said once");
-    assert_eq!((holder.fence_to_order(4 * SECOND), holder.fence()), (None, Some(fence(9))));
+fn an_expired_term_issues_no_orders_and_continues_once_its_lease_is_renewed() {
+    let mut holder = holder_since(0);
+    assert_eq!(holder.fence_for_orders(SECOND / 2), None, "the separation is not over");
+    assert_eq!(holder.fence_for_orders(2 * SECOND), Some(fence(9)));
+    assert!(!holder.check_expiry(2 * SECOND));
+    assert!(holder.check_expiry(4 * SECOND));
+    assert!(!holder.check_expiry(4 * SECOND), "expiry is reported once");
+    assert_eq!((holder.fence_for_orders(4 * SECOND), holder.fence()), (None, Some(fence(9))));
     assert!(holder.on_renewed(5 * SECOND, 5 * SECOND, TIMES));
-    assert_eq!(holder.fence_to_order(5 * SECOND), Some(fence(9)));
+    assert_eq!(holder.fence_for_orders(5 * SECOND), Some(fence(9)));
 }
 
 #[test]
-fn a_holder_whose_order_was_refused_steps_down() {
-    let mut holder = gained(0);
+fn a_holder_whose_order_was_rejected_steps_down() {
+    let mut holder = holder_since(0);
     holder.on_refused(fence(8));
-    assert_eq!(holder.fence_to_order(2 * SECOND), Some(fence(9)), "that was an earlier term");
+    assert_eq!(holder.fence_for_orders(2 * SECOND), Some(fence(9)), "that was an earlier term");
     holder.on_refused(fence(9));
-    assert_eq!((holder.fence_to_order(2 * SECOND), holder.fence()), (None, None));
+    assert_eq!((holder.fence_for_orders(2 * SECOND), holder.fence()), (None, None));
     assert_eq!(holder.step(2 * SECOND, 0.5), AuthorityStep::StepDown(LEASE));
     assert_eq!(holder.on_lost(), Some((LEASE, fence(9))));
     assert!(matches!(holder.step(2 * SECOND, 0.5), AuthorityStep::Wait(_)));
 }
 
-/// Its lease may be gone, or another holder's: it is neither renewed nor ended.
+/// The lease may no longer exist or may belong to another holder, so it is neither renewed nor
+/// revoked.
 #[test]
-fn a_holder_gives_its_term_up_once_the_store_has_come_back_older() {
-    let mut holder = gained(0);
+fn a_later_store_era_ends_the_term() {
+    let mut holder = holder_since(0);
     assert_eq!(holder.on_later_era(), Some(fence(9)));
-    assert_eq!((holder.fence_to_order(2 * SECOND), holder.fence()), (None, None));
-    assert!(looks(&mut holder, 9 * SECOND, 0.5) > 10, "nobody may hold the key");
+    assert_eq!((holder.fence_for_orders(2 * SECOND), holder.fence()), (None, None));
+    assert!(count_polls(&mut holder, 9 * SECOND, 0.5) > 10, "the key may have no holder");
     assert_eq!(holder.on_later_era(), None);
 }
 
@@ -99,7 +103,7 @@
     };
     assert!(of_era(1, 1) > of_era(0, 1 << 39));
     assert!(of_era(2, 5) > of_era(1, 900));
-    assert_eq!(of_era(0, 7), fence(7).number(), "nothing changes where no later era has begun");
+    assert_eq!(of_era(0, 7), fence(7).number(), "tokens of the first era are plain revisions");
     assert!(of_era(8_000, 1) < 1 << 53);
 }
 
@@ -108,9 +112,9 @@
 }
 
 #[test]
-fn roles_have_a_subject_a_region_only_where_several_regions_are_told() {
+fn roles_have_one_subject_per_region_only_with_several_regions() {
     let own = RegionId::new("here");
-    let of = |zones: &[(&str, &str)]| AuthoritySubject::of_roles(&topology(zones), &own);
+    let of = |zones: &[(&str, &str)]| AuthoritySubject::for_roles(&topology(zones), &own);
     assert_eq!(of(&[]), AuthoritySubject::Fleet);
     assert_eq!(of(&[("a", "here"), ("b", "here")]), AuthoritySubject::Fleet);
     let several = of(&[("a", "here"), ("b", "there")]);
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -30,7 +30,7 @@
     term.renew(2 * SECOND_US, TIMES);
     assert!(term.may_order(4 * SECOND_US));
     assert!(!term.may_order(9 * SECOND_US));
-    assert!(term.is_over(9 * SECOND_US));
+    assert!(term.has_expired(9 * SECOND_US));
 }
 
 #[test]
@@ -38,21 +38,21 @@
     let mut term =
         AuthorityTerm::new(FencingToken::new(at(7)), 5 * SECOND_US, 5 * SECOND_US, TIMES);
     term.renew(4 * SECOND_US, TIMES);
-    assert!(!term.is_over(7 * SECOND_US));
+    assert!(!term.has_expired(7 * SECOND_US));
 }
 
 const STEP_US: usize = 1_000;
 
 /// Last step at which a term that began at a given time is still valid.
 fn end(term: &AuthorityTerm, began_us: u64) -> u64 {
-    let valid = (began_us..).step_by(STEP_US).take_while(|now| !term.is_over(*now));
+    let valid = (began_us..).step_by(STEP_US).take_while(|now| !term.has_expired(*now));
     valid.last().unwrap()
 }
 
 /// Time at which a term that was requested at a given time allows orders, or at which it ends
 /// without having allowed any.
 fn first_order(term: &AuthorityTerm, requested_us: u64) -> u64 {
-    let is_first = |now: &u64| term.may_order(*now) || term.is_over(*now);
+    let is_first = |now: &u64| term.may_order(*now) || term.has_expired(*now);
     (requested_us..).step_by(STEP_US).find(is_first).unwrap()
 }
 
--- a/crates/serving/tests/runner_incarnations.rs
+++ b/crates/serving/tests/runner_incarnations.rs
@@ -246,10 +246,17 @@
     let mut evidence = CrashEvidence::default();
     let changes: Vec<CrashChange> = (1..=3)
         .map(|born_ms| {
-            assert!(!evidence.on_broken(&incarnation(born_ms), request, born_ms * SECOND_US));
-            assert_eq!(evidence.on_ended(&incarnation(born_ms), born_ms * SECOND_US), [request]);
+            assert!(!evidence.on_attempt_broken(
+                &incarnation(born_ms),
+                request,
+                born_ms * SECOND_US
+            ));
+            assert_eq!(
+                evidence.on_terminated(&incarnation(born_ms), born_ms * SECOND_US),
+                [request]
+            );
             let crash = Crash { request, runner: incarnation(born_ms) };
-            quarantine.on_seen(&crash, 0, born_ms * SECOND_US)
+            quarantine.on_observed(&crash, 0, born_ms * SECOND_US)
         })
         .collect();
     use CrashChange::{Counted, Quarantined};
--- a/crates/serving/tests/specification/regional_authority.rs
+++ b/crates/serving/tests/specification/regional_authority.rs
@@ -1,30 +1,32 @@
-//! Authority by region: three nodes, the store's leased keys of three subjects, one runner.
+//! Model of authority by region: three nodes, the store's leased keys of three subjects, one
+//! runner.
 //!
-//! Two nodes lie in the runner's region, one in another. Each learns at a time of its own that there
-//! are several regions; before, it orders under the subject of the fleet, and afterwards under that
-//! of its region. What one key alone has to keep is the matter of the specification of authority.
+//! Two nodes are in the runner's region, one is in another region. Each node learns at a different
+//! time that there are several regions. Before that it orders under the subject of the fleet,
+//! afterwards under that of its region. The properties of a single key are covered by the model of
+//! authority.
 
 use std::collections::BTreeSet;
 
 const NODES: usize = 3;
 const SUBJECTS: usize = 3;
 const FLEET: usize = 0;
-/// The subject of the runner's region, and of the other.
-const NEAR: usize = 1;
-const FAR: usize = 2;
+/// The subjects of the runner's region and of the other region.
+const LOCAL: usize = 1;
+const REMOTE: usize = 2;
 /// Region of each node.
-const REGIONS: [usize; NODES] = [NEAR, NEAR, FAR];
-const MOST_REVISIONS: u8 = 3;
-const MOST_ORDERS: u8 = 3;
+const REGIONS: [usize; NODES] = [LOCAL, LOCAL, REMOTE];
+const MAX_REVISIONS: u8 = 3;
+const MAX_ORDERS: u8 = 3;
 
-/// The switches. All on: the protocol as built.
+/// The safeguards of the protocol. All on: the protocol as implemented.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
-    /// A holder orders only runners of its subject's region.
+    /// A holder only orders runners of its subject's region.
     pub own_runners: bool,
-    /// The key of a subject is taken only while it is absent.
+    /// The key of a subject is only acquired while it is absent.
     pub take_if_absent: bool,
-    /// Fencing tokens of all subjects come from the store's one sequence of revisions.
+    /// The fencing tokens of all subjects come from the store's single sequence of revisions.
     pub one_sequence: bool,
 }
 
@@ -35,22 +37,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Term {
     fence: u8,
-    /// Revision of the store at which it was gained.
-    gained: u8,
+    /// Store revision at which the term was acquired.
+    acquired_at: u8,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct State {
     revision: u8,
-    /// Writes of each key.
+    /// Number of writes of each key.
     versions: [u8; SUBJECTS],
     store_holders: [Option<u8>; SUBJECTS],
     terms: [[Option<Term>; SUBJECTS]; NODES],
     knows_regions: [bool; NODES],
-    ordered: u8,
-    on_the_way: BTreeSet<(u8, Term)>,
+    order_count: u8,
+    in_flight: BTreeSet<(u8, Term)>,
     highest_fence: u8,
-    last_gained: u8,
+    last_acquired_at: u8,
     pub violated: bool,
 }
 
@@ -76,7 +78,7 @@
         states
     }
 
-    /// The subjects at which a node looks.
+    /// The subjects that a node polls.
     fn subjects(&self, node: usize) -> Vec<usize> {
         let of_region = self.knows_regions[node].then_some(REGIONS[node]);
         [FLEET].into_iter().chain(of_region).collect()
@@ -84,7 +86,7 @@
 
     fn take(&self, node: usize, subject: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let is_free = self.store_holders[subject].is_none() || !guards.take_if_absent;
-        if !is_free || self.revision >= MOST_REVISIONS || self.terms[node][subject].is_some() {
+        if !is_free || self.revision >= MAX_REVISIONS || self.terms[node][subject].is_some() {
             return;
         }
         let mut taken = self.clone();
@@ -92,20 +94,20 @@
         taken.versions[subject] += 1;
         taken.store_holders[subject] = Some(node as u8);
         let own = if guards.one_sequence { taken.revision } else { taken.versions[subject] };
-        taken.terms[node][subject] = Some(Term { fence: own, gained: taken.revision });
+        taken.terms[node][subject] = Some(Term { fence: own, acquired_at: taken.revision });
         states.push(taken);
     }
 
-    /// A term ends by its own time, or with the node.
+    /// A term expires, or its node fails.
     fn end_term(&self, node: usize, subject: usize, states: &mut Vec<Self>) {
         if self.terms[node][subject].is_some() {
-            let mut over = self.clone();
-            over.terms[node][subject] = None;
-            states.push(over);
+            let mut expired = self.clone();
+            expired.terms[node][subject] = None;
+            states.push(expired);
         }
     }
 
-    /// A key goes with its lease, which outlives the term.
+    /// A key is deleted with its lease, which outlasts the term.
     fn lapse(&self, states: &mut Vec<Self>) {
         for (subject, holder) in self.store_holders.iter().enumerate() {
             let Some(holder) = holder else { continue };
@@ -120,19 +122,19 @@
     /// The term under which a node would order the runner now.
     fn ordering_term(&self, node: usize, guards: Safeguards) -> Option<Term> {
         let subject = if self.knows_regions[node] { REGIONS[node] } else { FLEET };
-        let is_own = subject == FLEET || subject == NEAR;
+        let is_own = subject == FLEET || subject == LOCAL;
         self.terms[node][subject].filter(|_| is_own || !guards.own_runners)
     }
 
     fn order(&self, node: usize, guards: Safeguards, states: &mut Vec<Self>) {
         let Some(term) = self.ordering_term(node, guards) else { return };
-        if self.ordered >= MOST_ORDERS {
+        if self.order_count >= MAX_ORDERS {
             return;
         }
         let mut ordered = self.clone();
-        ordered.ordered += 1;
-        ordered.on_the_way.insert((node as u8, term));
-        // Nodes that agree on the regions never may order the same runner both.
+        ordered.order_count += 1;
+        ordered.in_flight.insert((node as u8, term));
+        // Two nodes that agree on the regions never may both order the same runner.
         ordered.violated |= (0..NODES).any(|other| {
             let agrees = self.knows_regions[other] == self.knows_regions[node];
             other != node && agrees && self.ordering_term(other, guards).is_some()
@@ -141,15 +143,15 @@
     }
 
     fn arrive(&self, states: &mut Vec<Self>) {
-        for order in &self.on_the_way {
+        for order in &self.in_flight {
             let mut arrived = self.clone();
-            arrived.on_the_way.remove(order);
+            arrived.in_flight.remove(order);
             let (_, term) = *order;
             if term.fence >= self.highest_fence {
                 arrived.highest_fence = term.fence;
-                // Orders of two terms never are taken in turns.
-                arrived.violated |= term.gained < self.last_gained;
-                arrived.last_gained = term.gained;
+                // Orders of two terms are never accepted alternately.
+                arrived.violated |= term.acquired_at < self.last_acquired_at;
+                arrived.last_acquired_at = term.acquired_at;
             }
             states.push(arrived);
         }
