--- a/crates/gateway/src/compression.rs
+++ b/crates/gateway/src/compression.rs
@@ -7,7 +7,7 @@
 use flate2::write::ZlibEncoder;
 use flate2::Compression;
 use ntex::util::Bytes;
-use pitchstall_serving::store_copy::StoreUpdate;
+use pitchstall_serving::store_replica::StoreUpdate;
 use std::io::{Read, Write};
 
 /// Largest update: the store bounds an entry to 1 MiB, before its escaping as a string, and 1,300 runners
--- a/crates/gateway/src/copy_limits.rs
+++ b/crates/gateway/src/copy_limits.rs
@@ -2,7 +2,7 @@
 //! parts of the time after which a node counts as in touch again.
 
 use crate::node::Node;
-use pitchstall_serving::store_copy::Subject;
+use pitchstall_serving::store_replica::Subject;
 use rand::RngExt;
 use std::time::Duration;
 
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -21,7 +21,7 @@
 use crate::shard_scheduler;
 use crate::usage;
 use crate::watcher;
-use pitchstall_serving::store_copy::Subject;
+use pitchstall_serving::store_replica::Subject;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -7,7 +7,7 @@
 use pitchstall_serving::ids::RunnerName;
 use pitchstall_serving::quarantine::{Crash, CrashRecord};
 use pitchstall_serving::runner::RunnerRecord;
-use pitchstall_serving::store_copy::{StoreEntry, StoreUpdate, Subject};
+use pitchstall_serving::store_replica::{StoreEntry, StoreUpdate, Subject};
 use pitchstall_serving::store_revision::StoreRevision;
 use std::collections::HashSet;
 use std::rc::Rc;
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -14,7 +14,7 @@
 use crate::node::Node;
 use crate::transfer::{Transfer, LONGEST_TRANSFER, STALLED_LIMIT};
 use ntex::io::Io;
-use pitchstall_serving::store_copy::{CopyAnswer, CopyQuestion, StoreUpdate, Subject};
+use pitchstall_serving::store_replica::{CopyAnswer, CopyQuestion, StoreUpdate, Subject};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -40,7 +40,7 @@
 use pitchstall_serving::routing::TrafficSplitter;
 use pitchstall_serving::runner::{Runner, Stage};
 use pitchstall_serving::scheduling::ShardLoads;
-use pitchstall_serving::store_copy::{StoreCopies, StoreUpdate, Subject};
+use pitchstall_serving::store_replica::{StoreCopies, StoreUpdate, Subject};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEras};
 use pitchstall_serving::topology::Topology;
 use pitchstall_serving::usage::{UsageCollector, UsageLedger};
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -25,7 +25,7 @@
     self, Page, StoreAnswerError, StoreStatus, CONFIGURATION_KEY, CRASHES_PREFIX, RUNNERS_PREFIX,
 };
 use pitchstall_serving::freshness::{CopyFreshness, Freshness};
-use pitchstall_serving::store_copy::{CopyQuestion, StoreUpdate, Subject};
+use pitchstall_serving::store_replica::{CopyQuestion, StoreUpdate, Subject};
 use pitchstall_serving::store_revision::{StoreEra, StoreRevision};
 use rand::RngExt;
 use std::net::SocketAddr;
--- a/crates/gateway/src/watcher/other_nodes.rs
+++ b/crates/gateway/src/watcher/other_nodes.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::transfer::Transfer;
 use pitchstall_serving::freshness::{CopyFreshness, Freshness};
-use pitchstall_serving::store_copy::{CopyAnswer, CopyQuestion, Subject};
+use pitchstall_serving::store_replica::{CopyAnswer, CopyQuestion, Subject};
 use pitchstall_serving::store_revision::StoreRevision;
 use rand::RngExt;
 use std::future::Future;
--- a/crates/gateway/tests/compression.rs
+++ b/crates/gateway/tests/compression.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_gateway::compression::{compress, decompress, CompressedUpdate};
-use pitchstall_serving::store_copy::{StoreEntry, StoreUpdate};
+use pitchstall_serving::store_replica::{StoreEntry, StoreUpdate};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra};
 use proptest::prelude::*;
 
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
-use pitchstall_serving::store_copy::{CopyAnswer, CopyQuestion, Subject};
+use pitchstall_serving::store_replica::{CopyAnswer, CopyQuestion, Subject};
 use pitchstall_serving::store_revision::StoreRevision;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/gateway/tests/words_without_eras.rs
+++ b/crates/gateway/tests/words_without_eras.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::freshness::FreshnessWord;
-use pitchstall_serving::store_copy::{CopyQuestion, StoreUpdate, Subject};
+use pitchstall_serving::store_replica::{CopyQuestion, StoreUpdate, Subject};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 
 fn at(in_era: u64, number: u64) -> StoreRevision {
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -11,7 +11,7 @@
 //! is believed to be younger than it is, by that time; whoever believes it asks that much later,
 //! counted from when it came.
 
-use crate::store_copy::{StoreUpdate, Subject};
+use crate::store_replica::{StoreUpdate, Subject};
 use crate::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 use serde::{Deserialize, Serialize};
 
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -16,7 +16,7 @@
 //! | [`request`] | what of a request and an answer matters to a node |
 //! | [`request_identity`] | which requests are the same one, whatever ids they carry |
 //! | [`digest`] | what every node tells the others now and then |
-//! | [`store_copy`] | what brings another node's copy of the store up to date |
+//! | [`store_replica`] | what brings another node's copy of the store up to date |
 //! | [`store_revision`] | points in the store's history, across its returns from older copies |
 //! | [`membership`] | which nodes read the store, and which follow them |
 //! | [`freshness`] | how fresh the copy of the store is, by all nodes' word |
@@ -92,7 +92,7 @@
 pub mod runner_pace;
 pub mod scheduler;
 pub mod scheduling;
-pub mod store_copy;
+pub mod store_replica;
 pub mod store_revision;
 pub mod suspicion;
 pub mod tenancy;
--- a/crates/serving/tests/lapsed_entries.rs
+++ b/crates/serving/tests/lapsed_entries.rs
@@ -8,7 +8,7 @@
 use pitchstall_serving::freshness::CopyFreshness;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::runner::RunnerRecord;
-use pitchstall_serving::store_copy::StoreUpdate;
+use pitchstall_serving::store_replica::StoreUpdate;
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra};
 use support::{at, runner_record};
 
--- a/crates/serving/tests/store_copy.rs
+++ b/crates/serving/tests/store_replica.rs
@@ -1,7 +1,7 @@
 //! Copies of the store that nodes hand to each other.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use pitchstall_serving::store_copy::{StoreCopy, StoreEntry, StoreUpdate};
+use pitchstall_serving::store_replica::{StoreCopy, StoreEntry, StoreUpdate};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra, StoreRevision};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
--- a/crates/serving/tests/store_revision.rs
+++ b/crates/serving/tests/store_revision.rs
@@ -7,7 +7,7 @@
 use pitchstall_serving::freshness::{CopyFreshness, Freshness, FreshnessWord};
 use pitchstall_serving::ids::{RunnerId, RunnerName};
 use pitchstall_serving::runner::RunnerRecord;
-use pitchstall_serving::store_copy::{StoreCopy, StoreEntry, StoreUpdate};
+use pitchstall_serving::store_replica::{StoreCopy, StoreEntry, StoreUpdate};
 use pitchstall_serving::store_revision::{
     EraNews, RevisionNumber, StoreEra, StoreEras, StoreRevision,
 };
