--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -1,7 +1,7 @@
 //! The answers that the node makes itself: one place for status codes.
 
 use ntex::http::StatusCode;
-use pitchstall_serving::attempt::FinalAnswer;
+use pitchstall_serving::attempt::FinalResponse;
 
 /// Pause for clients that came while no runner could take their request, seconds.
 const REFUSED_PAUSE_S: f64 = 0.25;
@@ -59,16 +59,16 @@
     TimedOut,
 }
 
-impl From<FinalAnswer> for OwnAnswer {
-    fn from(answer: FinalAnswer) -> Self {
+impl From<FinalResponse> for OwnAnswer {
+    fn from(answer: FinalResponse) -> Self {
         match answer {
-            FinalAnswer::Refuse => Self::Refused,
-            FinalAnswer::RefuseForGood => Self::Quarantined,
-            FinalAnswer::RefuseUntil { wait_ms } => Self::LimitUsedUp { wait_ms },
-            FinalAnswer::OverQuota { wait_ms } => Self::OverQuota { wait_ms },
-            FinalAnswer::QuotaUnknown => Self::QuotaUnknown,
-            FinalAnswer::BadGateway => Self::BadGateway,
-            FinalAnswer::TimedOut => Self::TimedOut,
+            FinalResponse::Refuse => Self::Refused,
+            FinalResponse::RefusePermanently => Self::Quarantined,
+            FinalResponse::RefuseUntil { wait_ms } => Self::LimitUsedUp { wait_ms },
+            FinalResponse::OverQuota { wait_ms } => Self::OverQuota { wait_ms },
+            FinalResponse::QuotaUnknown => Self::QuotaUnknown,
+            FinalResponse::BadGateway => Self::BadGateway,
+            FinalResponse::TimedOut => Self::TimedOut,
         }
     }
 }
--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -151,7 +151,7 @@
     async fn try_take(&mut self) {
         // Only nodes that read the store look who has the authority, and only at that of their own
         // region: each look is a call.
-        let is_mirror = self.node.members.borrow().is_mirror();
+        let is_mirror = self.node.members.borrow().is_store_reader();
         if !self.node.is_ready() || !self.has_duties() || !is_mirror {
             return;
         }
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -38,7 +38,7 @@
             continue;
         }
         let told = list(address).await;
-        if let Some(other) = told.as_ref().filter(|told| !runner.may_be(told.born_ms)) {
+        if let Some(other) = told.as_ref().filter(|told| !runner.matches_start(told.born_ms)) {
             node.on_other_life(&runner, other.born_ms);
             continue;
         }
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -4,7 +4,7 @@
 use super::Dispatch;
 use crate::quota::asking::{self, Payment, Spent, Unpaid};
 use crate::runner_limits;
-use pitchstall_serving::attempt::GiveUp;
+use pitchstall_serving::attempt::EndReason;
 use pitchstall_serving::retry_budget::{ArrivalCost, SharedRetryBudget};
 
 /// What came of asking whether a planned run may be sent.
@@ -19,10 +19,10 @@
     /// Whether a planned run may be sent: unless runners have ended under the request, if its tenant
     /// has room for it, if its runner still takes requests, and if it is the first one or the retry
     /// budget allows it. It has to be sent without any further wait.
-    pub(super) async fn admit(&mut self, plan: &Plan) -> Result<Admission, GiveUp> {
+    pub(super) async fn admit(&mut self, plan: &Plan) -> Result<Admission, EndReason> {
         // The word may have come while the request was placed and its prompt read.
         if self.is_quarantined() {
-            return Err(GiveUp::Quarantined);
+            return Err(EndReason::Quarantined);
         }
         self.ensure_paid().await?;
         // The runner may have said so since it was chosen, as while a prompt was read elsewhere.
@@ -40,10 +40,10 @@
         }
         let cost = self.arrivals.on_run();
         if cost != ArrivalCost::Free && plan.prompt.is_none() && self.is_too_late(&plan.choice) {
-            return Err(GiveUp::OutOfTime);
+            return Err(EndReason::OutOfTime);
         }
         if !self.pay(cost) {
-            return Err(GiveUp::Refused);
+            return Err(EndReason::Refused);
         }
         Ok(Admission::Paid(self.payment.take().map(Payment::spend)))
     }
@@ -59,7 +59,7 @@
 
     /// Has the next run paid for by the tenant's keepers, if it is not; `None`: it is, or costs
     /// nothing.
-    pub(super) async fn payment_to_make(&self) -> Result<Option<Payment>, GiveUp> {
+    pub(super) async fn payment_to_make(&self) -> Result<Option<Payment>, EndReason> {
         match &self.run_cost {
             Some(run) if self.payment.is_none() => {
                 let request = &self.request.facts.id;
@@ -71,7 +71,7 @@
 
     /// Makes sure that the run is paid for now. A grant that has lapsed, as while a prompt was read,
     /// is given back and asked for anew.
-    pub(super) async fn ensure_paid(&mut self) -> Result<(), GiveUp> {
+    pub(super) async fn ensure_paid(&mut self) -> Result<(), EndReason> {
         let Some(run) = &self.run_cost else { return Ok(()) };
         if self.payment.as_ref().is_some_and(Payment::is_usable) {
             return Ok(());
@@ -97,9 +97,9 @@
     }
 }
 
-fn reason_of(unpaid: Unpaid) -> GiveUp {
+fn reason_of(unpaid: Unpaid) -> EndReason {
     match unpaid {
-        Unpaid::OverQuota { wait_ms } => GiveUp::OverQuota { wait_ms },
-        Unpaid::Unreachable => GiveUp::QuotaUnknown,
+        Unpaid::OverQuota { wait_ms } => EndReason::OverQuota { wait_ms },
+        Unpaid::Unreachable => EndReason::QuotaUnknown,
     }
 }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -20,7 +20,7 @@
 use crate::quota::asking::{Payment, RunCost, Spent};
 use crate::relay::{relay, RelayEnd, RelayLimits, StreamState};
 use crate::usage::BeginMark;
-use pitchstall_serving::attempt::{final_answer, Execution, GiveUp};
+use pitchstall_serving::attempt::{final_response, EndReason, Execution};
 use pitchstall_serving::configuration::{Configuration, EngineSpec, RequestKind, Route};
 use pitchstall_serving::event_stream::EventSplitter;
 use pitchstall_serving::fleet::{Eligible, Scope, Sender};
@@ -147,10 +147,10 @@
 
     async fn step(&mut self, client: &ClientConnection) -> Step {
         if self.time_left().is_zero() {
-            return self.give_up(GiveUp::OutOfTime);
+            return self.give_up(EndReason::OutOfTime);
         }
         if self.is_quarantined() {
-            return self.give_up(GiveUp::Quarantined);
+            return self.give_up(EndReason::Quarantined);
         }
         let plan = match self.plan().await {
             Ok(plan) => plan,
@@ -289,7 +289,7 @@
         self.excluded.push(runner);
         self.unreachable += 1;
         if self.unreachable >= MOST_UNREACHABLE {
-            return self.give_up(GiveUp::NoRunner);
+            return self.give_up(EndReason::NoRunner);
         }
         Step::Again
     }
@@ -299,12 +299,12 @@
         self.runs += 1;
         self.excluded.push(runner);
         if self.time_left().is_zero() {
-            return self.give_up(GiveUp::OutOfTime);
+            return self.give_up(EndReason::OutOfTime);
         }
         if self.may_run_again(0) {
             return Step::Again;
         }
-        self.give_up(GiveUp::Failed)
+        self.give_up(EndReason::Failed)
     }
 
     async fn deliver(&mut self, mut answering: Answering, client: &ClientConnection) -> Step {
@@ -424,7 +424,7 @@
 
     fn on_out_of_time(&mut self) -> Step {
         self.execution = Execution::Ran;
-        self.give_up(GiveUp::OutOfTime)
+        self.give_up(EndReason::OutOfTime)
     }
 
     fn broken<'b>(&'b self, runner: &'b RunnerId) -> BrokenAttempt<'b> {
@@ -442,13 +442,13 @@
         self.on_lost(runner)
     }
 
-    fn give_up(&mut self, reason: GiveUp) -> Step {
+    fn give_up(&mut self, reason: EndReason) -> Step {
         let id = self.request.facts.id.as_str();
         let execution = format!("{:?}", self.execution);
         let reason_name = format!("{reason:?}");
         let runs = self.runs;
         log::info!(target: "request", request = id, reason = reason_name, execution, runs; "given up");
-        if reason == GiveUp::Quarantined {
+        if reason == EndReason::Quarantined {
             let identity = self.identity().to_string();
             log::info!(target: "crash", request = id, identity; "held back");
         }
@@ -458,7 +458,7 @@
         if let Some(answer) = self.failure.take() {
             return Step::Done(RequestEnd::Whole(answer));
         }
-        let answer = OwnAnswer::from(final_answer(self.execution, reason));
+        let answer = OwnAnswer::from(final_response(self.execution, reason));
         Step::Done(RequestEnd::Own(answer))
     }
 }
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -1,6 +1,6 @@
 //! Plans the next attempt of a request: where it is placed, and the reading of its prompt.
 
-use super::{Dispatch, GiveUp};
+use super::{Dispatch, EndReason};
 use crate::attempt::{self, NotPrepared};
 use crate::clock::Instant;
 use crate::reading::{self, ReadPrompt, ReadingDemand, ReadingEnd};
@@ -51,11 +51,11 @@
 impl NextOpening {
     /// Why a request is given up that can't wait so long. Another node has nothing more to give of a limit, so the caller
     /// is told when there will be something.
-    fn give_up(self) -> GiveUp {
+    fn give_up(self) -> EndReason {
         let wait_ms = u64::try_from(self.opens_in.as_millis()).unwrap_or(u64::MAX);
         match self.has_limit {
-            true => GiveUp::LimitUsedUp { wait_ms },
-            false => GiveUp::NoRunner,
+            true => EndReason::LimitUsedUp { wait_ms },
+            false => EndReason::NoRunner,
         }
     }
 }
@@ -78,13 +78,13 @@
             prompt: &self.prompt,
             zone: &self.node.zone,
             cache_tokens: self.engine.as_ref().map_or(0, |engine| engine.kv_tokens),
-            region_move_ms: self.engine.as_ref().and_then(EngineSpec::region_move_ms),
+            region_move_ms: self.engine.as_ref().and_then(EngineSpec::cross_region_ms_per_token),
             now_us: self.node.now_us(),
         }
     }
 
     /// Finds where the request runs next; waits a little if no runner takes work.
-    pub(super) async fn plan(&mut self) -> Result<Plan, GiveUp> {
+    pub(super) async fn plan(&mut self) -> Result<Plan, EndReason> {
         let give_up_at = Instant::now() + self.longest_wait();
         loop {
             if let Some(plan) = self.plan_now().await? {
@@ -100,7 +100,7 @@
             let changed = self.node.fleet_changed.notified();
             let has_waited = timeout(rest_left.unwrap_or(left), changed).await.is_err();
             if has_waited && rest_left.is_none() {
-                return Err(GiveUp::NoRunner);
+                return Err(EndReason::NoRunner);
             }
         }
     }
@@ -113,7 +113,7 @@
         Some(NextOpening { opens_in, has_limit: opening.has_limit })
     }
 
-    async fn plan_now(&mut self) -> Result<Option<Plan>, GiveUp> {
+    async fn plan_now(&mut self) -> Result<Option<Plan>, EndReason> {
         if self.engine.is_none() {
             self.ensure_paid().await?;
             let choice = choose_worker(&self.node.fleet.borrow(), &self.demand());
@@ -158,11 +158,11 @@
         reader: Choice,
         writer: Option<Choice>,
         follow_up: FollowUp,
-    ) -> Result<Option<Plan>, GiveUp> {
+    ) -> Result<Option<Plan>, EndReason> {
         let sent_at = Instant::now();
         let prompt = self.read_prompt(reader, &follow_up).await;
         if self.time_left().is_zero() {
-            return Err(GiveUp::OutOfTime);
+            return Err(EndReason::OutOfTime);
         }
         if prompt.is_some() {
             follow_up.tell(Progress::Read(elapsed_ms(sent_at)));
--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -14,20 +14,20 @@
 
 /// Takes in an update, from the store or from another node.
 pub fn take_update(node: &Rc<Node>, subject: Subject, update: &StoreUpdate) {
-    let era_before = node.copies.borrow().of(subject).known_to().unwrap_or_default().era();
-    let came_back = era_before.is_told() && era_before < update.era;
+    let era_before = node.copies.borrow().get(subject).known_to().unwrap_or_default().era();
+    let came_back = era_before.is_known() && era_before < update.era;
     node.update_copy(subject, update);
     match subject {
         Subject::Configuration => {
             update.entries.iter().for_each(|entry| take_configuration(node, entry));
         }
-        Subject::Runners if update.whole => take_all_runners(node, update),
+        Subject::Runners if update.is_snapshot => take_all_runners(node, update),
         Subject::Runners => {
             for entry in &update.entries {
                 take_runner(node, entry, update.revision_of(entry));
             }
         }
-        Subject::Crashes if update.whole => {
+        Subject::Crashes if update.is_snapshot => {
             let crashes: Vec<_> =
                 update.entries.iter().filter_map(|entry| crash_of(node, entry)).collect();
             match came_back {
@@ -70,7 +70,7 @@
     }
     let Some(name) = documents::runner_of_key(&entry.key) else { return };
     // An entry that cannot be used has not lapsed: somebody has written it.
-    let lapses_until_us = node.lapses_until_us().filter(|_| entry.is_removal());
+    let lapses_until_us = node.lapses_until_us().filter(|_| entry.is_tombstone());
     node.remove_runner(&name, revision, lapses_until_us);
 }
 
@@ -83,8 +83,9 @@
         .collect();
     // Known now if any of them tells it, also one that comes after those that do not.
     let tells_starts = node.tells_starts.get();
-    let (used, refused): (Vec<_>, Vec<_>) =
-        records.into_iter().partition(|record| record.id.born_ms().is_some() || !tells_starts);
+    let (used, refused): (Vec<_>, Vec<_>) = records
+        .into_iter()
+        .partition(|record| record.id.started_at_ms().is_some() || !tells_starts);
     let used_names: HashSet<RunnerName> = used.iter().map(|record| record.id.name()).collect();
     for record in refused {
         let name = record.id.name();
@@ -93,7 +94,7 @@
         node.on_refused_entry(Subject::Runners.name(), &key, revision, &EntryFault::NoStart);
     }
     node.replace_runners(used, update.known_to(), node.lapses_until_us());
-    let unusable = update.entries.iter().filter(|entry| !entry.is_removal());
+    let unusable = update.entries.iter().filter(|entry| !entry.is_tombstone());
     for entry in unusable {
         let name = documents::runner_of_key(&entry.key);
         if let Some(name) = name.filter(|name| !used_names.contains(name)) {
@@ -134,7 +135,7 @@
             return None;
         }
     };
-    if record.id.born_ms().is_some() {
+    if record.id.started_at_ms().is_some() {
         node.tells_starts.set(true);
     } else if node.tells_starts.get() {
         let fault = EntryFault::NoStart;
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -14,7 +14,7 @@
 use crate::node::Node;
 use crate::transfer::{Transfer, LONGEST_TRANSFER, STALLED_LIMIT};
 use ntex::io::Io;
-use pitchstall_serving::store_replica::{CopyAnswer, CopyQuestion, StoreUpdate, Subject};
+use pitchstall_serving::store_replica::{StoreUpdate, StoreUpdateQuery, StoreUpdateReply, Subject};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
 }
 
 async fn serve_follower(io: &Io, node: &Node, compressed: &CompressedUpdates) {
-    while let Ok(Ok(question)) = timeout(IDLE_LIMIT, read_line::<CopyQuestion>(io)).await {
+    while let Ok(Ok(question)) = timeout(IDLE_LIMIT, read_line::<StoreUpdateQuery>(io)).await {
         wait_for_change(node, &question).await;
         let answer = answer(node, &question);
         if let Err(error) = write_answer(io, answer, compressed.of(question.subject)).await {
@@ -76,9 +76,9 @@
     }
 }
 
-async fn wait_for_change(node: &Node, question: &CopyQuestion) {
+async fn wait_for_change(node: &Node, question: &StoreUpdateQuery) {
     let until = Instant::now() + Duration::from_millis(question.wait_ms).min(LONGEST_WAIT);
-    let known_to = || node.copies.borrow().of(question.subject).known_to();
+    let known_to = || node.copies.borrow().get(question.subject).known_to();
     let after = question.after(&node.eras.borrow());
     while known_to() <= after {
         let left = until.saturating_duration_since(Instant::now());
@@ -88,19 +88,19 @@
     }
 }
 
-fn answer(node: &Node, question: &CopyQuestion) -> CopyAnswer {
+fn answer(node: &Node, question: &StoreUpdateQuery) -> StoreUpdateReply {
     let after = question.after(&node.eras.borrow());
-    let update = node.copies.borrow().of(question.subject).update_since(after);
+    let update = node.copies.borrow().get(question.subject).update_since(after);
     let now_us = node.now_us();
-    let age_ms = node.freshness.borrow().copy_of(question.subject).confirmed_age_ms(now_us);
-    CopyAnswer { update, age_ms, is_compressed: false }
+    let age_ms = node.freshness.borrow().replica(question.subject).confirmed_age_ms(now_us);
+    StoreUpdateReply { update, age_ms, is_compressed: false }
 }
 
 /// The line of the answer goes out before a large update is compressed: on a busy machine that may take longer
 /// than the line may, and the node that asks would leave.
 async fn write_answer(
     io: &Io,
-    mut answer: CopyAnswer,
+    mut answer: StoreUpdateReply,
     compressed: &RefCell<CompressedUpdate>,
 ) -> Result<(), LineFailure> {
     let is_large = |update: &mut StoreUpdate| update.content_bytes() >= LARGE_UPDATE_BYTES;
@@ -177,8 +177,8 @@
         &mut self,
         node: &Node,
         address: SocketAddr,
-        question: &CopyQuestion,
-    ) -> Result<CopyAnswer, MirrorFailure> {
+        question: &StoreUpdateQuery,
+    ) -> Result<StoreUpdateReply, MirrorFailure> {
         self.transfer.begin();
         let kept = self.kept.take().filter(|(to, io)| *to == address && !io.is_closed());
         let io = match kept {
@@ -187,7 +187,7 @@
         };
         write_line(&io, question)?;
         let limit = Duration::from_millis(question.wait_ms) + ANSWER_LIMIT;
-        let mut answer: CopyAnswer =
+        let mut answer: StoreUpdateReply =
             timeout(limit, read_line(&io)).await.map_err(|_| MirrorFailure::TimedOut)??;
         if answer.is_compressed {
             let head = timeout(COMPRESSION_LIMIT, read_line(&io)).await;
@@ -197,7 +197,7 @@
             answer.update = Some(decompress(&compressed).map_err(LineFailure::Compression)?);
         }
         if let Some(update) = &mut answer.update {
-            update.era = node.eras.borrow().of_word(update.era);
+            update.era = node.eras.borrow().resolve_reported(update.era);
         }
         self.kept = Some((address, io));
         Ok(answer)
--- a/crates/gateway/src/node/configuration.rs
+++ b/crates/gateway/src/node/configuration.rs
@@ -80,7 +80,7 @@
 
     /// Time that a move of KV cache between regions takes, milliseconds a token; `None`: not told.
     pub fn region_move_ms(&self, service: &ServiceName) -> Option<f64> {
-        self.with_engine(service, EngineSpec::region_move_ms).flatten()
+        self.with_engine(service, EngineSpec::cross_region_ms_per_token).flatten()
     }
 
     fn with_engine<R>(
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -72,7 +72,7 @@
     /// These are all crashes in a store that has come back from an older copy: one node soon writes again what it has
     /// lost, and the others see that it has.
     pub fn on_crashes_came_back(&self, stored: &[(Crash, CrashRecord)]) {
-        let delay_ms = match self.members.borrow().is_mirror() {
+        let delay_ms = match self.members.borrow().is_store_reader() {
             true => rand::rng().random_range(READERS_WRITE_MS),
             false => rand::rng().random_range(OTHERS_WRITE_MS),
         };
@@ -82,7 +82,7 @@
     }
 
     fn tell_all(&self, word: CrashWord) {
-        let others = self.members.borrow().others();
+        let others = self.members.borrow().other_addresses();
         self.scheduling.socket.send(&PeerWord::Crash(word), &others);
     }
 
--- a/crates/gateway/src/node/eras.rs
+++ b/crates/gateway/src/node/eras.rs
@@ -3,7 +3,7 @@
 
 use super::Node;
 use pitchstall_platform_adapter::store::EraError;
-use pitchstall_serving::store_revision::{EraNews, StoreEra};
+use pitchstall_serving::store_revision::{EraChange, StoreEra};
 use std::net::SocketAddr;
 
 impl Node {
@@ -22,7 +22,7 @@
                 let error = error.to_string();
                 log::warn!(target: "store", error; "era not read");
             }
-            StoreEra::UNTOLD
+            StoreEra::UNKNOWN
         });
         self.on_store_era(told);
         Some(told.or(self.store_era()))
@@ -30,26 +30,26 @@
 
     /// The store, or a copy of it that another node hands on, is of an era.
     pub fn on_store_era(&self, era: StoreEra) {
-        let news = self.eras.borrow_mut().on_answer(era, self.now_us());
+        let news = self.eras.borrow_mut().on_response(era, self.now_us());
         let told = era.to_string();
         match news {
-            EraNews::First => log::info!(target: "store", era = told; "era"),
-            EraNews::Later { before } => {
+            EraChange::First => log::info!(target: "store", era = told; "era"),
+            EraChange::Later { before } => {
                 let before = before.to_string();
                 log::warn!(target: "store", era = told, before; "the store came back older");
                 self.on_later_era();
             }
-            EraNews::Replaced { before } => {
+            EraChange::Replaced { before } => {
                 let before = before.to_string();
                 log::warn!(target: "store", era = told, before; "another store is there");
                 self.on_other_store();
             }
-            EraNews::Over => {
+            EraChange::Superseded => {
                 log::info!(target: "store", era = told; "answer of an era that is over")
             }
-            EraNews::None => {}
+            EraChange::Unchanged => {}
         }
-        if let Some(number) = self.store_era().told_number() {
+        if let Some(number) = self.store_era().reported_number() {
             self.metrics.store_era.set(number as f64);
         }
     }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -40,7 +40,7 @@
 use pitchstall_serving::routing::TrafficSplitter;
 use pitchstall_serving::runner::{Runner, Stage};
 use pitchstall_serving::scheduling::ShardLoads;
-use pitchstall_serving::store_replica::{StoreCopies, StoreUpdate, Subject};
+use pitchstall_serving::store_replica::{StoreReplicas, StoreUpdate, Subject};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEras};
 use pitchstall_serving::topology::Topology;
 use pitchstall_serving::usage::{UsageCollector, UsageLedger};
@@ -73,7 +73,7 @@
     /// All nodes that are known.
     pub members: RefCell<Membership>,
     /// The store's entries, as they are handed on to other nodes.
-    pub copies: RefCell<StoreCopies>,
+    pub copies: RefCell<StoreReplicas>,
     /// Told when one of them has changed.
     pub copy_changed: Notify,
     /// The store's eras.
@@ -147,7 +147,7 @@
     Member {
         address: settings.listen.peers,
         zone: ZoneId::new(&settings.node.zone),
-        processor: (settings.machine.processor_share * THOUSANDTHS) as u32,
+        millicpus: (settings.machine.processor_share * THOUSANDTHS) as u32,
     }
 }
 
@@ -316,7 +316,7 @@
 
     /// Takes an update into the copy that is handed on to other nodes.
     pub fn update_copy(&self, subject: Subject, update: &StoreUpdate) {
-        self.copies.borrow_mut().of_mut(subject).apply(update);
+        self.copies.borrow_mut().get_mut(subject).apply(update);
         self.copy_changed.notify_waiters();
     }
 
@@ -369,7 +369,7 @@
         let now_us = self.now_us();
         self.fleet.borrow_mut().on_changing_words(&digest.changing, now_us);
         digest.limits.iter().for_each(|word| self.on_limit_word(word));
-        self.freshness.borrow_mut().on_word(&digest.store, &self.eras.borrow(), now_us);
+        self.freshness.borrow_mut().on_report(&digest.store, &self.eras.borrow(), now_us);
         self.wall_clock.borrow_mut().on_word(&digest.node, digest.wall_ms, now_us);
     }
 
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -87,7 +87,7 @@
 
     /// Until when an entry that is gone may only have lapsed while the store was away.
     pub fn lapses_until_us(&self) -> Option<u64> {
-        self.freshness.borrow().runners.lapses_until_us(self.now_us())
+        self.freshness.borrow().runners.lapse_grace_until_us(self.now_us())
     }
 
     /// Removes runners whose entries lapsed and are not back in time.
@@ -189,7 +189,8 @@
     pub fn on_silence(&self, runner: &RunnerId, sent_at_us: u64) {
         let now_us = self.now_us();
         let mut fleet = self.fleet.borrow_mut();
-        fleet.update_suspicion(runner, |suspicion| suspicion.on_silence(sent_at_us, now_us));
+        fleet
+            .update_suspicion(runner, |suspicion| suspicion.on_attempt_timeout(sent_at_us, now_us));
         drop(fleet);
         self.suspicion_changed.notify_waiters();
     }
@@ -212,7 +213,7 @@
             self.crash_evidence.borrow_mut().on_alive(runner);
         }
         let mut fleet = self.fleet.borrow_mut();
-        fleet.update_suspicion(runner, |suspicion| suspicion.on_verified(reachable, now_us));
+        fleet.update_suspicion(runner, |suspicion| suspicion.on_probe_result(reachable, now_us));
         drop(fleet);
         self.suspicion_changed.notify_waiters();
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -21,7 +21,7 @@
 use crate::usage;
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store::{self, Item, StoreStatus};
-use pitchstall_serving::digest::{Digest, DigestOrder, DigestTurns, Freshness};
+use pitchstall_serving::digest::{Digest, DigestRotation, DigestStatus, DigestTracker};
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::membership::Member;
 use pitchstall_serving::store_revision::{StoreEra, StoreLease};
@@ -85,9 +85,9 @@
 #[derive(Default)]
 struct PeerState {
     peers: HashMap<NodeId, Peer>,
-    order: DigestOrder,
+    order: DigestTracker,
     sequence: u64,
-    turns: DigestTurns,
+    turns: DigestRotation,
 }
 
 impl Peers {
@@ -151,7 +151,7 @@
             return;
         }
         let freshness = self.state.borrow_mut().order.on_digest(digest);
-        if freshness == Freshness::Stale {
+        if freshness == DigestStatus::Stale {
             return;
         }
         self.learn(&digest.node, &Member { address: from, ..digest.member.clone() });
@@ -159,8 +159,8 @@
         if digest.is_stopping {
             self.node.runner_limits.on_stopping(&digest.node);
         }
-        quota::on_digest(&self.node, &digest.node, from, &digest.keeps);
-        if freshness == Freshness::Newcomer {
+        quota::on_digest(&self.node, &digest.node, from, &digest.held_keepers);
+        if freshness == DigestStatus::NewIncarnation {
             let peer = digest.node.as_str();
             log::info!(target: "peers", peer, incarnation = digest.incarnation; "met");
             if self.node.quotas.is_keeper() {
@@ -172,7 +172,7 @@
     /// A node that knows nobody has asked: it learns of some, and of the others by their digests.
     fn on_hello(&self, digest: &Digest, from: SocketAddr) {
         self.on_digest(digest, from);
-        let members = self.node.members.borrow().some(MEMBERS_TOLD);
+        let members = self.node.members.borrow().sample(MEMBERS_TOLD);
         self.socket.send(&PeerWord::Members(members), &[from]);
     }
 
@@ -201,8 +201,8 @@
         let peer = Peer { address: member.address, heard_at: Instant::now() };
         self.state.borrow_mut().peers.insert(name.clone(), peer);
         self.node.runner_limits.on_heard(name, self.node.now_us());
-        self.node.members.borrow_mut().learn(name, member);
-        let is_far = !self.node.members.borrow().is_near(name);
+        self.node.members.borrow_mut().upsert(name, member);
+        let is_far = !self.node.members.borrow().is_in_own_region(name);
         self.socket.far_traffic().on_peer(member.address, is_far);
     }
 
@@ -215,9 +215,9 @@
             incarnation: self.incarnation,
             sequence: state.sequence,
             member: self.node.members.borrow().own().clone(),
-            store: self.node.freshness.borrow().word(now_us),
+            store: self.node.freshness.borrow().report(now_us),
             changing: self.node.fleet.borrow().changing(now_us),
-            keeps: self.node.quotas.kept(),
+            held_keepers: self.node.quotas.kept(),
             limits: self.node.runner_limits.words(now_us),
             is_stopping: self.node.is_stopping(),
             wall_ms: machine_wall_ms(),
@@ -235,7 +235,7 @@
                 // Runners that change their role decline requests: all nodes should know.
                 () = self.node.role_ordered.notified() => self.all_addresses(),
                 () = self.node.quotas.changed.notified() => self.all_addresses(),
-                () = self.node.store_confirmed.notified() => self.node.members.borrow().mirrors(),
+                () = self.node.store_confirmed.notified() => self.node.members.borrow().other_store_readers(),
                 () = sleep(DIGEST_EVERY) => self.next_addresses(),
             };
             self.send_digest(&to);
@@ -251,7 +251,7 @@
         let members = self.node.members.borrow();
         let state = self.state.borrow();
         let (near, far): (Vec<_>, Vec<_>) =
-            state.peers.iter().partition(|(name, _)| members.is_near(name));
+            state.peers.iter().partition(|(name, _)| members.is_in_own_region(name));
         let addresses = |peers: Vec<(&NodeId, &Peer)>| {
             peers.into_iter().map(|(_, peer)| peer.address).collect()
         };
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -4,7 +4,7 @@
 //! own names its holder. A keeper that was taken at a later revision of the store counts.
 
 use super::LastHeard;
-use pitchstall_serving::digest::{silence_limit_us, KeptSlot};
+use pitchstall_serving::digest::{silence_timeout_us, HeldKeeper};
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::quota_candidacy::KeeperKey;
 use pitchstall_serving::quota_slots::KeeperId;
@@ -111,7 +111,7 @@
         &mut self,
         node: &NodeId,
         address: SocketAddr,
-        kept: &[KeptSlot],
+        kept: &[HeldKeeper],
         eras: &StoreEras,
         now_us: u64,
     ) {
@@ -162,7 +162,7 @@
     pub fn key(&self, keeper: &KeeperId, nodes: usize, now_us: u64) -> Option<KeeperKey> {
         let holder = self.by_keeper.get(keeper)?;
         let told_us = holder.heard_us.max(holder.confirmed_us);
-        let is_heard = now_us < told_us + silence_limit_us(nodes);
+        let is_heard = now_us < told_us + silence_timeout_us(nodes);
         let key = KeeperKey { holder: holder.address, revision: holder.revision };
         is_heard.then_some(key)
     }
@@ -170,7 +170,7 @@
     /// Whether a node counts as there among so many.
     pub fn is_up(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
         let heard_us = self.last_heard.get(node).copied().or(self.watches_since_us);
-        heard_us.is_none_or(|heard_us| now_us < heard_us + silence_limit_us(nodes))
+        heard_us.is_none_or(|heard_us| now_us < heard_us + silence_timeout_us(nodes))
     }
 
     /// A question is handed on to a keeper.
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -23,7 +23,7 @@
 use self::holders::Holders;
 use crate::node::Node;
 use crate::settings::Settings;
-use pitchstall_serving::digest::KeptSlot;
+use pitchstall_serving::digest::HeldKeeper;
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::quota::QuotaBounds;
 use pitchstall_serving::quota_desk::QuotaDesk;
@@ -93,9 +93,9 @@
     }
 
     /// The keepers that this node holds, as other nodes are told of them.
-    pub fn kept(&self) -> Vec<KeptSlot> {
+    pub fn kept(&self) -> Vec<HeldKeeper> {
         let kept = |(keeper, held): (&KeeperId, &Keeper)| {
-            KeptSlot::new(keeper.clone(), held.term().revision)
+            HeldKeeper::new(keeper.clone(), held.term().revision)
         };
         self.keepers.borrow().iter().map(kept).collect()
     }
@@ -122,7 +122,7 @@
 }
 
 /// Takes in what another node's digest says of the keepers that it holds.
-pub fn on_digest(node: &Node, from: &NodeId, address: SocketAddr, kept: &[KeptSlot]) {
+pub fn on_digest(node: &Node, from: &NodeId, address: SocketAddr, kept: &[HeldKeeper]) {
     if !has_limits(node) {
         return;
     }
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -112,7 +112,7 @@
     let read = if answer.status == 200 { paths::parse_prompt_read(&answer.body) } else { None };
     let Some(read) = read else { return ReadingEnd::Failed };
     // The handle holds whichever life has given it; what else is believed of this one is over.
-    match runner.may_be(read.born_ms) {
+    match runner.matches_start(read.born_ms) {
         true => node.on_parts_held(&runner, demand.prompt.shared_parts()),
         false => node.on_other_life(&runner, read.born_ms),
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -4,14 +4,14 @@
 use crate::clock::Instant;
 use crate::connection::{ClientConnection, ClientGone};
 use crate::http::Header;
-use pitchstall_serving::event_stream::{EventSplitter, Join, StreamJoin};
+use pitchstall_serving::event_stream::{EventAction, EventDeduplicator, EventSplitter};
 use std::time::Duration;
 use tokio::time::timeout;
 
 /// Where a stream stands towards its client, over all of its runs.
 pub struct StreamState {
     /// Joins the runs.
-    pub join: StreamJoin,
+    pub join: EventDeduplicator,
     /// Whether the client has the head.
     pub begun: bool,
     /// When the client got the last event.
@@ -21,7 +21,7 @@
 impl StreamState {
     /// A stream of which the client has what it says it has.
     pub fn new(last_event_id: Option<u64>) -> Self {
-        Self { join: StreamJoin::after(last_event_id), begun: false, last_event_at: None }
+        Self { join: EventDeduplicator::after(last_event_id), begun: false, last_event_at: None }
     }
 }
 
@@ -87,7 +87,7 @@
 ) -> Result<(), ClientGone> {
     let mut ready = Vec::new();
     for event in splitter.push(bytes) {
-        if state.join.on_event(&event) == Join::Forward {
+        if state.join.on_event(&event) == EventAction::Forward {
             ready.extend_from_slice(&event.bytes);
         }
     }
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -114,7 +114,7 @@
     /// `None` for a service for which the configuration names no target.
     fn look(&mut self, service: &ServiceName, engine: &EngineSpec) -> Option<RolePlan> {
         let configuration = self.node.configuration();
-        let target_ms = configuration.and_then(|it| it.shortest_target_ms(service))?;
+        let target_ms = configuration.and_then(|it| it.min_target_ms(service))?;
         let demand = RoleDemand {
             service,
             engine,
@@ -167,7 +167,7 @@
             return Some(OrderAnswer::Refused);
         };
         // Another life counts its orders anew: the number that it is asked to expect would hold by chance.
-        if !record.id.may_be(report.born_ms) {
+        if !record.id.matches_start(report.born_ms) {
             self.node.on_other_life(&record.id, report.born_ms);
             return Some(OrderAnswer::Refused);
         }
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::peer_words::PeerWord;
 use crate::shard_scheduler::possible_shards;
-use pitchstall_serving::digest::silence_limit_us;
+use pitchstall_serving::digest::silence_timeout_us;
 use pitchstall_serving::ids::{NodeId, RunnerId};
 use pitchstall_serving::limit_keeper::{
     KeeperShare, KeeperTerm, LimitKeeper, GRANT_LIFE_US, MOST_KEEPERS,
@@ -72,7 +72,7 @@
 
     fn is_there(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
         let heard_us = self.last_heard_us.borrow().get(node).copied().unwrap_or(Some(0));
-        heard_us.is_some_and(|heard_us| now_us < heard_us + silence_limit_us(nodes))
+        heard_us.is_some_and(|heard_us| now_us < heard_us + silence_timeout_us(nodes))
     }
 }
 
@@ -163,7 +163,7 @@
 fn keepers(node: &Node, shard: &Shard) -> Vec<(NodeId, SocketAddr)> {
     let now_us = node.now_us();
     let members = node.members.borrow();
-    let in_order = members.schedulers_in_order(shard).into_iter().take(MOST_KEEPERS);
+    let in_order = members.schedulers_by_rank(shard).into_iter().take(MOST_KEEPERS);
     let limits = &node.runner_limits;
     let answers = |(name, _): &(&NodeId, _)| {
         !limits.missed.is_passed_over(name, now_us) && !limits.is_stopping(name)
@@ -256,7 +256,7 @@
     let members = node.members.borrow();
     let nodes = members.len();
     let is_there = |name: &NodeId| node.runner_limits.is_there(name, nodes, now_us);
-    members.place_of(&node.own_name(), shard, is_there)
+    members.scheduler_rank_of(&node.own_name(), shard, is_there)
 }
 
 fn own_share(node: &Node, shard: &Shard) -> Option<KeeperShare> {
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -205,7 +205,7 @@
 /// role changes, and schedulers, which hand questions on to shards with less to do.
 fn control_nodes(node: &Node, region: &RegionId) -> Vec<SocketAddr> {
     let mut all = schedulers_of(node, region);
-    all.extend(node.members.borrow().mirrors_in(region));
+    all.extend(node.members.borrow().other_store_readers_in(region));
     all.sort();
     all.dedup();
     all
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -257,10 +257,13 @@
         let members = self.node.members.borrow();
         let own = self.node.settings().listen.peers;
         let answer_to: Vec<SocketAddr> =
-            [Some(own), members.deputy()].into_iter().flatten().collect();
+            [Some(own), members.backup_node()].into_iter().flatten().collect();
         let question =
             UsageQuestion { number: self.questions, answer_to, from_window, relays: is_new };
-        self.node.scheduling.socket.send(&PeerWord::UsageQuestion(question), &members.others());
+        self.node
+            .scheduling
+            .socket
+            .send(&PeerWord::UsageQuestion(question), &members.other_addresses());
     }
 
     /// Learns what earlier holders have fixed.
--- a/crates/gateway/src/verification.rs
+++ b/crates/gateway/src/verification.rs
@@ -18,7 +18,7 @@
 /// somebody is looking. The connection is kept for the next request.
 pub fn verify(node: &Rc<Node>, runner: &RunnerId, since_us: u64) {
     let mut fleet = node.fleet.borrow_mut();
-    let is_due = fleet.update_suspicion(runner, |suspicion| suspicion.on_doubt(since_us));
+    let is_due = fleet.update_suspicion(runner, |suspicion| suspicion.begin_probe(since_us));
     let address = fleet.get(runner).map(|known| known.record.address);
     if let (Some(true), Some(address)) = (is_due, address) {
         let (node, runner) = (node.clone(), runner.clone());
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -24,8 +24,8 @@
 use pitchstall_platform_adapter::store::{
     self, Page, StoreAnswerError, StoreStatus, CONFIGURATION_KEY, CRASHES_PREFIX, RUNNERS_PREFIX,
 };
-use pitchstall_serving::freshness::{CopyFreshness, Freshness};
-use pitchstall_serving::store_replica::{CopyQuestion, StoreUpdate, Subject};
+use pitchstall_serving::freshness::{Freshness, ReplicaFreshness};
+use pitchstall_serving::store_replica::{StoreUpdate, StoreUpdateQuery, Subject};
 use pitchstall_serving::store_revision::{StoreEra, StoreRevision};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -126,7 +126,7 @@
 fn verdict(node: &Node, subject: Subject, confirmation: Duration) -> Freshness {
     let confirmation_us = u64::try_from(confirmation.as_micros()).unwrap_or(u64::MAX);
     let freshness = node.freshness.borrow();
-    freshness.copy_of(subject).verdict(node.now_us(), confirmation_us)
+    freshness.replica(subject).assess(node.now_us(), confirmation_us)
 }
 
 /// Ends when a watch that waits should not be relied on any more. Once its answer has begun to come it is:
@@ -199,7 +199,7 @@
             // Another store may count its revisions in another way.
             (self.address, self.generation) = (address, generation);
             self.at = None;
-            self.node.copies.borrow_mut().of_mut(self.subject).forget();
+            self.node.copies.borrow_mut().get_mut(self.subject).reset();
         }
         if let Some(source) = self.source() {
             self.follow_node(source).await;
@@ -275,16 +275,16 @@
     /// Whether another node has told of a change that this one has not got.
     fn is_behind(&self) -> bool {
         let freshness = self.node.freshness.borrow();
-        freshness.copy_of(self.subject).behind_for_us(self.node.now_us()).is_some()
+        freshness.replica(self.subject).behind_for_us(self.node.now_us()).is_some()
     }
 
     async fn ask_any_node(&mut self) {
-        let others = self.node.members.borrow().others();
+        let others = self.node.members.borrow().other_addresses();
         if others.is_empty() {
             return;
         }
         let other = others[rand::rng().random_range(0..others.len())];
-        let question = CopyQuestion::new(self.subject, self.at_of_this_era(), 0);
+        let question = StoreUpdateQuery::new(self.subject, self.at_of_this_era(), 0);
         match self.mirror.ask(&self.node, other, &question).await {
             Ok(answer) => drop(self.take_answer(&answer)),
             Err(error) => {
@@ -302,7 +302,7 @@
         self.take_update(&update);
         self.history_is_gone = false;
         self.confirmation = draw_confirmation(&self.node, self.subject);
-        self.with_freshness(|copy, now_us| copy.on_read(&update, now_us));
+        self.with_freshness(|copy, now_us| copy.on_full_read(&update, now_us));
         self.node.store_confirmed.notify_one();
         Ok(())
     }
@@ -311,7 +311,8 @@
     /// that was written since, one after the other, so that those that come while one is on its way take
     /// longer than it did. The entry is the latest alone.
     async fn read_latest(&mut self) -> Result<(), FollowError> {
-        let revision = |node: &Node| node.copies.borrow().of(Subject::Configuration).last_change();
+        let revision =
+            |node: &Node| node.copies.borrow().get(Subject::Configuration).last_changed_at();
         let before = revision(&self.node);
         self.read_all().await?;
         let has_changed = revision(&self.node) != before;
@@ -338,7 +339,7 @@
             // Another node may have the one before it.
             return Err(FollowError::Unreadable);
         }
-        Ok(StoreUpdate { era, known_to: at, whole: true, entries })
+        Ok(StoreUpdate { era, known_to: at, is_snapshot: true, entries })
     }
 
     async fn read_list(&mut self) -> Result<StoreUpdate, FollowError> {
@@ -353,7 +354,7 @@
         let all = all.await?;
         let entries = entries_of(&self.node, self.subject, all.items);
         let era = of_first.unwrap_or_default();
-        Ok(StoreUpdate { era, known_to: all.at, whole: true, entries })
+        Ok(StoreUpdate { era, known_to: all.at, is_snapshot: true, entries })
     }
 
     fn take_update(&mut self, update: &StoreUpdate) {
@@ -375,7 +376,7 @@
     /// Waits for changes. While the copy is not confirmed, the store is only asked: its answer
     /// confirms the copy, here and at the other nodes.
     async fn watch(&mut self, at: StoreRevision) -> Result<(), FollowError> {
-        let mirrors = self.node.members.borrow().mirror_count();
+        let mirrors = self.node.members.borrow().store_reader_count();
         let mirrors = u32::try_from(mirrors).unwrap_or(u32::MAX);
         let pause = BETWEEN_CHANGES + BETWEEN_CHANGES_A_NODE.saturating_mul(mirrors);
         self.pause_between_changes(pause).await;
@@ -390,7 +391,7 @@
                 () = until_doubted(node, subject, holds, transfer) => Ok(()),
             }
         } else {
-            self.with_freshness(CopyFreshness::on_asked);
+            self.with_freshness(ReplicaFreshness::on_store_queried);
             self.watch_once(at, SHORTEST_WATCH, READ_LIMIT).await
         }
     }
@@ -428,13 +429,13 @@
                 let known_to = StoreRevision::new(era, page.at).max(at);
                 let entries = entries_of(&self.node, self.subject, page.items);
                 let number = known_to.number();
-                let update = StoreUpdate { era, known_to: number, whole: false, entries };
+                let update = StoreUpdate { era, known_to: number, is_snapshot: false, entries };
                 for entry in &update.entries {
                     self.with_freshness(|copy, _| copy.on_change(update.revision_of(entry)));
                 }
                 self.take_update(&update);
                 self.confirmation = draw_confirmation(&self.node, self.subject);
-                self.with_freshness(|copy, now_us| copy.on_store_answer(known_to, now_us));
+                self.with_freshness(|copy, now_us| copy.on_store_response(known_to, now_us));
                 self.node.store_confirmed.notify_one();
                 Ok(())
             }
@@ -452,9 +453,9 @@
         verdict(&self.node, self.subject, self.confirmation)
     }
 
-    fn with_freshness(&self, change: impl FnOnce(&mut CopyFreshness, u64)) {
+    fn with_freshness(&self, change: impl FnOnce(&mut ReplicaFreshness, u64)) {
         let now_us = self.node.now_us();
-        change(self.node.freshness.borrow_mut().copy_of_mut(self.subject), now_us);
+        change(self.node.freshness.borrow_mut().replica_mut(self.subject), now_us);
     }
 
     async fn call(
--- a/crates/gateway/src/watcher/other_nodes.rs
+++ b/crates/gateway/src/watcher/other_nodes.rs
@@ -6,8 +6,8 @@
 use crate::mirror::MirrorClient;
 use crate::node::Node;
 use crate::transfer::Transfer;
-use pitchstall_serving::freshness::{CopyFreshness, Freshness};
-use pitchstall_serving::store_replica::{CopyAnswer, CopyQuestion, Subject};
+use pitchstall_serving::freshness::{Freshness, ReplicaFreshness};
+use pitchstall_serving::store_replica::{StoreUpdateQuery, StoreUpdateReply, Subject};
 use pitchstall_serving::store_revision::StoreRevision;
 use rand::RngExt;
 use std::future::Future;
@@ -37,12 +37,12 @@
     subject: Subject,
     known_to: Option<StoreRevision>,
     store_answer: &Rc<Transfer>,
-) -> impl Future<Output = CopyAnswer> + use<> {
+) -> impl Future<Output = StoreUpdateReply> + use<> {
     let store_answer = store_answer.clone();
     let mut mirror = MirrorClient::with_transfer(Rc::default());
     let after = known_to.filter(|known_to| known_to.era() >= node.store_era());
-    let question = CopyQuestion::new(subject, after, 0);
-    let brings_news = move |answer: &CopyAnswer| {
+    let question = StoreUpdateQuery::new(subject, after, 0);
+    let brings_news = move |answer: &StoreUpdateReply| {
         let update = answer.update.as_ref().filter(|update| !update.entries.is_empty());
         update.is_some_and(|update| known_to.is_none_or(|known_to| update.known_to() > known_to))
     };
@@ -76,7 +76,7 @@
     /// The node to follow; `None`: the store itself.
     pub(super) fn source(&mut self) -> Option<SocketAddr> {
         let members = self.node.members.borrow();
-        if members.is_mirror() {
+        if members.is_store_reader() {
             return None;
         }
         let sources = members.sources();
@@ -106,7 +106,7 @@
             false => Duration::ZERO,
         };
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
-        let question = CopyQuestion::new(self.subject, self.at_of_this_era(), wait_ms);
+        let question = StoreUpdateQuery::new(self.subject, self.at_of_this_era(), wait_ms);
         self.begin_question();
         // Not dropped when another node tells of a later change: words are small and come at once, while
         // the change itself takes its time. A source that has nothing to say answers soon.
@@ -120,7 +120,7 @@
         };
     }
 
-    async fn judge_answer(&mut self, source: SocketAddr, answer: &CopyAnswer) -> bool {
+    async fn judge_answer(&mut self, source: SocketAddr, answer: &StoreUpdateReply) -> bool {
         let is_sound = self.take_answer(answer);
         self.log_large_copy(&source.to_string(), self.transfer.received());
         if !is_sound {
@@ -131,10 +131,10 @@
     }
 
     /// Takes in another node's answer; returns whether its copy can be relied on.
-    pub(super) fn take_answer(&mut self, answer: &CopyAnswer) -> bool {
+    pub(super) fn take_answer(&mut self, answer: &StoreUpdateReply) -> bool {
         let Some(update) = &answer.update else { return false };
         let known_to = update.known_to();
-        let leads_on = self.node.copies.borrow().of(self.subject).takes(update);
+        let leads_on = self.node.copies.borrow().get(self.subject).accepts(update);
         if !leads_on || known_to.era() < self.node.store_era() {
             self.pass_over(known_to);
             return false;
@@ -145,7 +145,7 @@
         }
         self.take_update(update);
         let age_ms = answer.age_ms;
-        self.with_freshness(|copy, now_us| copy.on_handed_on(update, age_ms, now_us));
+        self.with_freshness(|copy, now_us| copy.on_peer_update(update, age_ms, now_us));
         let stale = stale_after(&self.node, self.subject);
         let is_confirmed = age_ms.is_some_and(|age_ms| Duration::from_millis(age_ms) < stale);
         // Another node has told of a later change than this one knows of.
@@ -166,7 +166,7 @@
         let is_worth_a_line = received >= PART_OF_A_COPY_BYTES;
         let level = if is_worth_a_line { log::Level::Info } else { log::Level::Debug };
         log::log!(target: "store", level, subject, source, reason, received, took_ms; "source left");
-        self.with_freshness(CopyFreshness::on_asked);
+        self.with_freshness(ReplicaFreshness::on_store_queried);
         self.turn += 1;
         sleep(SOURCE_PAUSE).await;
     }
--- a/crates/gateway/tests/compression.rs
+++ b/crates/gateway/tests/compression.rs
@@ -13,7 +13,12 @@
         revision: RevisionNumber(number as u64),
     };
     let entries = documents.iter().enumerate().map(entry).collect();
-    StoreUpdate { era: StoreEra::UNTOLD, known_to: RevisionNumber(known_to), whole: true, entries }
+    StoreUpdate {
+        era: StoreEra::UNKNOWN,
+        known_to: RevisionNumber(known_to),
+        is_snapshot: true,
+        entries,
+    }
 }
 
 #[test]
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -4,14 +4,14 @@
 mod support;
 
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
-use pitchstall_serving::store_replica::{CopyAnswer, CopyQuestion, Subject};
+use pitchstall_serving::store_replica::{StoreUpdateQuery, StoreUpdateReply, Subject};
 use pitchstall_serving::store_revision::StoreRevision;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 use support::{configuration, get, route, wait_for, Fixture};
 
-fn ask(address: SocketAddr, question: &CopyQuestion) -> CopyAnswer {
+fn ask(address: SocketAddr, question: &StoreUpdateQuery) -> StoreUpdateReply {
     let mut stream = TcpStream::connect(address).unwrap();
     let mut line = serde_json::to_vec(question).unwrap();
     line.push(b'\n');
@@ -21,8 +21,8 @@
     serde_json::from_str(&answer).unwrap()
 }
 
-fn question(subject: Subject, after: Option<StoreRevision>, wait_ms: u64) -> CopyQuestion {
-    CopyQuestion::new(subject, after, wait_ms)
+fn question(subject: Subject, after: Option<StoreRevision>, wait_ms: u64) -> StoreUpdateQuery {
+    StoreUpdateQuery::new(subject, after, wait_ms)
 }
 
 fn store_calls(node: &Fixture) -> u64 {
@@ -40,7 +40,7 @@
     let one = runner("i-1");
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     let first = ask(node.peers, &question(Subject::Runners, None, 0)).update.unwrap();
-    assert!(first.whole);
+    assert!(first.is_snapshot);
     assert_eq!(first.entries.len(), 1);
     let two = runner("i-2");
     let change = std::thread::spawn({
@@ -51,7 +51,7 @@
     node.add_runner(&two, "desk", None);
     let change = change.join().unwrap();
     let update = change.update.unwrap();
-    assert!(!update.whole);
+    assert!(!update.is_snapshot);
     assert_eq!(update.entries[0].key, "servers/i-2");
     assert!(change.age_ms.unwrap() < 2_000);
 }
--- a/crates/gateway/tests/words_of_other_builds.rs
+++ b/crates/gateway/tests/words_of_other_builds.rs
@@ -29,7 +29,7 @@
     let word: PeerWord = serde_json::from_value(greeting.clone()).unwrap();
     let PeerWord::Hello(digest) = word else { unreachable!("{word:?}") };
     assert_eq!(digest.node.as_str(), "node-0");
-    assert!(digest.limits.is_empty() && digest.keeps.is_empty());
+    assert!(digest.limits.is_empty() && digest.held_keepers.is_empty());
 }
 
 /// What is written while no runner names a limit is what a former build writes, field by field.
--- a/crates/gateway/tests/words_without_eras.rs
+++ b/crates/gateway/tests/words_without_eras.rs
@@ -1,33 +1,33 @@
 //! Words of builds that know no eras of the store.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use pitchstall_serving::freshness::FreshnessWord;
-use pitchstall_serving::store_replica::{CopyQuestion, StoreUpdate, Subject};
+use pitchstall_serving::freshness::FreshnessReport;
+use pitchstall_serving::store_replica::{StoreUpdate, StoreUpdateQuery, Subject};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 
 fn at(in_era: u64, number: u64) -> StoreRevision {
-    StoreRevision::new(StoreEra::from_told(in_era).unwrap(), RevisionNumber(number))
+    StoreRevision::new(StoreEra::from_reported(in_era).unwrap(), RevisionNumber(number))
 }
 
 fn eras_since(first: u64) -> StoreEras {
     let mut eras = StoreEras::default();
-    eras.on_answer(StoreEra::from_told(first).unwrap(), 0);
+    eras.on_response(StoreEra::from_reported(first).unwrap(), 0);
     eras
 }
 
 /// Before the store has come back older, a build that knows no eras and one that does understand each other.
 #[test]
 fn words_of_builds_that_know_no_eras_are_read_and_written() {
-    let old: FreshnessWord = serde_json::from_str(r#"{"c":7,"a":20}"#).unwrap();
+    let old: FreshnessReport = serde_json::from_str(r#"{"c":7,"a":20}"#).unwrap();
     assert_eq!(old.changed_at(&eras_since(4)), at(4, 7));
-    let new = serde_json::to_value(FreshnessWord::new(at(4, 7), Some(20))).unwrap();
+    let new = serde_json::to_value(FreshnessReport::new(at(4, 7), Some(20))).unwrap();
     assert_eq!(new["c"], 7);
-    let untold = FreshnessWord::new(StoreRevision::without_era(7), Some(20));
+    let untold = FreshnessReport::new(StoreRevision::without_era(7), Some(20));
     assert_eq!(serde_json::to_string(&untold).unwrap(), r#"{"c":7,"a":20}"#);
-    let old: CopyQuestion =
+    let old: StoreUpdateQuery =
         serde_json::from_str(r#"{"subject":"r","after":5,"wait_ms":0}"#).unwrap();
     assert_eq!(old.after(&eras_since(4)), Some(at(4, 5)));
-    let asked = CopyQuestion::new(Subject::Runners, Some(at(4, 5)), 0);
+    let asked = StoreUpdateQuery::new(Subject::Runners, Some(at(4, 5)), 0);
     assert_eq!(serde_json::to_value(asked).unwrap()["after"], 5);
 }
 
@@ -36,6 +36,6 @@
 fn copies_of_builds_that_know_no_eras_are_read() {
     let text = r#"{"known_to":9,"whole":true,"entries":[{"k":"op/config","v":"{}","r":7}]}"#;
     let update: StoreUpdate = serde_json::from_str(text).unwrap();
-    assert!(update.era.is_untold());
+    assert!(update.era.is_unknown());
     assert_eq!(serde_json::to_string(&update).unwrap(), text);
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -13,10 +13,10 @@
 use std::collections::BTreeSet;
 
 /// Most operations of one run. A program of ten lines takes about a hundred.
-pub const OPERATION_LIMIT: u64 = 20_000;
-const EXPRESSION_DEPTH_LIMIT: usize = 32;
-const COLLECTION_LIMIT: usize = 1_024;
-const STRING_LIMIT: usize = 4_096;
+pub const MAX_OPERATIONS: u64 = 20_000;
+const MAX_EXPRESSION_DEPTH: usize = 32;
+const MAX_COLLECTION_ITEMS: usize = 1_024;
+const MAX_STRING_BYTES: usize = 4_096;
 
 /// What a program sees of a request.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
     Run(String),
     /// It returned something else than a map or nothing.
     #[error("the policy program returned {0}; expected a map with `zones` or `priority`")]
-    Shape(String),
+    UnexpectedResult(String),
     /// It named a zone that the service may not use.
     #[error("the policy program named zone `{0}`, which the service may not use")]
     ForbiddenZone(ZoneId),
@@ -84,11 +84,11 @@
     /// An engine with all limits set.
     pub fn new() -> Self {
         let mut engine = Engine::new();
-        engine.set_max_operations(OPERATION_LIMIT);
-        engine.set_max_expr_depths(EXPRESSION_DEPTH_LIMIT, EXPRESSION_DEPTH_LIMIT);
-        engine.set_max_array_size(COLLECTION_LIMIT);
-        engine.set_max_map_size(COLLECTION_LIMIT);
-        engine.set_max_string_size(STRING_LIMIT);
+        engine.set_max_operations(MAX_OPERATIONS);
+        engine.set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH);
+        engine.set_max_array_size(MAX_COLLECTION_ITEMS);
+        engine.set_max_map_size(MAX_COLLECTION_ITEMS);
+        engine.set_max_string_size(MAX_STRING_BYTES);
         engine.disable_symbol("eval");
         engine.on_print(|_| {});
         engine.on_debug(|_, _, _| {});
@@ -118,8 +118,8 @@
             return Ok(PolicyDecision::default());
         }
         let type_name = result.type_name().to_owned();
-        let map = result.try_cast::<Map>().ok_or(PolicyError::Shape(type_name))?;
-        read_decision(map, input.zones)
+        let map = result.try_cast::<Map>().ok_or(PolicyError::UnexpectedResult(type_name))?;
+        parse_decision(map, input.zones)
     }
 }
 
@@ -129,41 +129,45 @@
     let mut scope = Scope::new();
     scope.push("host", input.host.to_owned());
     scope.push("service", input.service.as_str().to_owned());
-    scope.push("prompt_tokens", whole_number(input.prompt_tokens));
-    scope.push("max_tokens", whole_number(input.max_tokens));
+    scope.push("prompt_tokens", saturating_i64(input.prompt_tokens));
+    scope.push("max_tokens", saturating_i64(input.max_tokens));
     scope.push("priority", i64::from(input.priority));
     scope.push("zone", input.zone.as_str().to_owned());
     scope.push("zones", zones);
     scope
 }
 
-fn whole_number(tokens: u64) -> i64 {
+fn saturating_i64(tokens: u64) -> i64 {
     i64::try_from(tokens).unwrap_or(i64::MAX)
 }
 
-fn read_decision(map: Map, allowed: &BTreeSet<ZoneId>) -> Result<PolicyDecision, PolicyError> {
+fn parse_decision(map: Map, allowed: &BTreeSet<ZoneId>) -> Result<PolicyDecision, PolicyError> {
     let mut decision = PolicyDecision::default();
     for (key, value) in map {
         match key.as_str() {
-            "zones" => decision.zones = Some(read_zones(value, allowed)?),
+            "zones" => decision.zones = Some(parse_zones(value, allowed)?),
             "priority" => {
                 let type_name = value.type_name().to_owned();
-                let priority = value.as_int().map_err(|_| PolicyError::Shape(type_name))?;
+                let priority =
+                    value.as_int().map_err(|_| PolicyError::UnexpectedResult(type_name))?;
                 decision.priority = u32::try_from(priority.max(0)).ok();
             }
-            other => return Err(PolicyError::Shape(format!("a map with `{other}`"))),
+            other => return Err(PolicyError::UnexpectedResult(format!("a map with `{other}`"))),
         }
     }
     Ok(decision)
 }
 
-fn read_zones(value: Dynamic, allowed: &BTreeSet<ZoneId>) -> Result<BTreeSet<ZoneId>, PolicyError> {
+fn parse_zones(
+    value: Dynamic,
+    allowed: &BTreeSet<ZoneId>,
+) -> Result<BTreeSet<ZoneId>, PolicyError> {
     let type_name = value.type_name().to_owned();
-    let array = value.try_cast::<Array>().ok_or(PolicyError::Shape(type_name))?;
+    let array = value.try_cast::<Array>().ok_or(PolicyError::UnexpectedResult(type_name))?;
     let mut zones = BTreeSet::new();
     for item in array {
         let type_name = item.type_name().to_owned();
-        let name = item.into_string().map_err(|_| PolicyError::Shape(type_name))?;
+        let name = item.into_string().map_err(|_| PolicyError::UnexpectedResult(type_name))?;
         let zone = ZoneId::new(name);
         if !allowed.contains(&zone) {
             return Err(PolicyError::ForbiddenZone(zone));
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -17,7 +17,7 @@
 
 /// Why a request ends without a runner's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GiveUp {
+pub enum EndReason {
     /// The deadline or the route's time limit has come.
     OutOfTime,
     /// No runner could take it.
@@ -44,7 +44,7 @@
 
 /// An answer that the node makes itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// Not run; the client may come back.
     Refuse,
     /// Not run, as what its runners take is used up.
@@ -53,7 +53,7 @@
         wait_ms: u64,
     },
     /// Not run, and not to be sent again.
-    RefuseForGood,
+    RefusePermanently,
     /// Not run, as its tenant has reached its limit.
     OverQuota {
         /// Milliseconds until there is room for it.
@@ -68,16 +68,18 @@
 }
 
 /// The only place that chooses between a refusal and a failure.
-pub fn final_answer(execution: Execution, reason: GiveUp) -> FinalAnswer {
+pub fn final_response(execution: Execution, reason: EndReason) -> FinalResponse {
     match (execution, reason) {
-        (Execution::NotRun, GiveUp::Quarantined) => FinalAnswer::RefuseForGood,
-        (Execution::NotRun, GiveUp::OverQuota { wait_ms }) => FinalAnswer::OverQuota { wait_ms },
-        (Execution::NotRun, GiveUp::LimitUsedUp { wait_ms }) => {
-            FinalAnswer::RefuseUntil { wait_ms }
+        (Execution::NotRun, EndReason::Quarantined) => FinalResponse::RefusePermanently,
+        (Execution::NotRun, EndReason::OverQuota { wait_ms }) => {
+            FinalResponse::OverQuota { wait_ms }
         }
-        (Execution::NotRun, GiveUp::QuotaUnknown) => FinalAnswer::QuotaUnknown,
-        (Execution::NotRun, _) => FinalAnswer::Refuse,
-        (_, GiveUp::OutOfTime) => FinalAnswer::TimedOut,
-        (_, _) => FinalAnswer::BadGateway,
+        (Execution::NotRun, EndReason::LimitUsedUp { wait_ms }) => {
+            FinalResponse::RefuseUntil { wait_ms }
+        }
+        (Execution::NotRun, EndReason::QuotaUnknown) => FinalResponse::QuotaUnknown,
+        (Execution::NotRun, _) => FinalResponse::Refuse,
+        (_, EndReason::OutOfTime) => FinalResponse::TimedOut,
+        (_, _) => FinalResponse::BadGateway,
     }
 }
--- a/crates/serving/src/authority.rs
+++ b/crates/serving/src/authority.rs
@@ -68,7 +68,7 @@
     /// As runners and duties are told it: higher for each later term. Up to some 8,000 eras it is an integer that JSON
     /// carries exactly.
     pub fn number(self) -> u64 {
-        let era = self.acquired_at.era().told_number().unwrap_or_default();
+        let era = self.acquired_at.era().reported_number().unwrap_or_default();
         (era << REVISION_BITS) | self.acquired_at.number().0
     }
 
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -24,7 +24,7 @@
 
 impl Configuration {
     /// The shortest target of the routes that a service has a share in, milliseconds.
-    pub fn shortest_target_ms(&self, service: &ServiceName) -> Option<u64> {
+    pub fn min_target_ms(&self, service: &ServiceName) -> Option<u64> {
         let serves = |route: &&Rc<Route>| {
             route.shares.iter().any(|share| share.service == *service && share.weight > 0)
         };
@@ -156,21 +156,22 @@
     /// Bytes of KV cache of a token; 0: not told.
     pub token_bytes: u64,
     /// Bandwidth of a runner's link for KV cache, megabits a second; 0: not told.
-    pub move_mbps: f64,
+    pub transfer_mbps: f64,
 }
 
 impl EngineSpec {
     /// How many times as long as inside a zone a move of KV cache between regions takes, by the
     /// platform's interface.
-    const REGION_MOVE: f64 = 10.0;
+    const CROSS_REGION_FACTOR: f64 = 10.0;
 
     /// Time that a move of KV cache between regions takes, milliseconds a token; `None`: not told.
-    pub fn region_move_ms(&self) -> Option<f64> {
-        const BITS_A_BYTE: f64 = 8.0;
-        const BITS_A_MS_OF_MBPS: f64 = 1_000.0;
-        let bits = self.token_bytes as f64 * BITS_A_BYTE;
-        let is_told = bits > 0.0 && self.move_mbps > 0.0;
-        is_told.then(|| bits / (self.move_mbps * BITS_A_MS_OF_MBPS) * Self::REGION_MOVE)
+    pub fn cross_region_ms_per_token(&self) -> Option<f64> {
+        const BITS_PER_BYTE: f64 = 8.0;
+        const BITS_PER_MS_PER_MBPS: f64 = 1_000.0;
+        let bits = self.token_bytes as f64 * BITS_PER_BYTE;
+        let is_known = bits > 0.0 && self.transfer_mbps > 0.0;
+        is_known
+            .then(|| bits / (self.transfer_mbps * BITS_PER_MS_PER_MBPS) * Self::CROSS_REGION_FACTOR)
     }
 }
 
--- a/crates/serving/src/digest.rs
+++ b/crates/serving/src/digest.rs
@@ -5,7 +5,7 @@
 //! arrives late is told by its sequence. Loads and caches of runners are not in it: they are
 //! known to the runners' schedulers ([`crate::scheduling`]).
 
-use crate::freshness::StoreWord;
+use crate::freshness::StoreFreshnessReport;
 use crate::ids::{NodeId, RunnerId};
 use crate::membership::Member;
 use crate::quota_slots::KeeperId;
@@ -18,7 +18,7 @@
 /// A runner was ordered to change its role. The word grows old on its way from node to node:
 /// told again it ends when it would have ended, and not later.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChangingRunner {
+pub struct RoleTransition {
     /// The runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
@@ -27,12 +27,12 @@
     pub stage: Stage,
     /// Milliseconds for which it is still to be left alone.
     #[serde(rename = "l")]
-    pub left_ms: u64,
+    pub remaining_ms: u64,
 }
 
 /// A node holds a keeper of tenants' limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptSlot {
+pub struct HeldKeeper {
     /// The keeper.
     #[serde(rename = "k")]
     pub keeper: KeeperId,
@@ -40,11 +40,11 @@
     #[serde(rename = "r")]
     revision: RevisionNumber,
     /// The era of that revision. Builds that know no eras tell none.
-    #[serde(rename = "e", default, skip_serializing_if = "StoreEra::is_untold")]
+    #[serde(rename = "e", default, skip_serializing_if = "StoreEra::is_unknown")]
     era: StoreEra,
 }
 
-impl KeptSlot {
+impl HeldKeeper {
     /// A node took a keeper at a revision.
     pub fn new(keeper: KeeperId, revision: StoreRevision) -> Self {
         Self { keeper, revision: revision.number(), era: revision.era() }
@@ -52,7 +52,7 @@
 
     /// The store's revision at which the node took it, as a node takes it that has heard of these eras.
     pub fn revision(&self, eras: &StoreEras) -> StoreRevision {
-        StoreRevision::new(eras.of_word(self.era), self.revision)
+        StoreRevision::new(eras.resolve_reported(self.era), self.revision)
     }
 }
 
@@ -69,13 +69,13 @@
     pub member: Member,
     /// How fresh the node's copy of the store is.
     #[serde(default)]
-    pub store: StoreWord,
+    pub store: StoreFreshnessReport,
     /// Runners that were ordered to change their role and take no work meanwhile.
     #[serde(default)]
-    pub changing: Vec<ChangingRunner>,
+    pub changing: Vec<RoleTransition>,
     /// The keepers of tenants' limits that the node holds.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
-    pub keeps: Vec<KeptSlot>,
+    pub held_keepers: Vec<HeldKeeper>,
     /// What runners take from all nodes together that the node counts for all.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<LimitWord>,
@@ -89,9 +89,9 @@
 
 /// How fresh a digest is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Freshness {
+pub enum DigestStatus {
     /// From a start of a node that was not known.
-    Newcomer,
+    NewIncarnation,
     /// Later than all before.
     Newer,
     /// Overtaken by a later one.
@@ -100,66 +100,67 @@
 
 /// The last digest of each node.
 #[derive(Clone, Debug, Default)]
-pub struct DigestOrder {
+pub struct DigestTracker {
     last: HashMap<NodeId, (u64, u64)>,
 }
 
-impl DigestOrder {
+impl DigestTracker {
     /// Notes a digest and tells how fresh it is.
-    pub fn on_digest(&mut self, digest: &Digest) -> Freshness {
-        let now = (digest.incarnation, digest.sequence);
-        match self.last.insert(digest.node.clone(), now) {
+    pub fn on_digest(&mut self, digest: &Digest) -> DigestStatus {
+        let newest = (digest.incarnation, digest.sequence);
+        match self.last.insert(digest.node.clone(), newest) {
             Some((incarnation, last)) if incarnation == digest.incarnation => {
                 if digest.sequence > last {
-                    return Freshness::Newer;
+                    return DigestStatus::Newer;
                 }
                 self.last.insert(digest.node.clone(), (incarnation, last));
-                Freshness::Stale
+                DigestStatus::Stale
             }
-            _ => Freshness::Newcomer,
+            _ => DigestStatus::NewIncarnation,
         }
     }
 }
 
 /// Nodes that one digest goes to; with more of them they take turns.
-pub const FAN_OUT: usize = 16;
+pub const DIGEST_FAN_OUT: usize = 16;
 /// How many of them are of other regions, if there are any: with a digest a second each node there
 /// hears of this one twice a minute in fleets of 60 nodes elsewhere, and the list tells who is there.
-const FAR_FAN_OUT: usize = 2;
+const REMOTE_FAN_OUT: usize = 2;
 
 /// Time without a digest after which a node counts as gone among so many, microseconds.
-pub fn silence_limit_us(nodes: usize) -> u64 {
+pub fn silence_timeout_us(nodes: usize) -> u64 {
     /// Between two digests of a node, and what may be lost of them.
-    const DIGEST_EVERY_US: u64 = 1_000_000;
-    const DIGESTS_LOST: u64 = 3;
+    const DIGEST_INTERVAL_US: u64 = 1_000_000;
+    const MAX_LOST_DIGESTS: u64 = 3;
     /// Rounds of digests, which go to some nodes at a time.
     const ROUNDS: u64 = 2;
-    let rounds = nodes.div_ceil(FAN_OUT) as u64 * ROUNDS;
-    (rounds + DIGESTS_LOST) * DIGEST_EVERY_US
+    let rounds = nodes.div_ceil(DIGEST_FAN_OUT) as u64 * ROUNDS;
+    (rounds + MAX_LOST_DIGESTS) * DIGEST_INTERVAL_US
 }
 
 /// Whose turn it is to hear of a node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DigestTurns {
-    next_near: usize,
-    next_far: usize,
+pub struct DigestRotation {
+    next_in_region: usize,
+    next_remote: usize,
 }
 
-impl DigestTurns {
+impl DigestRotation {
     /// The nodes that the next digest goes to: most are of the own region.
-    pub fn next<A: Copy>(&mut self, near: &[A], far: &[A]) -> Vec<A> {
-        let to_far = if near.is_empty() { FAN_OUT } else { FAR_FAN_OUT }.min(far.len());
-        let mut to = take_turns(&mut self.next_near, near, FAN_OUT - to_far);
-        to.extend(take_turns(&mut self.next_far, far, to_far));
+    pub fn next<A: Copy>(&mut self, in_region: &[A], remote: &[A]) -> Vec<A> {
+        let remote_count =
+            if in_region.is_empty() { DIGEST_FAN_OUT } else { REMOTE_FAN_OUT }.min(remote.len());
+        let mut to = take_next(&mut self.next_in_region, in_region, DIGEST_FAN_OUT - remote_count);
+        to.extend(take_next(&mut self.next_remote, remote, remote_count));
         to
     }
 }
 
-fn take_turns<A: Copy>(next: &mut usize, all: &[A], most: usize) -> Vec<A> {
-    if all.len() <= most {
+fn take_next<A: Copy>(next: &mut usize, all: &[A], max_count: usize) -> Vec<A> {
+    if all.len() <= max_count {
         return all.to_vec();
     }
     let first = *next % all.len();
-    *next = first + most;
-    all.iter().cycle().skip(first).take(most).copied().collect()
+    *next = first + max_count;
+    all.iter().cycle().skip(first).take(max_count).copied().collect()
 }
--- a/crates/serving/src/distance.rs
+++ b/crates/serving/src/distance.rs
@@ -100,7 +100,7 @@
 fn usual_ms(topology: &Topology, one: &ZoneId, other: &ZoneId) -> f64 {
     if one == other {
         SAME_ZONE_MS
-    } else if topology.is_one_region(one, other) {
+    } else if topology.is_same_region(one, other) {
         OTHER_ZONE_MS
     } else {
         OTHER_REGION_MS
--- a/crates/serving/src/event_stream.rs
+++ b/crates/serving/src/event_stream.rs
@@ -60,20 +60,20 @@
 
 /// Joins the runs of one stream: an event passes once, in order.
 #[derive(Clone, Debug, Default)]
-pub struct StreamJoin {
+pub struct EventDeduplicator {
     last_id: Option<u64>,
 }
 
 /// What to do with an event of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Join {
+pub enum EventAction {
     /// It follows; forward it.
     Forward,
     /// The client has it already.
     Skip,
 }
 
-impl StreamJoin {
+impl EventDeduplicator {
     /// A stream that goes on after the given event.
     pub fn after(last_id: Option<u64>) -> Self {
         Self { last_id }
@@ -85,14 +85,14 @@
     }
 
     /// Decides about the next event of a run.
-    pub fn on_event(&mut self, event: &Event) -> Join {
+    pub fn on_event(&mut self, event: &Event) -> EventAction {
         let Some(id) = event.id.as_deref().and_then(|id| id.parse::<u64>().ok()) else {
-            return Join::Forward;
+            return EventAction::Forward;
         };
         if self.last_id.is_some_and(|last| id <= last) {
-            return Join::Skip;
+            return EventAction::Skip;
         }
         self.last_id = Some(id);
-        Join::Forward
+        EventAction::Forward
     }
 }
--- a/crates/serving/src/fleet/beliefs.rs
+++ b/crates/serving/src/fleet/beliefs.rs
@@ -2,7 +2,7 @@
 //! and other nodes' words. Whatever is about a life that is not known changes nothing.
 
 use super::Fleet;
-use crate::digest::ChangingRunner;
+use crate::digest::RoleTransition;
 use crate::ids::RunnerId;
 use crate::prefix::PromptPart;
 use crate::runner::{AttemptDemand, Load, LoadReport, Runner, Stage, ToldLoad};
@@ -181,20 +181,20 @@
     }
 
     /// Another node's word on runners that change their roles.
-    pub fn on_changing_words(&mut self, words: &[ChangingRunner], now_us: u64) {
+    pub fn on_changing_words(&mut self, words: &[RoleTransition], now_us: u64) {
         for word in words {
-            let until_us = now_us + word.left_ms * MICROS_PER_MILLI;
+            let until_us = now_us + word.remaining_ms * MICROS_PER_MILLI;
             self.on_changing(&word.runner, word.stage, until_us);
         }
     }
 
     /// Runners that are changing their role.
-    pub fn changing(&self, now_us: u64) -> Vec<ChangingRunner> {
+    pub fn changing(&self, now_us: u64) -> Vec<RoleTransition> {
         let changing = self.runners.values().filter(|runner| runner.is_changing(now_us));
         let word = |runner: &Runner| {
             let (stage, until_us) = runner.changing?;
-            let left_ms = until_us.saturating_sub(now_us) / MICROS_PER_MILLI;
-            Some(ChangingRunner { runner: runner.record.id.clone(), stage, left_ms })
+            let remaining_ms = until_us.saturating_sub(now_us) / MICROS_PER_MILLI;
+            Some(RoleTransition { runner: runner.record.id.clone(), stage, remaining_ms })
         };
         changing.filter_map(word).collect()
     }
--- a/crates/serving/src/ids.rs
+++ b/crates/serving/src/ids.rs
@@ -74,16 +74,20 @@
 );
 
 /// Stands between a runner's name and the time of its start.
-const LIFE_MARK: char = '@';
+const INCARNATION_SEPARATOR: char = '@';
 
 impl RunnerId {
     /// The life of a runner that began at a Unix time, milliseconds; `None`: the platform does not tell when
     /// runners start, and each start has a name of its own.
-    pub fn of_life(name: &RunnerName, born_ms: Option<u64>) -> Self {
-        match born_ms {
-            Some(born_ms) => Self::new(format!("{name}{LIFE_MARK}{born_ms}")),
+    pub fn of_incarnation(name: &RunnerName, started_at_ms: Option<u64>) -> Self {
+        match started_at_ms {
+            Some(started_at_ms) => {
+                Self::new(format!("{name}{INCARNATION_SEPARATOR}{started_at_ms}"))
+            }
             // Otherwise a part of the name would pass for the time.
-            None if name.as_str().contains(LIFE_MARK) => Self::new(format!("{name}{LIFE_MARK}")),
+            None if name.as_str().contains(INCARNATION_SEPARATOR) => {
+                Self::new(format!("{name}{INCARNATION_SEPARATOR}"))
+            }
             None => Self::new(name),
         }
     }
@@ -94,21 +98,21 @@
     }
 
     /// When this life began, Unix milliseconds; `None`: not told.
-    pub fn born_ms(&self) -> Option<u64> {
+    pub fn started_at_ms(&self) -> Option<u64> {
         self.parts().1.parse().ok()
     }
 
     /// Whether what says that it began then is this life, as far as both are told.
-    pub fn may_be(&self, born_ms: Option<u64>) -> bool {
-        match (self.born_ms(), born_ms) {
-            (Some(own_ms), Some(told_ms)) => own_ms == told_ms,
+    pub fn matches_start(&self, started_at_ms: Option<u64>) -> bool {
+        match (self.started_at_ms(), started_at_ms) {
+            (Some(own_ms), Some(other_ms)) => own_ms == other_ms,
             _ => true,
         }
     }
 
     fn parts(&self) -> (&str, &str) {
-        let is_time = |text: &str| text.bytes().all(|byte| byte.is_ascii_digit());
-        let parts = self.as_str().rsplit_once(LIFE_MARK);
-        parts.filter(|(_, born)| is_time(born)).unwrap_or((self.as_str(), ""))
+        let is_timestamp = |text: &str| text.bytes().all(|byte| byte.is_ascii_digit());
+        let parts = self.as_str().rsplit_once(INCARNATION_SEPARATOR);
+        parts.filter(|(_, started)| is_timestamp(started)).unwrap_or((self.as_str(), ""))
     }
 }
--- a/crates/serving/src/membership.rs
+++ b/crates/serving/src/membership.rs
@@ -15,10 +15,10 @@
 use std::net::SocketAddr;
 
 /// Mirrors of a zone: one may be lost or cut off without the zone's nodes noticing.
-const MIRRORS_A_ZONE: usize = 2;
+const STORE_READERS_PER_ZONE: usize = 2;
 /// Mirrors of a region, where there are several: one may be lost or cut off without the region's
 /// nodes noticing, or its zone.
-const MIRRORS_A_REGION: usize = 2;
+const STORE_READERS_PER_REGION: usize = 2;
 
 /// What a node tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     pub zone: ZoneId,
     /// Its share of a processor, in thousandths.
     #[serde(rename = "p")]
-    pub processor: u32,
+    pub millicpus: u32,
 }
 
 /// All nodes that are known, this one included.
@@ -65,7 +65,7 @@
     }
 
     /// Takes in what another node tells of itself.
-    pub fn learn(&mut self, name: &NodeId, member: &Member) {
+    pub fn upsert(&mut self, name: &NodeId, member: &Member) {
         if *name != self.own {
             self.members.insert(name.clone(), member.clone());
         }
@@ -90,7 +90,7 @@
     /// Whether there are nodes in another region than this node's.
     pub fn has_other_regions(&self) -> bool {
         let own_zone = &self.own().zone;
-        self.members.values().any(|member| !self.topology.is_one_region(&member.zone, own_zone))
+        self.members.values().any(|member| !self.topology.is_same_region(&member.zone, own_zone))
     }
 
     /// How many nodes a region has.
@@ -116,36 +116,41 @@
     }
 
     /// Whether this node reads the store for others.
-    pub fn is_mirror(&self) -> bool {
-        self.mirrors_of(&self.own_region()).contains(&&self.own)
+    pub fn is_store_reader(&self) -> bool {
+        self.store_readers_of(&self.own_region()).contains(&&self.own)
     }
 
     /// How many nodes read the store.
-    pub fn mirror_count(&self) -> usize {
-        self.all_mirrors().len()
+    pub fn store_reader_count(&self) -> usize {
+        self.store_readers().len()
     }
 
     /// Where this node may follow the store, the best first: the mirrors of its own zone, each
     /// node beginning with another one, then those of its region's other zones, then the rest.
     pub fn sources(&self) -> Vec<SocketAddr> {
         let own_zone = &self.own().zone;
-        let mut names = self.all_mirrors();
+        let mut names = self.store_readers();
         names.sort_by_key(|name| {
             let zone = &self.members[*name].zone;
-            let is_far = !self.topology.is_one_region(zone, own_zone);
-            (zone != own_zone, is_far, self.weight(zone.as_str()), self.weight(name.as_str()))
+            let is_remote = !self.topology.is_same_region(zone, own_zone);
+            (
+                zone != own_zone,
+                is_remote,
+                self.spread_weight(zone.as_str()),
+                self.spread_weight(name.as_str()),
+            )
         });
         self.addresses_of_others(names)
     }
 
     /// The other nodes that read the store.
-    pub fn mirrors(&self) -> Vec<SocketAddr> {
-        self.addresses_of_others(self.all_mirrors())
+    pub fn other_store_readers(&self) -> Vec<SocketAddr> {
+        self.addresses_of_others(self.store_readers())
     }
 
     /// The other nodes of a region that read the store.
-    pub fn mirrors_in(&self, region: &RegionId) -> Vec<SocketAddr> {
-        self.addresses_of_others(self.mirrors_of(region))
+    pub fn other_store_readers_in(&self, region: &RegionId) -> Vec<SocketAddr> {
+        self.addresses_of_others(self.store_readers_of(region))
     }
 
     fn addresses_of_others(&self, names: Vec<&NodeId>) -> Vec<SocketAddr> {
@@ -159,9 +164,9 @@
     }
 
     /// Whether a node is of this node's region.
-    pub fn is_near(&self, name: &NodeId) -> bool {
+    pub fn is_in_own_region(&self, name: &NodeId) -> bool {
         let own_zone = &self.own().zone;
-        self.zone_of(name).is_some_and(|zone| self.topology.is_one_region(zone, own_zone))
+        self.zone_of(name).is_some_and(|zone| self.topology.is_same_region(zone, own_zone))
     }
 
     /// The zone of a node.
@@ -175,28 +180,28 @@
     }
 
     /// Some nodes with what they tell of themselves, this one among them.
-    pub fn some(&self, most: usize) -> Vec<(NodeId, Member)> {
+    pub fn sample(&self, max_count: usize) -> Vec<(NodeId, Member)> {
         let own = (self.own.clone(), self.own().clone());
         let others = self.members.iter().filter(|(name, _)| **name != self.own);
         let others = others.map(|(name, member)| (name.clone(), member.clone()));
-        std::iter::once(own).chain(others).take(most).collect()
+        std::iter::once(own).chain(others).take(max_count).collect()
     }
 
     /// Where the other nodes are reached.
-    pub fn others(&self) -> Vec<SocketAddr> {
+    pub fn other_addresses(&self) -> Vec<SocketAddr> {
         let others = self.members.iter().filter(|(name, _)| **name != self.own);
         others.map(|(_, member)| member.address).collect()
     }
 
     /// The node that is told what this one is told, so that it outlives this one: one that reads
     /// the store, if there is one of another zone, of the own region if there is one.
-    pub fn deputy(&self) -> Option<SocketAddr> {
+    pub fn backup_node(&self) -> Option<SocketAddr> {
         let own_zone = &self.own().zone;
-        let mut names = self.all_mirrors();
+        let mut names = self.store_readers();
         names.sort_by_key(|name| {
             let zone = &self.members[*name].zone;
-            let is_far = !self.topology.is_one_region(zone, own_zone);
-            (zone == own_zone, is_far, self.weight(zone.as_str()))
+            let is_remote = !self.topology.is_same_region(zone, own_zone);
+            (zone == own_zone, is_remote, self.spread_weight(zone.as_str()))
         });
         self.addresses_of_others(names).first().copied()
     }
@@ -208,49 +213,49 @@
         shard: &Shard,
         is_up: impl Fn(&NodeId) -> bool,
     ) -> Option<(&NodeId, SocketAddr)> {
-        let near = self.possible_schedulers(shard);
-        let up = near.filter(|(name, _)| **name == self.own || is_up(name));
-        let best = up.max_by_key(|(name, member)| (member.processor, shard.weight(name)));
+        let candidates = self.scheduler_candidates(shard);
+        let reachable = candidates.filter(|(name, _)| **name == self.own || is_up(name));
+        let best = reachable.max_by_key(|(name, member)| (member.millicpus, shard.weight(name)));
         best.filter(|(name, _)| **name != self.own).map(|(name, member)| (name, member.address))
     }
 
     /// The nodes of a shard's region, or all nodes if none of the region is known.
-    fn possible_schedulers<'a>(
+    fn scheduler_candidates<'a>(
         &'a self,
         shard: &Shard,
     ) -> impl Iterator<Item = (&'a NodeId, &'a Member)> + 'a {
         let region = shard.region.clone();
         let has_nodes = self.count_in(&region) > 0;
-        let is_near = move |zone: &ZoneId| !has_nodes || self.topology.is_in(zone, &region);
-        self.members.iter().filter(move |(_, member)| is_near(&member.zone))
+        let is_candidate = move |zone: &ZoneId| !has_nodes || self.topology.is_in(zone, &region);
+        self.members.iter().filter(move |(_, member)| is_candidate(&member.zone))
     }
 
     /// How many nodes for which `is_there` holds come before one as the scheduler of a shard, and keeper of its
     /// runners' limits.
-    pub fn place_of(
+    pub fn scheduler_rank_of(
         &self,
         name: &NodeId,
         shard: &Shard,
-        is_there: impl Fn(&NodeId) -> bool,
+        is_present: impl Fn(&NodeId) -> bool,
     ) -> usize {
-        let rank = |name: &NodeId, member: &Member| (member.processor, shard.weight(name));
+        let rank = |name: &NodeId, member: &Member| (member.millicpus, shard.weight(name));
         let Some(own) = self.members.get(name) else { return self.members.len() };
         let own = rank(name, own);
-        let others = self.possible_schedulers(shard).filter(|(other, _)| *other != name);
-        others.filter(|(other, member)| rank(other, member) > own && is_there(other)).count()
+        let others = self.scheduler_candidates(shard).filter(|(other, _)| *other != name);
+        others.filter(|(other, member)| rank(other, member) > own && is_present(other)).count()
     }
 
     /// The nodes that may be the scheduler of a shard, the first one first.
-    pub fn schedulers_in_order(&self, shard: &Shard) -> Vec<(&NodeId, SocketAddr)> {
-        let mut near: Vec<_> = self.possible_schedulers(shard).collect();
-        near.sort_by_cached_key(|(name, member)| {
-            std::cmp::Reverse((member.processor, shard.weight(name)))
+    pub fn schedulers_by_rank(&self, shard: &Shard) -> Vec<(&NodeId, SocketAddr)> {
+        let mut candidates: Vec<_> = self.scheduler_candidates(shard).collect();
+        candidates.sort_by_cached_key(|(name, member)| {
+            std::cmp::Reverse((member.millicpus, shard.weight(name)))
         });
-        near.into_iter().map(|(name, member)| (name, member.address)).collect()
+        candidates.into_iter().map(|(name, member)| (name, member.address)).collect()
     }
 
     /// Spreads the nodes over the places that they may choose.
-    fn weight(&self, place: &str) -> u64 {
+    fn spread_weight(&self, place: &str) -> u64 {
         rendezvous_weight(self.own.as_str(), place)
     }
 
@@ -261,38 +266,42 @@
         zones
     }
 
-    fn all_mirrors(&self) -> Vec<&NodeId> {
-        self.regions().iter().flat_map(|region| self.mirrors_of(region)).collect()
+    fn store_readers(&self) -> Vec<&NodeId> {
+        self.regions().iter().flat_map(|region| self.store_readers_of(region)).collect()
     }
 
     /// The nodes of a region that read the store; the same ones at every node.
-    fn mirrors_of(&self, region: &RegionId) -> Vec<&NodeId> {
+    fn store_readers_of(&self, region: &RegionId) -> Vec<&NodeId> {
         let mut zones = self.zones();
         let is_only_region = zones.iter().all(|zone| self.topology.is_in(zone, region));
         zones.retain(|zone| self.topology.is_in(zone, region));
-        let ranked = zones.into_iter().map(|zone| self.strongest_of(zone, MIRRORS_A_ZONE));
+        let ranked = zones.into_iter().map(|zone| self.strongest_of(zone, STORE_READERS_PER_ZONE));
         if is_only_region {
             return ranked.flatten().map(|(_, _, name)| name).collect();
         }
         // The first of each zone go before the second of any.
-        let places = ranked.flat_map(|nodes| nodes.into_iter().enumerate());
-        let mut places: Vec<_> = places.collect();
-        places.sort_by(|(place, node), (other_place, other)| {
-            place.cmp(other_place).then(other.cmp(node))
+        let ranked_by_zone = ranked.flat_map(|nodes| nodes.into_iter().enumerate());
+        let mut ranked_by_zone: Vec<_> = ranked_by_zone.collect();
+        ranked_by_zone.sort_by(|(rank_in_zone, node), (other_rank, other)| {
+            rank_in_zone.cmp(other_rank).then(other.cmp(node))
         });
-        places.into_iter().take(MIRRORS_A_REGION).map(|(_, (_, _, name))| name).collect()
+        ranked_by_zone
+            .into_iter()
+            .take(STORE_READERS_PER_REGION)
+            .map(|(_, (_, _, name))| name)
+            .collect()
     }
 
     /// The strongest nodes of a zone with their rank; among equals the same ones at every node.
-    fn strongest_of(&self, zone: &ZoneId, most: usize) -> Vec<(u32, u64, &NodeId)> {
+    fn strongest_of(&self, zone: &ZoneId, max_count: usize) -> Vec<(u32, u64, &NodeId)> {
         let of_zone = self.members.iter().filter(|(_, member)| member.zone == *zone);
         let mut ranked: Vec<_> = of_zone
             .map(|(name, member)| {
-                (member.processor, rendezvous_weight("store", name.as_str()), name)
+                (member.millicpus, rendezvous_weight("store", name.as_str()), name)
             })
             .collect();
         ranked.sort_by(|left, right| right.cmp(left));
-        ranked.truncate(most);
+        ranked.truncate(max_count);
         ranked
     }
 }
--- a/crates/serving/src/quota_candidacy.rs
+++ b/crates/serving/src/quota_candidacy.rs
@@ -33,7 +33,7 @@
     let key = format!("quota/{keeper}");
     let standing = |name: &NodeId, member: &Member| {
         let weight = rendezvous_weight(&key, name.as_str());
-        (member.zone == keeper.zone, member.processor, weight)
+        (member.zone == keeper.zone, member.millicpus, weight)
     };
     let Some((_, own_member)) = members.clone().find(|(name, _)| *name == own) else {
         return usize::MAX;
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -10,7 +10,7 @@
 use crate::reservations::{Reservation, Reserved};
 use crate::runner::Stage;
 use crate::scheduling::{Elsewhere, LeavingReason, PlacementQuestion, Shard, ToldChoice, ToldPlan};
-use crate::urgency::put_behind_if_late;
+use crate::urgency::defer_if_overdue;
 
 /// Wait of a request, in targets, from which on it is handed on to another shard: below, the
 /// way there and its older knowledge cost more than they bring.
@@ -63,7 +63,7 @@
         regions.find_map(|region| choose_within(fleet, pace, demand, region))
     };
     let Some(placed) = of_shard.or_else(of_regions) else { return PlacedRequest::default() };
-    let reading = placed.reading.map(|it| put_behind_if_late(it, due.target_ms, due.elapsed_ms));
+    let reading = placed.reading.map(|it| defer_if_overdue(it, due.target_ms, due.elapsed_ms));
     PlacedRequest { reading, ..placed }
 }
 
--- a/crates/serving/src/store_replica.rs
+++ b/crates/serving/src/store_replica.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Removed entries that are remembered.
-const MOST_REMOVED: usize = 512;
+const MAX_TOMBSTONES: usize = 512;
 
 /// What is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
 
 impl StoreEntry {
     /// Whether it notes that the entry was removed.
-    pub fn is_removal(&self) -> bool {
+    pub fn is_tombstone(&self) -> bool {
         self.document.is_none()
     }
 }
@@ -67,12 +67,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUpdate {
     /// The era that it is of. Builds that know no eras tell none.
-    #[serde(rename = "era", default, skip_serializing_if = "StoreEra::is_untold")]
+    #[serde(rename = "era", default, skip_serializing_if = "StoreEra::is_unknown")]
     pub era: StoreEra,
     /// Revision up to which everything is known after it.
     pub known_to: RevisionNumber,
     /// Whether these are all entries: what is not among them is gone.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_snapshot: bool,
     /// The entries.
     pub entries: Vec<StoreEntry>,
 }
@@ -99,15 +100,15 @@
 
 /// The entries of one subject.
 #[derive(Clone, Debug, Default)]
-pub struct StoreCopy {
+pub struct StoreReplica {
     /// `None`: nothing has been read yet. All entries are of its era.
     known_to: Option<StoreRevision>,
     /// Removals after this revision are remembered.
-    removals_since: StoreRevision,
+    tombstones_since: StoreRevision,
     entries: BTreeMap<String, StoreEntry>,
 }
 
-impl StoreCopy {
+impl StoreReplica {
     /// Revision up to which everything is known.
     pub fn known_to(&self) -> Option<StoreRevision> {
         self.known_to
@@ -119,36 +120,36 @@
     }
 
     /// Revision of the latest entry; `None`: there is none.
-    pub fn last_change(&self) -> Option<StoreRevision> {
+    pub fn last_changed_at(&self) -> Option<StoreRevision> {
         self.entries.values().map(|entry| self.revision_of(entry)).max()
     }
 
     /// Forgets everything: another store counts its revisions in another way.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// Whether an update leads on from what is known: it ends no earlier, and is whole if it is of a later era.
-    pub fn takes(&self, update: &StoreUpdate) -> bool {
+    pub fn accepts(&self, update: &StoreUpdate) -> bool {
         let Some(known_to) = self.known_to else { return true };
         let is_of_same_era = update.era == known_to.era();
-        update.known_to() >= known_to && (update.whole || is_of_same_era)
+        update.known_to() >= known_to && (update.is_snapshot || is_of_same_era)
     }
 
     /// Takes in an update. One that does not lead on from what is known changes nothing.
     pub fn apply(&mut self, update: &StoreUpdate) {
-        if !self.takes(update) {
+        if !self.accepts(update) {
             return;
         }
-        if update.whole {
+        if update.is_snapshot {
             self.entries.clear();
-            self.removals_since = update.known_to();
+            self.tombstones_since = update.known_to();
         }
         for entry in &update.entries {
             self.entries.insert(entry.key.clone(), entry.clone());
         }
         self.known_to = Some(update.known_to());
-        self.forget_removals();
+        self.prune_tombstones();
     }
 
     /// What brings a copy that is exact up to `after` up to date; `None` if nothing is known
@@ -158,37 +159,37 @@
         if after.is_some_and(|after| after > known_to) {
             return None;
         }
-        let since = after.filter(|after| *after >= self.removals_since);
-        let is_news = |entry: &&StoreEntry| match since {
+        let since = after.filter(|after| *after >= self.tombstones_since);
+        let is_newer = |entry: &&StoreEntry| match since {
             Some(since) => self.revision_of(entry) > since,
             None => entry.document.is_some(),
         };
-        let entries = self.entries.values().filter(is_news).cloned().collect();
+        let entries = self.entries.values().filter(is_newer).cloned().collect();
         let (era, known_to) = (known_to.era(), known_to.number());
-        Some(StoreUpdate { era, known_to, whole: since.is_none(), entries })
+        Some(StoreUpdate { era, known_to, is_snapshot: since.is_none(), entries })
     }
 
     /// Bounds the memory that removed entries take.
-    fn forget_removals(&mut self) {
-        let removed = self.entries.values().filter(|entry| entry.document.is_none()).count();
-        if removed > MOST_REMOVED {
+    fn prune_tombstones(&mut self) {
+        let tombstones = self.entries.values().filter(|entry| entry.document.is_none()).count();
+        if tombstones > MAX_TOMBSTONES {
             self.entries.retain(|_, entry| entry.document.is_some());
-            self.removals_since = self.known_to.unwrap_or_default();
+            self.tombstones_since = self.known_to.unwrap_or_default();
         }
     }
 }
 
 /// A node's copies.
 #[derive(Clone, Debug, Default)]
-pub struct StoreCopies {
-    configuration: StoreCopy,
-    runners: StoreCopy,
-    crashes: StoreCopy,
+pub struct StoreReplicas {
+    configuration: StoreReplica,
+    runners: StoreReplica,
+    crashes: StoreReplica,
 }
 
-impl StoreCopies {
+impl StoreReplicas {
     /// The copy of a subject.
-    pub fn of(&self, subject: Subject) -> &StoreCopy {
+    pub fn get(&self, subject: Subject) -> &StoreReplica {
         match subject {
             Subject::Configuration => &self.configuration,
             Subject::Runners => &self.runners,
@@ -197,7 +198,7 @@
     }
 
     /// The copy of a subject, to be changed.
-    pub fn of_mut(&mut self, subject: Subject) -> &mut StoreCopy {
+    pub fn get_mut(&mut self, subject: Subject) -> &mut StoreReplica {
         match subject {
             Subject::Configuration => &mut self.configuration,
             Subject::Runners => &mut self.runners,
@@ -208,19 +209,19 @@
 
 /// A node asks another for its copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CopyQuestion {
+pub struct StoreUpdateQuery {
     /// What it asks for.
     pub subject: Subject,
     /// Revision up to which it knows everything; `None`: it knows nothing.
     after: Option<RevisionNumber>,
     /// The era of that revision. Builds that know no eras tell none.
-    #[serde(default, skip_serializing_if = "StoreEra::is_untold")]
+    #[serde(default, skip_serializing_if = "StoreEra::is_unknown")]
     era: StoreEra,
     /// Time for which the answer may wait for a change, milliseconds.
     pub wait_ms: u64,
 }
 
-impl CopyQuestion {
+impl StoreUpdateQuery {
     /// A question of a node that knows everything up to a revision, for an answer that may wait so long.
     pub fn new(subject: Subject, after: Option<StoreRevision>, wait_ms: u64) -> Self {
         let era = after.unwrap_or_default().era();
@@ -229,14 +230,14 @@
 
     /// Revision up to which the asking node knows everything, as a node takes it that has heard of these eras.
     pub fn after(&self, eras: &StoreEras) -> Option<StoreRevision> {
-        let era = eras.of_word(self.era);
+        let era = eras.resolve_reported(self.era);
         self.after.map(|number| StoreRevision::new(era, number))
     }
 }
 
 /// The answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CopyAnswer {
+pub struct StoreUpdateReply {
     /// What brings the asking node up to date; `None` if this node knows less, or if the update
     /// follows the answer.
     pub update: Option<StoreUpdate>,
--- a/crates/serving/src/store_revision.rs
+++ b/crates/serving/src/store_revision.rs
@@ -16,31 +16,31 @@
 
 impl StoreEra {
     /// No era was told: by a store that knows none, or by a node of a build that knows none.
-    pub const UNTOLD: Self = Self(0);
+    pub const UNKNOWN: Self = Self(0);
 
     /// An era by the number that the store tells, from 0 on; `None`: it is too large to count further.
-    pub fn from_told(number: u64) -> Option<Self> {
+    pub fn from_reported(number: u64) -> Option<Self> {
         number.checked_add(1).map(Self)
     }
 
     /// Whether the store, or the node whose word it is, told it.
-    pub fn is_told(self) -> bool {
-        self != Self::UNTOLD
+    pub fn is_known(self) -> bool {
+        self != Self::UNKNOWN
     }
 
     /// Whether nobody told it; for words between nodes, which leave it out then.
-    pub fn is_untold(&self) -> bool {
-        !self.is_told()
+    pub fn is_unknown(&self) -> bool {
+        !self.is_known()
     }
 
     /// The number that was told.
-    pub fn told_number(self) -> Option<u64> {
+    pub fn reported_number(self) -> Option<u64> {
         self.0.checked_sub(1)
     }
 
     /// This era, or another one if it was not told.
     pub fn or(self, other: Self) -> Self {
-        if self.is_told() {
+        if self.is_known() {
             self
         } else {
             other
@@ -50,8 +50,8 @@
 
 impl std::fmt::Display for StoreEra {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self.told_number() {
-            Some(told) => write!(formatter, "{told}"),
+        match self.reported_number() {
+            Some(reported) => write!(formatter, "{reported}"),
             None => formatter.write_str("none"),
         }
     }
@@ -88,7 +88,7 @@
 
     /// The revision that has a number in a store that tells no eras.
     pub const fn without_era(number: u64) -> Self {
-        Self { era: StoreEra::UNTOLD, number }
+        Self { era: StoreEra::UNKNOWN, number }
     }
 
     /// Its era.
@@ -109,7 +109,7 @@
 
 impl std::fmt::Display for StoreRevision {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self.era.is_told() {
+        match self.era.is_known() {
             true => write!(formatter, "{}/{}", self.era, self.number),
             false => write!(formatter, "{}", self.number),
         }
@@ -133,18 +133,18 @@
 
 /// What an answer of the store tells of its era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EraNews {
+pub enum EraChange {
     /// The first era that is heard of.
     First,
     /// Nothing new.
-    None,
+    Unchanged,
     /// A later era has begun: the store came back from an older copy.
     Later {
         /// The era that was known before.
         before: StoreEra,
     },
     /// The answer is of an era that is over: it was late, or read from a copy that lags.
-    Over,
+    Superseded,
     /// Answers have been of earlier eras alone for a time: another store is there, which counts its eras anew.
     Replaced {
         /// The era that was known before.
@@ -154,7 +154,7 @@
 
 /// Time for which a store's answers are of earlier eras alone until it is believed to be another one, microseconds: many
 /// times as long as an answer may be on its way.
-const REPLACED_AFTER_US: u64 = 15_000_000;
+const STORE_REPLACED_AFTER_US: u64 = 15_000_000;
 
 /// The eras of the store that a node has heard of from the store itself.
 #[derive(Clone, Copy, Debug, Default)]
@@ -164,7 +164,7 @@
     /// When the current one was first heard of, microseconds.
     since_us: u64,
     /// Since when all answers were of earlier eras, microseconds; `None`: the last one was not.
-    over_since_us: Option<u64>,
+    earlier_since_us: Option<u64>,
 }
 
 impl StoreEras {
@@ -175,43 +175,43 @@
 
     /// When a node first heard of the current era, microseconds; `None`: the store tells no eras.
     pub fn since_us(&self) -> Option<u64> {
-        self.current.is_told().then_some(self.since_us)
+        self.current.is_known().then_some(self.since_us)
     }
 
     /// The store has answered in an era. One that is not told changes nothing.
-    pub fn on_answer(&mut self, era: StoreEra, now_us: u64) -> EraNews {
-        if era.is_untold() {
-            return EraNews::None;
+    pub fn on_response(&mut self, era: StoreEra, now_us: u64) -> EraChange {
+        if era.is_unknown() {
+            return EraChange::Unchanged;
         }
         if era < self.current {
-            return self.on_earlier(era, now_us);
+            return self.on_earlier_era(era, now_us);
         }
-        self.over_since_us = None;
+        self.earlier_since_us = None;
         if era == self.current {
-            return EraNews::None;
+            return EraChange::Unchanged;
         }
         let before = std::mem::replace(&mut self.current, era);
         self.since_us = now_us;
-        if before.is_untold() {
+        if before.is_unknown() {
             self.first = era;
-            return EraNews::First;
+            return EraChange::First;
         }
-        EraNews::Later { before }
+        EraChange::Later { before }
     }
 
-    fn on_earlier(&mut self, era: StoreEra, now_us: u64) -> EraNews {
-        let since_us = *self.over_since_us.get_or_insert(now_us);
-        if now_us < since_us + REPLACED_AFTER_US {
-            return EraNews::Over;
+    fn on_earlier_era(&mut self, era: StoreEra, now_us: u64) -> EraChange {
+        let since_us = *self.earlier_since_us.get_or_insert(now_us);
+        if now_us < since_us + STORE_REPLACED_AFTER_US {
+            return EraChange::Superseded;
         }
         let before = self.current;
-        *self = Self { first: era, current: era, since_us: now_us, over_since_us: None };
-        EraNews::Replaced { before }
+        *self = Self { first: era, current: era, since_us: now_us, earlier_since_us: None };
+        EraChange::Replaced { before }
     }
 
     /// The era of what another node tells. A build that knows no eras tells none: until the store has come back
     /// from an older copy its words are of the only era there is, and after that they are of one that is over.
-    pub fn of_word(&self, told: StoreEra) -> StoreEra {
-        told.or(self.first)
+    pub fn resolve_reported(&self, reported: StoreEra) -> StoreEra {
+        reported.or(self.first)
     }
 }
--- a/crates/serving/src/suspicion.rs
+++ b/crates/serving/src/suspicion.rs
@@ -12,10 +12,10 @@
 //!   in a row.
 
 /// Silence of an attempt that is shorter proves nothing, even if nobody else heard anything.
-const LEAST_SILENCE_US: u64 = 500_000;
+const MIN_SILENCE_US: u64 = 500_000;
 /// First and longest time for which a runner that could not be reached is avoided.
-const FIRST_BACKOFF_US: u64 = 500_000;
-const LONGEST_BACKOFF_US: u64 = 8_000_000;
+const MIN_BACKOFF_US: u64 = 500_000;
+const MAX_BACKOFF_US: u64 = 8_000_000;
 
 /// What one node believes of one runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// 0: not suspected.
     backoff_us: u64,
     progress_at_us: u64,
-    is_verifying: bool,
+    is_probing: bool,
 }
 
 impl Suspicion {
@@ -38,15 +38,15 @@
     /// A connection could not be opened.
     pub fn on_unreachable(&mut self, now_us: u64) {
         if now_us >= self.avoided_until_us {
-            self.backoff_us = (self.backoff_us * 2).clamp(FIRST_BACKOFF_US, LONGEST_BACKOFF_US);
+            self.backoff_us = (self.backoff_us * 2).clamp(MIN_BACKOFF_US, MAX_BACKOFF_US);
             self.avoided_until_us = now_us + self.backoff_us;
         }
     }
 
     /// The time of an attempt that was sent at `sent_at_us` is over without any answer. A
     /// runner that has answered somebody since is busy, or lost this one request.
-    pub fn on_silence(&mut self, sent_at_us: u64, now_us: u64) {
-        let is_long = now_us >= sent_at_us + LEAST_SILENCE_US;
+    pub fn on_attempt_timeout(&mut self, sent_at_us: u64, now_us: u64) {
+        let is_long = now_us >= sent_at_us + MIN_SILENCE_US;
         if is_long && self.progress_at_us < sent_at_us {
             self.on_unreachable(now_us);
         }
@@ -54,16 +54,16 @@
 
     /// Nothing has come for a request since `since_us`, or its connection broke then. Returns
     /// whether the caller is to open a connection, and then to tell the result by
-    /// [`Self::on_verified`]: one such look at a time is enough.
-    pub fn on_doubt(&mut self, since_us: u64) -> bool {
+    /// [`Self::on_probe_result`]: one such look at a time is enough.
+    pub fn begin_probe(&mut self, since_us: u64) -> bool {
         let is_settled = self.progress_at_us > since_us || self.is_suspected();
-        !is_settled && !std::mem::replace(&mut self.is_verifying, true)
+        !is_settled && !std::mem::replace(&mut self.is_probing, true)
     }
 
     /// A connection was opened, or could not be. `None`: the look took so long that the node
     /// itself must have stood still.
-    pub fn on_verified(&mut self, reachable: Option<bool>, now_us: u64) {
-        self.is_verifying = false;
+    pub fn on_probe_result(&mut self, reachable: Option<bool>, now_us: u64) {
+        self.is_probing = false;
         match reachable {
             Some(true) => self.on_progress(now_us),
             Some(false) => self.on_unreachable(now_us),
--- a/crates/serving/src/topology.rs
+++ b/crates/serving/src/topology.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether two zones belong to one region.
-    pub fn is_one_region(&self, one: &ZoneId, other: &ZoneId) -> bool {
+    pub fn is_same_region(&self, one: &ZoneId, other: &ZoneId) -> bool {
         one == other || self.is_in(other, &self.region_of(one))
     }
 
--- a/crates/serving/src/urgency.rs
+++ b/crates/serving/src/urgency.rs
@@ -10,24 +10,28 @@
 
 /// A prompt is put behind if it is expected to take so many times what is left of its target:
 /// expectations err to both sides, and who is put behind without need is late for sure.
-const SURELY_LATE: f64 = 1.4;
+const OVERDUE_FACTOR: f64 = 1.4;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 /// Lowest rank among the route's priorities; lower ones share it.
-const LEAST_URGENT: u8 = 2;
+const LOWEST_PRIORITY: u8 = 2;
 /// First rank of what is put behind. Ranks go from 0 to 9.
-const FIRST_BEHIND: u8 = 7;
+const FIRST_DEFERRED_RANK: u8 = 7;
 /// Times that a reading takes, in targets, above which it is held to be longer.
-const SIZES: [f64; 2] = [0.15, 0.6];
+const PREFILL_SIZE_BOUNDS: [f64; 2] = [0.15, 0.6];
 
 /// Puts a prompt behind those that can still be in time, if waiting makes it late.
-pub fn put_behind_if_late(plan: ReadingPlan, target_ms: f64, elapsed_ms: f64) -> ReadingPlan {
-    let limit_ms = (target_ms - elapsed_ms).max(0.0) * SURELY_LATE;
-    let is_late = |choice: &Choice| {
+pub fn defer_if_overdue(plan: ReadingPlan, target_ms: f64, elapsed_ms: f64) -> ReadingPlan {
+    let limit_ms = (target_ms - elapsed_ms).max(0.0) * OVERDUE_FACTOR;
+    let is_overdue = |choice: &Choice| {
         choice.reading_ms <= target_ms && choice.expected_us as f64 / MICROS_PER_MILLI > limit_ms
     };
     match plan {
-        ReadingPlan::Split(choice) if is_late(&choice) => ReadingPlan::Split(choice.put_behind()),
-        ReadingPlan::Direct(choice) if is_late(&choice) => ReadingPlan::Direct(choice.put_behind()),
+        ReadingPlan::Split(choice) if is_overdue(&choice) => {
+            ReadingPlan::Split(choice.put_behind())
+        }
+        ReadingPlan::Direct(choice) if is_overdue(&choice) => {
+            ReadingPlan::Direct(choice.put_behind())
+        }
         in_time => in_time,
     }
 }
@@ -35,11 +39,11 @@
 /// Rank of a request at a runner, 0 first: the route's priority, and among equals the shorter
 /// reading, which holds up fewer others; what was put behind comes last.
 pub fn rank(priority: u8, choice: &Choice, target_ms: f64) -> u8 {
-    let priority = priority.min(LEAST_URGENT);
+    let priority = priority.min(LOWEST_PRIORITY);
     if choice.demand.late_tokens > 0 {
-        return FIRST_BEHIND + priority;
+        return FIRST_DEFERRED_RANK + priority;
     }
-    let is_longer = |size: &&f64| choice.reading_ms > **size * target_ms;
-    let sizes_below = SIZES.iter().filter(is_longer).count();
-    priority * 2 + u8::try_from(sizes_below).unwrap_or(0)
+    let is_exceeded = |bound: &&f64| choice.reading_ms > **bound * target_ms;
+    let size_class = PREFILL_SIZE_BOUNDS.iter().filter(is_exceeded).count();
+    priority * 2 + u8::try_from(size_class).unwrap_or(0)
 }
--- a/crates/serving/tests/authority.rs
+++ b/crates/serving/tests/authority.rs
@@ -10,7 +10,7 @@
 
 const SECOND: u64 = 1_000_000;
 const TIMES: LeaseTimes = LeaseTimes { ttl_us: 3 * SECOND, separation_us: SECOND };
-const LEASE: StoreLease = StoreLease { era: StoreEra::UNTOLD, number: 77 };
+const LEASE: StoreLease = StoreLease { era: StoreEra::UNKNOWN, number: 77 };
 
 fn fence(number: u64) -> FencingToken {
     FencingToken::new(StoreRevision::without_era(number))
@@ -94,7 +94,7 @@
 #[test]
 fn fencing_tokens_of_a_later_era_are_higher() {
     let of_era = |era, number| {
-        let era = StoreEra::from_told(era).unwrap();
+        let era = StoreEra::from_reported(era).unwrap();
         FencingToken::new(StoreRevision::new(era, RevisionNumber(number))).number()
     };
     assert!(of_era(1, 1) > of_era(0, 1 << 39));
--- a/crates/serving/tests/event_stream.rs
+++ b/crates/serving/tests/event_stream.rs
@@ -1,7 +1,7 @@
 //! Cutting of streams into events, and joining of runs.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use pitchstall_serving::event_stream::{EventSplitter, Join, StreamJoin};
+use pitchstall_serving::event_stream::{EventAction, EventDeduplicator, EventSplitter};
 use proptest::prelude::*;
 
 fn text(id: u64) -> String {
@@ -26,20 +26,20 @@
     #[test]
     fn two_runs_join_without_gap_or_double(count in 1_u64..20, cut in 0_usize..400, overlap in 0_u64..4) {
         let all: String = (0..count).map(text).collect();
-        let mut join = StreamJoin::default();
-        let mut passed = Vec::new();
-        let mut pass = |bytes: &[u8], join: &mut StreamJoin| {
+        let mut deduplicator = EventDeduplicator::default();
+        let mut forwarded = Vec::new();
+        let mut forward = |bytes: &[u8], deduplicator: &mut EventDeduplicator| {
             for event in EventSplitter::default().push(bytes) {
-                if join.on_event(&event) == Join::Forward {
-                    passed.extend_from_slice(&event.bytes);
+                if deduplicator.on_event(&event) == EventAction::Forward {
+                    forwarded.extend_from_slice(&event.bytes);
                 }
             }
         };
-        pass(&all.as_bytes()[..cut.min(all.len())], &mut join);
-        let next = join.last_id().map_or(0, |id| id + 1);
+        forward(&all.as_bytes()[..cut.min(all.len())], &mut deduplicator);
+        let next = deduplicator.last_id().map_or(0, |id| id + 1);
         let second: String = (next.saturating_sub(overlap)..count).map(text).collect();
-        pass(second.as_bytes(), &mut join);
-        prop_assert_eq!(passed, all.into_bytes());
+        forward(second.as_bytes(), &mut deduplicator);
+        prop_assert_eq!(forwarded, all.into_bytes());
     }
 }
 
--- a/crates/serving/tests/freshness.rs
+++ b/crates/serving/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! Confirmations that nodes hand to each other never make a copy look fresher than it is.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use pitchstall_serving::freshness::{CopyFreshness, Freshness, FreshnessWord};
+use pitchstall_serving::freshness::{Freshness, FreshnessReport, ReplicaFreshness};
 use pitchstall_serving::store_replica::{StoreEntry, StoreUpdate};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 use proptest::prelude::*;
@@ -13,163 +13,167 @@
     StoreRevision::without_era(number)
 }
 
-fn word(changed_at: u64, age_ms: u64) -> FreshnessWord {
-    FreshnessWord::new(at(changed_at), Some(age_ms))
+fn report(changed_at: u64, age_ms: u64) -> FreshnessReport {
+    FreshnessReport::new(at(changed_at), Some(age_ms))
 }
 
-fn copy_known_to(revision: u64) -> CopyFreshness {
-    let mut copy = CopyFreshness::default();
-    copy.on_change(at(revision));
-    copy.on_store_answer(at(revision), 0);
-    copy
+fn replica_known_to(revision: u64) -> ReplicaFreshness {
+    let mut replica = ReplicaFreshness::default();
+    replica.on_change(at(revision));
+    replica.on_store_response(at(revision), 0);
+    replica
 }
 
-fn everything_at(known_to: u64) -> StoreUpdate {
+fn empty_snapshot_at(known_to: u64) -> StoreUpdate {
     StoreUpdate {
-        era: StoreEra::UNTOLD,
+        era: StoreEra::UNKNOWN,
         known_to: RevisionNumber(known_to),
-        whole: true,
+        is_snapshot: true,
         entries: Vec::new(),
     }
 }
 
 #[test]
 fn the_stores_answer_confirms_for_a_while() {
-    let copy = copy_known_to(5);
-    assert_eq!(copy.verdict(HOLDS - 1, HOLDS), Freshness::Fresh);
-    assert_eq!(copy.verdict(HOLDS, HOLDS), Freshness::Unconfirmed);
-    assert_eq!(CopyFreshness::default().verdict(0, HOLDS), Freshness::Unconfirmed);
+    let replica = replica_known_to(5);
+    assert_eq!(replica.assess(HOLDS - 1, HOLDS), Freshness::Fresh);
+    assert_eq!(replica.assess(HOLDS, HOLDS), Freshness::Unconfirmed);
+    assert_eq!(ReplicaFreshness::default().assess(0, HOLDS), Freshness::Unconfirmed);
 }
 
 #[test]
 fn another_nodes_word_confirms_by_its_age() {
-    let mut copy = copy_known_to(5);
-    copy.on_word(word(5, 500), &StoreEras::default(), HOLDS);
-    assert_eq!(copy.verdict(HOLDS + SECOND, HOLDS), Freshness::Fresh);
-    assert_eq!(copy.verdict(HOLDS + 3 * SECOND / 2, HOLDS), Freshness::Unconfirmed);
+    let mut replica = replica_known_to(5);
+    replica.on_report(report(5, 500), &StoreEras::default(), HOLDS);
+    assert_eq!(replica.assess(HOLDS + SECOND, HOLDS), Freshness::Fresh);
+    assert_eq!(replica.assess(HOLDS + 3 * SECOND / 2, HOLDS), Freshness::Unconfirmed);
 }
 
 /// On a day of 295 nodes a copy whose own watch was cut off from the store was confirmed for
 /// seconds by nodes that had seen a change through another node and did not tell of it.
 #[test]
-fn a_node_that_was_handed_a_change_confirms_only_copies_that_have_it() {
+fn a_node_that_was_handed_a_change_confirms_only_replicas_that_have_it() {
     let entry =
         StoreEntry { key: "servers/i-1".to_owned(), document: None, revision: RevisionNumber(7) };
     let update = StoreUpdate {
-        era: StoreEra::UNTOLD,
+        era: StoreEra::UNKNOWN,
         known_to: RevisionNumber(9),
-        whole: false,
+        is_snapshot: false,
         entries: vec![entry],
     };
-    let mut follower = copy_known_to(5);
-    follower.on_handed_on(&update, Some(100), SECOND);
-    assert_eq!(follower.word(SECOND).changed_at(&StoreEras::default()), at(7));
-    let mut lagging = copy_known_to(5);
-    lagging.on_word(follower.word(SECOND), &StoreEras::default(), SECOND);
-    assert_eq!(lagging.verdict(2 * SECOND, 9 * SECOND), Freshness::Behind);
-    let mut exact = copy_known_to(7);
-    exact.on_word(follower.word(SECOND), &StoreEras::default(), SECOND);
-    assert_eq!(exact.verdict(2 * SECOND, 9 * SECOND), Freshness::Fresh);
+    let mut follower = replica_known_to(5);
+    follower.on_peer_update(&update, Some(100), SECOND);
+    assert_eq!(follower.report(SECOND).changed_at(&StoreEras::default()), at(7));
+    let mut lagging = replica_known_to(5);
+    lagging.on_report(follower.report(SECOND), &StoreEras::default(), SECOND);
+    assert_eq!(lagging.assess(2 * SECOND, 9 * SECOND), Freshness::Behind);
+    let mut exact = replica_known_to(7);
+    exact.on_report(follower.report(SECOND), &StoreEras::default(), SECOND);
+    assert_eq!(exact.assess(2 * SECOND, 9 * SECOND), Freshness::Fresh);
 }
 
 #[test]
 fn a_node_that_lags_was_confirmed_before_the_change_and_so_adds_nothing() {
-    let mut copy = copy_known_to(5);
-    copy.on_store_answer(at(5), SECOND);
-    copy.on_word(word(4, 1_500), &StoreEras::default(), 2 * SECOND);
-    assert_eq!(copy.verdict(SECOND + HOLDS - 1, HOLDS), Freshness::Fresh);
-    assert_eq!(copy.verdict(SECOND + HOLDS, HOLDS), Freshness::Unconfirmed);
+    let mut replica = replica_known_to(5);
+    replica.on_store_response(at(5), SECOND);
+    replica.on_report(report(4, 1_500), &StoreEras::default(), 2 * SECOND);
+    assert_eq!(replica.assess(SECOND + HOLDS - 1, HOLDS), Freshness::Fresh);
+    assert_eq!(replica.assess(SECOND + HOLDS, HOLDS), Freshness::Unconfirmed);
 }
 
 #[test]
 fn a_node_that_has_read_everything_does_not_hide_what_was_removed_before() {
     // Revision 8 removed an entry. The reader saw only entries up to 5; the other node's watch
     // went silent at 6.
-    let mut reader = CopyFreshness::default();
-    reader.on_read(&everything_at(9), 0);
-    let mut other = copy_known_to(6);
-    other.on_word(reader.word(0), &StoreEras::default(), 0);
-    assert_eq!(other.verdict(HOLDS, HOLDS), Freshness::Unconfirmed, "nothing is told at first");
-    other.on_word(reader.word(2 * SECOND), &StoreEras::default(), 2 * SECOND);
-    assert_eq!(other.verdict(3 * SECOND, HOLDS), Freshness::Behind);
+    let mut reader = ReplicaFreshness::default();
+    reader.on_full_read(&empty_snapshot_at(9), 0);
+    let mut other = replica_known_to(6);
+    other.on_report(reader.report(0), &StoreEras::default(), 0);
+    assert_eq!(other.assess(HOLDS, HOLDS), Freshness::Unconfirmed, "nothing is reported at first");
+    other.on_report(reader.report(2 * SECOND), &StoreEras::default(), 2 * SECOND);
+    assert_eq!(other.assess(3 * SECOND, HOLDS), Freshness::Behind);
 }
 
 #[test]
 fn a_node_that_has_read_everything_learns_from_another_which_change_was_the_last() {
-    let mut reader = CopyFreshness::default();
-    reader.on_read(&everything_at(9), 0);
-    let mut other = copy_known_to(6);
-    other.on_store_answer(at(9), SECOND);
-    reader.on_word(other.word(SECOND), &StoreEras::default(), SECOND + 1);
+    let mut reader = ReplicaFreshness::default();
+    reader.on_full_read(&empty_snapshot_at(9), 0);
+    let mut other = replica_known_to(6);
+    other.on_store_response(at(9), SECOND);
+    reader.on_report(other.report(SECOND), &StoreEras::default(), SECOND + 1);
     // Its word confirms the other's copy now, instead of making it ask.
-    reader.on_store_answer(at(9), 3 * SECOND);
-    other.on_word(reader.word(3 * SECOND), &StoreEras::default(), 3 * SECOND);
-    assert_eq!(other.verdict(3 * SECOND, HOLDS), Freshness::Fresh);
+    reader.on_store_response(at(9), 3 * SECOND);
+    other.on_report(reader.report(3 * SECOND), &StoreEras::default(), 3 * SECOND);
+    assert_eq!(other.assess(3 * SECOND, HOLDS), Freshness::Fresh);
 }
 
 #[test]
 fn a_change_that_another_node_has_seen_and_the_watch_does_not_tell_makes_the_copy_old() {
-    let mut copy = copy_known_to(5);
-    copy.on_word(word(6, 0), &StoreEras::default(), SECOND);
-    assert_eq!(copy.verdict(SECOND, HOLDS), Freshness::Fresh, "the watch may be about to tell");
-    copy.on_word(word(6, 0), &StoreEras::default(), SECOND + 200_000);
-    assert_eq!(copy.verdict(SECOND + 400_000, HOLDS), Freshness::Behind);
-    copy.on_store_answer(at(6), SECOND + 400_000);
-    assert_eq!(copy.verdict(SECOND + 400_000, HOLDS), Freshness::Fresh);
+    let mut replica = replica_known_to(5);
+    replica.on_report(report(6, 0), &StoreEras::default(), SECOND);
+    assert_eq!(replica.assess(SECOND, HOLDS), Freshness::Fresh, "the watch may be about to tell");
+    replica.on_report(report(6, 0), &StoreEras::default(), SECOND + 200_000);
+    assert_eq!(replica.assess(SECOND + 400_000, HOLDS), Freshness::Behind);
+    replica.on_store_response(at(6), SECOND + 400_000);
+    assert_eq!(replica.assess(SECOND + 400_000, HOLDS), Freshness::Fresh);
 }
 
 #[test]
 fn a_node_that_cannot_catch_up_asks_at_intervals() {
-    let mut copy = copy_known_to(5);
-    copy.on_word(word(9, 0), &StoreEras::default(), 0);
-    assert_eq!(copy.verdict(SECOND, HOLDS), Freshness::Behind);
-    copy.on_asked(SECOND);
-    assert_eq!(copy.verdict(SECOND + 1, HOLDS), Freshness::Fresh);
-    assert_eq!(copy.verdict(2 * SECOND, HOLDS), Freshness::Behind);
+    let mut replica = replica_known_to(5);
+    replica.on_report(report(9, 0), &StoreEras::default(), 0);
+    assert_eq!(replica.assess(SECOND, HOLDS), Freshness::Behind);
+    replica.on_store_queried(SECOND);
+    assert_eq!(replica.assess(SECOND + 1, HOLDS), Freshness::Fresh);
+    assert_eq!(replica.assess(2 * SECOND, HOLDS), Freshness::Behind);
 }
 
 #[test]
 fn a_copy_is_behind_from_the_first_word_of_a_change_until_it_has_that_change() {
-    let mut copy = copy_known_to(5);
-    assert_eq!(copy.behind_for_us(SECOND), None);
-    copy.on_word(word(6, 0), &StoreEras::default(), SECOND);
-    copy.on_word(word(8, 0), &StoreEras::default(), 2 * SECOND);
-    copy.on_asked(2 * SECOND);
-    assert_eq!(copy.behind_for_us(3 * SECOND), Some(2 * SECOND));
+    let mut replica = replica_known_to(5);
+    assert_eq!(replica.behind_for_us(SECOND), None);
+    replica.on_report(report(6, 0), &StoreEras::default(), SECOND);
+    replica.on_report(report(8, 0), &StoreEras::default(), 2 * SECOND);
+    replica.on_store_queried(2 * SECOND);
+    assert_eq!(replica.behind_for_us(3 * SECOND), Some(2 * SECOND));
     let entry =
         StoreEntry { key: "op/config".to_owned(), document: None, revision: RevisionNumber(6) };
     let update = StoreUpdate {
-        era: StoreEra::UNTOLD,
+        era: StoreEra::UNKNOWN,
         known_to: RevisionNumber(6),
-        whole: false,
+        is_snapshot: false,
         entries: vec![entry],
     };
-    copy.on_handed_on(&update, Some(0), 3 * SECOND);
-    assert_eq!(copy.behind_for_us(3 * SECOND), Some(SECOND), "the later change is still missing");
+    replica.on_peer_update(&update, Some(0), 3 * SECOND);
+    assert_eq!(
+        replica.behind_for_us(3 * SECOND),
+        Some(SECOND),
+        "the later change is still missing"
+    );
 }
 
 /// Whoever tells of the last change of a storm has seen the first one too.
 #[test]
 fn a_word_of_a_later_change_keeps_that_of_an_earlier_one_alive() {
-    let mut copy = copy_known_to(5);
-    copy.on_word(word(6, 0), &StoreEras::default(), 0);
+    let mut replica = replica_known_to(5);
+    replica.on_report(report(6, 0), &StoreEras::default(), 0);
     for second in 1..20 {
-        copy.on_word(word(6 + second, 0), &StoreEras::default(), second * SECOND);
+        replica.on_report(report(6 + second, 0), &StoreEras::default(), second * SECOND);
     }
-    assert_eq!(copy.behind_for_us(20 * SECOND), Some(20 * SECOND));
+    assert_eq!(replica.behind_for_us(20 * SECOND), Some(20 * SECOND));
 }
 
 /// A node whose settings name another store tells of revisions that this one's store never had: the store's
 /// own answer, or silence, ends that.
 #[test]
 fn words_of_another_stores_revisions_are_not_believed_for_long() {
-    let mut copy = copy_known_to(5);
-    copy.on_word(word(50_000, 0), &StoreEras::default(), SECOND);
-    assert!(copy.behind_for_us(2 * SECOND).is_some());
-    copy.on_store_answer(at(5), 2 * SECOND);
-    assert_eq!(copy.behind_for_us(2 * SECOND), None);
-    copy.on_word(word(50_000, 0), &StoreEras::default(), 3 * SECOND);
-    assert_eq!(copy.behind_for_us(9 * SECOND), None, "nobody has repeated it");
+    let mut replica = replica_known_to(5);
+    replica.on_report(report(50_000, 0), &StoreEras::default(), SECOND);
+    assert!(replica.behind_for_us(2 * SECOND).is_some());
+    replica.on_store_response(at(5), 2 * SECOND);
+    assert_eq!(replica.behind_for_us(2 * SECOND), None);
+    replica.on_report(report(50_000, 0), &StoreEras::default(), 3 * SECOND);
+    assert_eq!(replica.behind_for_us(9 * SECOND), None, "nobody has repeated it");
 }
 
 /// A configuration is one entry, so that a node that has it knows which change was the last.
@@ -179,20 +183,20 @@
 fn a_node_that_has_got_the_only_entry_whole_makes_nobody_look_behind() {
     let entry =
         StoreEntry { key: "op/config".to_owned(), document: None, revision: RevisionNumber(5) };
-    let whole = StoreUpdate {
-        era: StoreEra::UNTOLD,
+    let snapshot = StoreUpdate {
+        era: StoreEra::UNKNOWN,
         known_to: RevisionNumber(9),
-        whole: true,
+        is_snapshot: true,
         entries: vec![entry],
     };
-    let mut reader = CopyFreshness::of_one_entry();
-    reader.on_read(&whole, 0);
-    let mut follower = CopyFreshness::of_one_entry();
-    follower.on_handed_on(&whole, Some(0), 0);
-    for told in [reader.word(0), reader.word(3 * SECOND), follower.word(3 * SECOND)] {
-        assert_eq!(told.changed_at(&StoreEras::default()), at(5));
-        let mut other = copy_known_to(6);
-        other.on_word(told, &StoreEras::default(), 0);
+    let mut reader = ReplicaFreshness::for_single_entry();
+    reader.on_full_read(&snapshot, 0);
+    let mut follower = ReplicaFreshness::for_single_entry();
+    follower.on_peer_update(&snapshot, Some(0), 0);
+    for report in [reader.report(0), reader.report(3 * SECOND), follower.report(3 * SECOND)] {
+        assert_eq!(report.changed_at(&StoreEras::default()), at(5));
+        let mut other = replica_known_to(6);
+        other.on_report(report, &StoreEras::default(), 0);
         assert_eq!(other.behind_for_us(SECOND), None);
     }
 }
@@ -202,17 +206,17 @@
     /// confirmation alive that the store does not give.
     #[test]
     fn words_in_a_circle_grow_old(delays_ms in prop::collection::vec((0_usize..4, 0_usize..4, 1_u64..300), 50..200)) {
-        let mut copies = vec![copy_known_to(5); 4];
+        let mut replicas = vec![replica_known_to(5); 4];
         let mut now_us = 0;
         for (from, to, held_ms) in delays_ms {
             now_us += held_ms * 1_000;
-            let told = copies[from].word(now_us);
+            let report = replicas[from].report(now_us);
             // The word travels for up to the time that is added for each hop.
-            copies[to].on_word(told, &StoreEras::default(), now_us + 20_000);
+            replicas[to].on_report(report, &StoreEras::default(), now_us + 20_000);
         }
         let late = now_us.max(HOLDS) + 20_000;
-        for copy in &copies {
-            prop_assert_ne!(copy.verdict(late, HOLDS), Freshness::Fresh);
+        for replica in &replicas {
+            prop_assert_ne!(replica.assess(late, HOLDS), Freshness::Fresh);
         }
     }
 }
--- a/crates/serving/tests/lapsed_entries.rs
+++ b/crates/serving/tests/lapsed_entries.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use pitchstall_serving::fleet::{Fleet, FleetChange};
-use pitchstall_serving::freshness::CopyFreshness;
+use pitchstall_serving::freshness::ReplicaFreshness;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::runner::RunnerRecord;
 use pitchstall_serving::store_replica::StoreUpdate;
@@ -56,22 +56,22 @@
 
 #[test]
 fn entries_lapse_only_while_the_store_is_away_and_soon_after_its_return() {
-    let mut copy = CopyFreshness::default();
-    copy.on_read(
+    let mut copy = ReplicaFreshness::default();
+    copy.on_full_read(
         &StoreUpdate {
-            era: StoreEra::UNTOLD,
+            era: StoreEra::UNKNOWN,
             known_to: RevisionNumber(1),
-            whole: true,
+            is_snapshot: true,
             entries: Vec::new(),
         },
         0,
     );
-    assert_eq!(copy.lapses_until_us(SECOND_US), None, "heard of lately");
-    assert!(copy.lapses_until_us(4 * SECOND_US).is_some(), "not heard of for seconds");
-    copy.on_store_answer(at(2), 5 * SECOND_US);
-    let until_us = copy.lapses_until_us(5 * SECOND_US).unwrap();
+    assert_eq!(copy.lapse_grace_until_us(SECOND_US), None, "heard of lately");
+    assert!(copy.lapse_grace_until_us(4 * SECOND_US).is_some(), "not heard of for seconds");
+    copy.on_store_response(at(2), 5 * SECOND_US);
+    let until_us = copy.lapse_grace_until_us(5 * SECOND_US).unwrap();
     assert!((SECOND_US..=2 * SECOND_US).contains(&(until_us - 5 * SECOND_US)));
-    copy.on_store_answer(at(3), 6 * SECOND_US);
-    copy.on_store_answer(at(4), 8 * SECOND_US);
-    assert_eq!(copy.lapses_until_us(8 * SECOND_US), None, "it has been back for seconds");
+    copy.on_store_response(at(3), 6 * SECOND_US);
+    copy.on_store_response(at(4), 8 * SECOND_US);
+    assert_eq!(copy.lapse_grace_until_us(8 * SECOND_US), None, "it has been back for seconds");
 }
--- a/crates/serving/tests/limit_keeper.rs
+++ b/crates/serving/tests/limit_keeper.rs
@@ -208,19 +208,19 @@
     let member = |number: u32| Member {
         address: SocketAddr::from(([127, 0, 0, 1], number as u16)),
         zone: ZoneId::new("north"),
-        processor: 500 + number % 3 * 100,
+        millicpus: 500 + number % 3 * 100,
     };
     let mut members = Membership::new(node(0), member(0), Topology::default());
-    (1..40).for_each(|number| members.learn(&node(number), &member(number)));
+    (1..40).for_each(|number| members.upsert(&node(number), &member(number)));
     let shard = Shard { region: members.own_region(), number: 0, of: 1 };
-    let order = members.schedulers_in_order(&shard);
+    let order = members.schedulers_by_rank(&shard);
     assert_eq!(order.len(), 40);
     for (place, (name, _)) in order.iter().enumerate() {
-        assert_eq!(members.place_of(name, &shard, |_| true), place);
-        assert_eq!(members.place_of(name, &shard, |_| false), 0);
+        assert_eq!(members.scheduler_rank_of(name, &shard, |_| true), place);
+        assert_eq!(members.scheduler_rank_of(name, &shard, |_| false), 0);
     }
     let second_is_gone = |name: &NodeId| *name != *order[1].0;
-    assert_eq!(members.place_of(order[2].0, &shard, second_is_gone), 1);
+    assert_eq!(members.scheduler_rank_of(order[2].0, &shard, second_is_gone), 1);
 }
 
 /// A request is what tells that a limit is over: the first keeper may be gone.
--- a/crates/serving/tests/membership.rs
+++ b/crates/serving/tests/membership.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use test_case::test_case;
 
-const STRONG: u32 = 500;
-const WEAK: u32 = 120;
+const STRONG_MILLICPUS: u32 = 500;
+const WEAK_MILLICPUS: u32 = 120;
 
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7_000))
@@ -19,18 +19,18 @@
     let member = |number: usize| Member {
         address: address(number),
         zone: ZoneId::new(format!("zone-{}", number % zones)),
-        processor: if number % 20 < zones { STRONG } else { WEAK },
+        millicpus: if number % 20 < zones { STRONG_MILLICPUS } else { WEAK_MILLICPUS },
     };
     (0..nodes).map(|number| (NodeId::new(format!("node-{number}")), member(number))).collect()
 }
 
 /// The zones of the nodes are near each other.
-fn seen_by(number: usize, all: &[(NodeId, Member)]) -> Membership {
+fn view_of(number: usize, all: &[(NodeId, Member)]) -> Membership {
     let zones = all.iter().map(|(_, member)| (member.zone.clone(), RegionId::new("coast")));
     let topology = Topology::new(zones);
     let (name, member) = &all[number];
     let mut membership = Membership::new(name.clone(), member.clone(), topology);
-    all.iter().for_each(|(name, member)| membership.learn(name, member));
+    all.iter().for_each(|(name, member)| membership.upsert(name, member));
     membership
 }
 
@@ -40,24 +40,27 @@
 #[test_case(330, 31, 62)]
 fn two_nodes_of_each_zone_read_the_store(nodes: usize, zones: usize, expected: usize) {
     let all = fleet(nodes, zones);
-    let views: Vec<Membership> = (0..nodes).map(|number| seen_by(number, &all)).collect();
-    assert_eq!(views.iter().filter(|view| view.is_mirror()).count(), expected);
-    assert!(views.iter().all(|view| view.mirror_count() == expected));
+    let views: Vec<Membership> = (0..nodes).map(|number| view_of(number, &all)).collect();
+    assert_eq!(views.iter().filter(|view| view.is_store_reader()).count(), expected);
+    assert!(views.iter().all(|view| view.store_reader_count() == expected));
 }
 
 #[test]
 fn strong_nodes_read_the_store() {
     let all = fleet(295, 5);
     for number in 0..all.len() {
-        let view = seen_by(number, &all);
-        assert!(!view.is_mirror() || view.own().processor == STRONG, "node {number}");
+        let view = view_of(number, &all);
+        assert!(
+            !view.is_store_reader() || view.own().millicpus == STRONG_MILLICPUS,
+            "node {number}"
+        );
     }
 }
 
 #[test]
 fn a_node_follows_its_own_zone_first_and_then_the_others() {
     let all = fleet(295, 5);
-    let view = seen_by(293, &all);
+    let view = view_of(293, &all);
     let sources = view.sources();
     assert_eq!(sources.len(), 10);
     let zone_of = |address: &SocketAddr| {
@@ -73,7 +76,8 @@
 fn followers_spread_over_the_nodes_that_read_the_store() {
     let all = fleet(295, 5);
     let of_zone = (0..all.len()).filter(|number| number % 5 == 2);
-    let followers = of_zone.map(|number| seen_by(number, &all)).filter(|view| !view.is_mirror());
+    let followers =
+        of_zone.map(|number| view_of(number, &all)).filter(|view| !view.is_store_reader());
     let first: Vec<SocketAddr> = followers.map(|view| view.sources()[0]).collect();
     let most = first.iter().map(|it| first.iter().filter(|other| *other == it).count()).max();
     assert!(most.unwrap() * 10 < first.len() * 8, "{most:?} of {}", first.len());
@@ -82,16 +86,16 @@
 #[test]
 fn a_node_that_knows_nobody_reads_the_store_itself() {
     let all = fleet(1, 1);
-    let view = seen_by(0, &all);
-    assert!(view.is_mirror());
+    let view = view_of(0, &all);
+    assert!(view.is_store_reader());
     assert!(view.sources().is_empty());
 }
 
 #[test]
 fn nodes_that_are_forgotten_are_followed_no_more() {
     let all = fleet(66, 3);
-    let mut view = seen_by(0, &all);
+    let mut view = view_of(0, &all);
     view.retain(|_| false);
     assert_eq!(view.len(), 1);
-    assert!(view.is_mirror());
+    assert!(view.is_store_reader());
 }
--- a/crates/serving/tests/model_checking.rs
+++ b/crates/serving/tests/model_checking.rs
@@ -179,7 +179,7 @@
 }
 
 #[test_case(resuming::Safeguards { whole_events: false, ..resuming::Safeguards::ALL }; "whole events")]
-#[test_case(resuming::Safeguards { after_the_last: false, ..resuming::Safeguards::ALL }; "after the last")]
+#[test_case(resuming::Safeguards { after_last_forwarded: false, ..resuming::Safeguards::ALL }; "after the last")]
 #[test_case(resuming::Safeguards { stop_first: false, ..resuming::Safeguards::ALL }; "stop first")]
 #[test_case(resuming::Safeguards { only_resumable: false, ..resuming::Safeguards::ALL }; "only resumable")]
 #[test_case(resuming::Safeguards { own_end: false, ..resuming::Safeguards::ALL }; "own end")]
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -3,11 +3,11 @@
 
 mod support;
 
-use pitchstall_serving::attempt::{final_answer, Execution, FinalAnswer, GiveUp};
+use pitchstall_serving::attempt::{final_response, EndReason, Execution, FinalResponse};
 use pitchstall_serving::configuration::{Configuration, RequestKind, Route, Share};
-use pitchstall_serving::digest::{Digest, DigestOrder, Freshness};
+use pitchstall_serving::digest::{Digest, DigestStatus, DigestTracker};
 use pitchstall_serving::fleet::{Eligible, EndedLife, Fleet, FleetChange, Scope, Sender};
-use pitchstall_serving::freshness::StoreWord;
+use pitchstall_serving::freshness::StoreFreshnessReport;
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::Member;
 use pitchstall_serving::placement::{
@@ -74,19 +74,19 @@
     }
 }
 
-#[test_case(Execution::NotRun, GiveUp::OutOfTime, FinalAnswer::Refuse)]
-#[test_case(Execution::NotRun, GiveUp::NoRunner, FinalAnswer::Refuse)]
-#[test_case(Execution::NotRun, GiveUp::LimitUsedUp { wait_ms: 300 }, FinalAnswer::RefuseUntil { wait_ms: 300 })]
-#[test_case(Execution::Unknown, GiveUp::LimitUsedUp { wait_ms: 300 }, FinalAnswer::BadGateway)]
-#[test_case(Execution::Unknown, GiveUp::Refused, FinalAnswer::BadGateway)]
-#[test_case(Execution::Unknown, GiveUp::OutOfTime, FinalAnswer::TimedOut)]
-#[test_case(Execution::Ran, GiveUp::NoRunner, FinalAnswer::BadGateway)]
+#[test_case(Execution::NotRun, EndReason::OutOfTime, FinalResponse::Refuse)]
+#[test_case(Execution::NotRun, EndReason::NoRunner, FinalResponse::Refuse)]
+#[test_case(Execution::NotRun, EndReason::LimitUsedUp { wait_ms: 300 }, FinalResponse::RefuseUntil { wait_ms: 300 })]
+#[test_case(Execution::Unknown, EndReason::LimitUsedUp { wait_ms: 300 }, FinalResponse::BadGateway)]
+#[test_case(Execution::Unknown, EndReason::Refused, FinalResponse::BadGateway)]
+#[test_case(Execution::Unknown, EndReason::OutOfTime, FinalResponse::TimedOut)]
+#[test_case(Execution::Ran, EndReason::NoRunner, FinalResponse::BadGateway)]
 fn a_refusal_is_only_given_for_what_has_not_run(
     execution: Execution,
-    reason: GiveUp,
-    expected: FinalAnswer,
+    reason: EndReason,
+    expected: FinalResponse,
 ) {
-    assert_eq!(final_answer(execution, reason), expected);
+    assert_eq!(final_response(execution, reason), expected);
 }
 
 /// The shard of a region that has one.
@@ -294,7 +294,7 @@
 fn digest(incarnation: u64, sequence: u64) -> Digest {
     let node = NodeId::new("a");
     Digest {
-        keeps: Vec::new(),
+        held_keepers: Vec::new(),
         limits: Vec::new(),
         is_stopping: false,
         node,
@@ -303,9 +303,9 @@
         member: Member {
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
             zone: ZoneId::new("north"),
-            processor: 1_000,
+            millicpus: 1_000,
         },
-        store: StoreWord::default(),
+        store: StoreFreshnessReport::default(),
         changing: Vec::new(),
         wall_ms: 0,
     }
@@ -313,12 +313,12 @@
 
 #[test]
 fn a_digest_that_was_overtaken_is_stale() {
-    let mut order = DigestOrder::default();
-    assert_eq!(order.on_digest(&digest(5, 1)), Freshness::Newcomer);
-    assert_eq!(order.on_digest(&digest(5, 3)), Freshness::Newer);
-    assert_eq!(order.on_digest(&digest(5, 2)), Freshness::Stale);
-    assert_eq!(order.on_digest(&digest(5, 3)), Freshness::Stale, "a doubled datagram");
-    assert_eq!(order.on_digest(&digest(4, 1)), Freshness::Newcomer, "it started anew");
+    let mut order = DigestTracker::default();
+    assert_eq!(order.on_digest(&digest(5, 1)), DigestStatus::NewIncarnation);
+    assert_eq!(order.on_digest(&digest(5, 3)), DigestStatus::Newer);
+    assert_eq!(order.on_digest(&digest(5, 2)), DigestStatus::Stale);
+    assert_eq!(order.on_digest(&digest(5, 3)), DigestStatus::Stale, "a doubled datagram");
+    assert_eq!(order.on_digest(&digest(4, 1)), DigestStatus::NewIncarnation, "it started anew");
 }
 
 #[test]
--- a/crates/serving/tests/quota_fleet/holding.rs
+++ b/crates/serving/tests/quota_fleet/holding.rs
@@ -84,7 +84,7 @@
     fn members(&self) -> Vec<(NodeId, Member)> {
         let up = self.nodes.iter().enumerate().filter(|(_, node)| node.is_up);
         let member = |(number, node): (usize, &Node)| {
-            let member = Member { address: address(number), zone: zone(number), processor: 500 };
+            let member = Member { address: address(number), zone: zone(number), millicpus: 500 };
             (name(number, node.start), member)
         };
         up.map(member).collect()
--- a/crates/serving/tests/quota_slots.rs
+++ b/crates/serving/tests/quota_slots.rs
@@ -110,7 +110,7 @@
     let member = |(number, (zone, processor)): (usize, &(&str, u32))| {
         let name = NodeId::new(format!("node-{number}"));
         let address = address(number as u8);
-        (name, Member { address, zone: ZoneId::new(zone), processor: *processor })
+        (name, Member { address, zone: ZoneId::new(zone), millicpus: *processor })
     };
     zones.iter().enumerate().map(member).collect()
 }
--- a/crates/serving/tests/region_fetch.rs
+++ b/crates/serving/tests/region_fetch.rs
@@ -114,8 +114,9 @@
 
 #[test]
 fn the_time_of_a_move_between_regions_comes_from_the_engine() {
-    let engine = EngineSpec { token_bytes: 18_432, move_mbps: 430_000.0, ..EngineSpec::default() };
-    let move_ms = engine.region_move_ms().unwrap();
+    let engine =
+        EngineSpec { token_bytes: 18_432, transfer_mbps: 430_000.0, ..EngineSpec::default() };
+    let move_ms = engine.cross_region_ms_per_token().unwrap();
     assert!((move_ms - 0.003_43).abs() < 0.000_01, "{move_ms}");
-    assert_eq!(EngineSpec::default().region_move_ms(), None);
+    assert_eq!(EngineSpec::default().cross_region_ms_per_token(), None);
 }
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pitchstall_serving::digest::DigestTurns;
+use pitchstall_serving::digest::DigestRotation;
 use pitchstall_serving::fleet::{Eligible, Fleet};
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName, ZoneId};
 use pitchstall_serving::membership::{Member, Membership};
@@ -103,8 +103,8 @@
     let unknown = ZoneId::new("elsewhere");
     assert_eq!(topology.region_of(&unknown), RegionId::new("elsewhere"));
     assert!(topology.is_in(&unknown, &RegionId::new("elsewhere")));
-    assert!(!topology.is_one_region(&unknown, &ZoneId::new("w-1")));
-    assert!(topology.is_one_region(&ZoneId::new("w-2"), &ZoneId::new("w-1")));
+    assert!(!topology.is_same_region(&unknown, &ZoneId::new("w-1")));
+    assert!(topology.is_same_region(&ZoneId::new("w-2"), &ZoneId::new("w-1")));
     let mut fleet = fleet(&topology);
     fleet.put(record("p-lost", "elsewhere", Some(Stage::Prefill)));
     fleet.put(record("d-lost", "elsewhere", Some(Stage::Decode)));
@@ -133,10 +133,10 @@
     let member = |number: usize| Member {
         address: SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7_000)),
         zone: zones[number % zones.len()].clone(),
-        processor: if number % 10 < zones.len() { 500 } else { 120 },
+        millicpus: if number % 10 < zones.len() { 500 } else { 120 },
     };
     let mut seen = Membership::new(name(own), member(own), topology.clone());
-    (0..nodes).for_each(|number| seen.learn(&name(number), &member(number)));
+    (0..nodes).for_each(|number| seen.upsert(&name(number), &member(number)));
     seen
 }
 
@@ -148,7 +148,7 @@
     const NODES: usize = 330;
     let seen = membership(&topology, NODES, 5);
     assert_eq!(seen.regions().len(), 8);
-    assert_eq!(seen.mirror_count(), 16);
+    assert_eq!(seen.store_reader_count(), 16);
     let mut nodes = 0;
     for region in seen.regions() {
         nodes += seen.count_in(&region);
@@ -171,12 +171,12 @@
 fn the_mirrors_of_a_region_are_two_of_different_zones_and_followed_first() {
     let topology = regions(3, 2);
     let views: Vec<Membership> = (0..91).map(|own| membership(&topology, 91, own)).collect();
-    let mirrors: Vec<&Membership> = views.iter().filter(|view| view.is_mirror()).collect();
+    let mirrors: Vec<&Membership> = views.iter().filter(|view| view.is_store_reader()).collect();
     let zones: Vec<&ZoneId> = mirrors.iter().map(|view| &view.own().zone).collect();
     assert_eq!(zones.len(), 6);
     assert!(topology.zones().all(|(zone, _)| zones.contains(&zone)), "{zones:?}");
-    for view in views.iter().filter(|view| !view.is_mirror()) {
-        let near = view.mirrors_in(&view.own_region());
+    for view in views.iter().filter(|view| !view.is_store_reader()) {
+        let near = view.other_store_readers_in(&view.own_region());
         assert_eq!(near.len(), 2);
         let sources = view.sources();
         assert_eq!(sources.len(), 6);
@@ -190,11 +190,11 @@
 fn a_region_with_one_zone_has_two_mirrors_there() {
     let topology = regions(4, 1);
     let views = (0..40).map(|own| membership(&topology, 40, own));
-    let mirrors: Vec<Membership> = views.filter(Membership::is_mirror).collect();
+    let mirrors: Vec<Membership> = views.filter(Membership::is_store_reader).collect();
     assert_eq!(mirrors.len(), 8);
     let seen = membership(&topology, 40, 0);
     assert_ne!(seen.own_region(), RegionId::new("w"));
-    assert_eq!(seen.mirrors_in(&RegionId::new("w")).len(), 2);
+    assert_eq!(seen.other_store_readers_in(&RegionId::new("w")).len(), 2);
 }
 
 #[test]
@@ -461,7 +461,7 @@
     const FAR: u32 = 1_000;
     let near: Vec<u32> = (0..30).collect();
     let far: Vec<u32> = (FAR..FAR + 60).collect();
-    let mut turns = DigestTurns::default();
+    let mut turns = DigestRotation::default();
     let mut heard: BTreeMap<u32, u32> = BTreeMap::new();
     for _ in 0..30 {
         let to = turns.next(&near, &far);
@@ -471,7 +471,7 @@
     }
     assert_eq!(heard.len(), 90);
     assert!(heard.iter().all(|(node, count)| *node >= FAR || *count >= 13), "{heard:?}");
-    let mut turns = DigestTurns::default();
+    let mut turns = DigestRotation::default();
     assert_eq!(turns.next(&near[..20], &[]).len(), 16, "one region is told as before");
     assert_eq!(turns.next(&[], &far).len(), 16, "a node that is alone in its region");
     assert_eq!(turns.next(&near[..3], &far[..1]).len(), 4);
--- a/crates/serving/tests/runner_lives.rs
+++ b/crates/serving/tests/runner_lives.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use pitchstall_serving::crash_evidence::CrashEvidence;
-use pitchstall_serving::digest::ChangingRunner;
+use pitchstall_serving::digest::RoleTransition;
 use pitchstall_serving::fleet::{Eligible, EndedLife, Fleet, FleetChange};
 use pitchstall_serving::ids::{RegionId, RunnerId, RunnerName, ServiceName, ZoneId};
 use pitchstall_serving::prefix::{Prompt, PromptPart};
@@ -24,7 +24,7 @@
     AttemptDemand { unread_tokens: 500, late_tokens: 200, held_tokens: 900 };
 
 fn life(born_ms: u64) -> RunnerId {
-    RunnerId::of_life(&RunnerName::new("i-1"), Some(born_ms))
+    RunnerId::of_incarnation(&RunnerName::new("i-1"), Some(born_ms))
 }
 
 fn record(id: RunnerId, revision: u64) -> RunnerRecord {
@@ -167,7 +167,7 @@
     believe(&mut fleet, &life(1_000), belief);
     fleet.on_ended(&life(1_000), DEMAND);
     fleet.on_reservation_ended(&life(1_000), DEMAND);
-    let word = ChangingRunner { runner: life(1_000), stage: Stage::Prefill, left_ms: 5_000 };
+    let word = RoleTransition { runner: life(1_000), stage: Stage::Prefill, remaining_ms: 5_000 };
     fleet.on_changing_words(&[word], SECOND);
     assert_eq!(seen(&fleet, &life(2_000)), known, "of a life that is over");
 }
@@ -205,7 +205,7 @@
         let name = RunnerName::new(format!("i-{number}"));
         let shard_in = |born_ms| {
             let mut fleet = Fleet::new(ZoneId::new("north"), Topology::default());
-            fleet.put(record(RunnerId::of_life(&name, Some(born_ms)), 1));
+            fleet.put(record(RunnerId::of_incarnation(&name, Some(born_ms)), 1));
             let shard = Shard::of_runner(fleet.iter().next().unwrap(), of);
             (shard.number, RegionId::clone(&shard.region))
         };
@@ -245,10 +245,10 @@
         other in ("[a-z0-9@-]{1,12}", proptest::option::of(0..20_u64)),
     ) {
         let id = |(name, born_ms): &(String, Option<u64>)| {
-            RunnerId::of_life(&RunnerName::new(name), *born_ms)
+            RunnerId::of_incarnation(&RunnerName::new(name), *born_ms)
         };
         prop_assert_eq!(id(&one).name(), RunnerName::new(&one.0));
-        prop_assert_eq!(id(&one).born_ms(), one.1);
+        prop_assert_eq!(id(&one).started_at_ms(), one.1);
         prop_assert_eq!(id(&one) == id(&other), one == other);
     }
 
--- a/crates/serving/tests/runner_notices.rs
+++ b/crates/serving/tests/runner_notices.rs
@@ -20,7 +20,7 @@
 }
 
 fn life(born_ms: u64) -> RunnerId {
-    RunnerId::of_life(&RunnerName::new("i-1"), Some(born_ms))
+    RunnerId::of_incarnation(&RunnerName::new("i-1"), Some(born_ms))
 }
 
 fn record(id: RunnerId, draining: bool, revision: u64) -> RunnerRecord {
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -266,11 +266,11 @@
     let member = |number: usize| Member {
         address: SocketAddr::from(([127, 0, 0, 1], 1_000 + number as u16)),
         zone: ZoneId::new("north"),
-        processor: if number.is_multiple_of(20) { 500 } else { 120 },
+        millicpus: if number.is_multiple_of(20) { 500 } else { 120 },
     };
     let name = |number: usize| NodeId::new(format!("node-{number}"));
     let mut membership = Membership::new(name(own), member(own), Topology::default());
-    (0..nodes).for_each(|number| membership.learn(&name(number), &member(number)));
+    (0..nodes).for_each(|number| membership.upsert(&name(number), &member(number)));
     membership
 }
 
--- a/crates/serving/tests/specification/adoption.rs
+++ b/crates/serving/tests/specification/adoption.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-const MOST_VERSIONS: u8 = 3;
+const MAX_VERSIONS: u8 = 3;
 
 /// The switches. All on: the protocol as built.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
     /// The revision up to which the node believes to know everything.
     known_to: Option<u8>,
     peer: u8,
-    handed_over: BTreeSet<u8>,
+    in_transit: BTreeSet<u8>,
     pub violated: bool,
 }
 
@@ -47,7 +47,7 @@
     }
 
     fn store_steps(&self, states: &mut Vec<Self>) {
-        if self.stored < MOST_VERSIONS {
+        if self.stored < MAX_VERSIONS {
             states.push(Self { stored: self.stored + 1, ..self.clone() });
         }
         states.push(Self { history_from: self.stored, ..self.clone() });
@@ -55,14 +55,14 @@
 
     fn peer_steps(&self, guards: Safeguards, states: &mut Vec<Self>) {
         states.push(Self { peer: self.stored, ..self.clone() });
-        let mut told = self.clone();
-        told.handed_over.insert(self.peer);
-        states.push(told);
-        for version in &self.handed_over {
-            let mut heard = self.clone();
-            heard.handed_over.remove(version);
-            heard.adopt(*version, guards);
-            states.push(heard);
+        let mut sent = self.clone();
+        sent.in_transit.insert(self.peer);
+        states.push(sent);
+        for version in &self.in_transit {
+            let mut received = self.clone();
+            received.in_transit.remove(version);
+            received.adopt(*version, guards);
+            states.push(received);
         }
     }
 
--- a/crates/serving/tests/specification/resuming.rs
+++ b/crates/serving/tests/specification/resuming.rs
@@ -6,7 +6,7 @@
 const EVENTS: u8 = 2;
 const RUNNERS: usize = 2;
 /// A part of an event that never became whole.
-const TORN: u8 = 99;
+const TRUNCATED_EVENT: u8 = 99;
 
 /// The switches. All on: the protocol as built.
 #[derive(Clone, Copy, Debug)]
@@ -14,7 +14,7 @@
     /// Only whole events are forwarded.
     pub whole_events: bool,
     /// The next runner begins after the last event that was forwarded.
-    pub after_the_last: bool,
+    pub after_last_forwarded: bool,
     /// A run that is left is stopped before the next one begins.
     pub stop_first: bool,
     /// Only streams that may be resumed go on.
@@ -26,7 +26,7 @@
 impl Safeguards {
     pub const ALL: Self = Self {
         whole_events: true,
-        after_the_last: true,
+        after_last_forwarded: true,
         stop_first: true,
         only_resumable: true,
         own_end: true,
@@ -37,9 +37,9 @@
 struct Run {
     /// Events made so far, with those before its start.
     made: u8,
-    working: bool,
+    is_running: bool,
     /// The node still listens to it.
-    heard: bool,
+    is_followed: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -54,7 +54,7 @@
 
 impl State {
     pub fn initial(resumable: bool) -> Self {
-        let first = Run { made: 0, working: true, heard: true };
+        let first = Run { made: 0, is_running: true, is_followed: true };
         Self { resumable, runs: [Some(first), None], ..Self::default() }
     }
 
@@ -70,7 +70,8 @@
     }
 
     fn run_steps(&self, runner: usize, guards: Safeguards, states: &mut Vec<Self>) {
-        let Some(run) = self.runs[runner].clone().filter(|run| run.working && run.heard) else {
+        let Some(run) = self.runs[runner].clone().filter(|run| run.is_running && run.is_followed)
+        else {
             return;
         };
         if run.made < EVENTS {
@@ -79,12 +80,12 @@
             made.client.push(run.made + 1);
             states.push(made);
             // It breaks off in the middle of the next event; it may also only seem to.
-            for stays_at_work in [false, true] {
+            for keeps_running in [false, true] {
                 let mut broken = self.clone();
-                broken.run(runner).heard = false;
-                broken.run(runner).working = stays_at_work && !guards.stop_first;
+                broken.run(runner).is_followed = false;
+                broken.run(runner).is_running = keeps_running && !guards.stop_first;
                 if !guards.whole_events {
-                    broken.client.push(TORN);
+                    broken.client.push(TRUNCATED_EVENT);
                 }
                 states.push(broken);
             }
@@ -99,7 +100,7 @@
 
     fn next_run(&self, guards: Safeguards, states: &mut Vec<Self>) {
         let [Some(first), None] = &self.runs else { return };
-        if first.heard {
+        if first.is_followed {
             return;
         }
         let mut cut = self.clone();
@@ -108,9 +109,9 @@
         if self.resumable || !guards.only_resumable {
             let mut resumed = self.clone();
             let last = self.client.len() as u8;
-            let made = if guards.after_the_last { last } else { 0 };
-            resumed.runs[1] = Some(Run { made, working: true, heard: true });
-            resumed.violated |= !self.resumable || first.working;
+            let made = if guards.after_last_forwarded { last } else { 0 };
+            resumed.runs[1] = Some(Run { made, is_running: true, is_followed: true });
+            resumed.violated |= !self.resumable || first.is_running;
             states.push(resumed);
         }
     }
--- a/crates/serving/tests/store_replica.rs
+++ b/crates/serving/tests/store_replica.rs
@@ -1,7 +1,7 @@
 //! Copies of the store that nodes hand to each other.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use pitchstall_serving::store_replica::{StoreCopy, StoreEntry, StoreUpdate};
+use pitchstall_serving::store_replica::{StoreEntry, StoreReplica, StoreUpdate};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra, StoreRevision};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -18,48 +18,51 @@
     }
 }
 
-fn update(known_to: u64, whole: bool, entries: Vec<StoreEntry>) -> StoreUpdate {
-    StoreUpdate { era: StoreEra::UNTOLD, known_to: RevisionNumber(known_to), whole, entries }
+fn update(known_to: u64, is_snapshot: bool, entries: Vec<StoreEntry>) -> StoreUpdate {
+    StoreUpdate { era: StoreEra::UNKNOWN, known_to: RevisionNumber(known_to), is_snapshot, entries }
 }
 
 #[test]
 fn a_copy_that_has_read_nothing_has_nothing_to_say() {
-    assert_eq!(StoreCopy::default().update_since(None), None);
+    assert_eq!(StoreReplica::default().update_since(None), None);
 }
 
 #[test]
 fn a_copy_that_lags_has_nothing_to_say_to_one_that_is_ahead() {
-    let mut copy = StoreCopy::default();
-    copy.apply(&update(5, true, vec![]));
-    assert_eq!(copy.update_since(Some(at(6))), None);
-    assert_eq!(copy.update_since(Some(at(5))).unwrap().entries, vec![]);
+    let mut replica = StoreReplica::default();
+    replica.apply(&update(5, true, vec![]));
+    assert_eq!(replica.update_since(Some(at(6))), None);
+    assert_eq!(replica.update_since(Some(at(5))).unwrap().entries, vec![]);
 }
 
 #[test]
 fn an_older_update_changes_nothing() {
-    let mut copy = StoreCopy::default();
-    copy.apply(&update(5, true, vec![entry("a", Some("new"), 5)]));
-    copy.apply(&update(3, true, vec![entry("a", Some("old"), 3)]));
-    assert_eq!(copy.update_since(None).unwrap().entries, vec![entry("a", Some("new"), 5)]);
+    let mut replica = StoreReplica::default();
+    replica.apply(&update(5, true, vec![entry("a", Some("new"), 5)]));
+    replica.apply(&update(3, true, vec![entry("a", Some("old"), 3)]));
+    assert_eq!(replica.update_since(None).unwrap().entries, vec![entry("a", Some("new"), 5)]);
 }
 
 /// Otherwise nodes that follow this one would never hear of a store that has taken another's place.
 #[test]
 fn a_copy_that_was_forgotten_takes_in_lower_revisions() {
-    let mut copy = StoreCopy::default();
-    copy.apply(&update(50, true, vec![entry("a", Some("old"), 40)]));
-    copy.forget();
-    assert_eq!(copy.update_since(None), None);
-    copy.apply(&update(3, true, vec![entry("a", Some("new"), 2)]));
-    assert_eq!(copy.update_since(None).unwrap().entries, vec![entry("a", Some("new"), 2)]);
+    let mut replica = StoreReplica::default();
+    replica.apply(&update(50, true, vec![entry("a", Some("old"), 40)]));
+    replica.reset();
+    assert_eq!(replica.update_since(None), None);
+    replica.apply(&update(3, true, vec![entry("a", Some("new"), 2)]));
+    assert_eq!(replica.update_since(None).unwrap().entries, vec![entry("a", Some("new"), 2)]);
 }
 
 #[test]
 fn what_was_removed_before_a_whole_list_shows_by_the_whole_list_only() {
-    let mut copy = StoreCopy::default();
-    copy.apply(&update(5, true, vec![entry("a", Some("x"), 2)]));
-    assert!(copy.update_since(Some(at(3))).unwrap().whole, "a removal at 4 would be missed");
-    assert!(!copy.update_since(Some(at(5))).unwrap().whole);
+    let mut replica = StoreReplica::default();
+    replica.apply(&update(5, true, vec![entry("a", Some("x"), 2)]));
+    assert!(
+        replica.update_since(Some(at(3))).unwrap().is_snapshot,
+        "a removal at 4 would be missed"
+    );
+    assert!(!replica.update_since(Some(at(5))).unwrap().is_snapshot);
 }
 
 #[derive(Clone, Debug)]
@@ -82,8 +85,8 @@
 }
 
 /// Takes an update in as a node does.
-fn take(view: &mut BTreeMap<String, String>, update: &StoreUpdate) {
-    if update.whole {
+fn apply(view: &mut BTreeMap<String, String>, update: &StoreUpdate) {
+    if update.is_snapshot {
         view.clear();
     }
     for entry in &update.entries {
@@ -103,7 +106,7 @@
     ) {
         let mut store: BTreeMap<String, StoreEntry> = BTreeMap::new();
         let mut revision = 1;
-        let mut first = StoreCopy::default();
+        let mut first = StoreReplica::default();
         let mut second = BTreeMap::new();
         let mut known_to = None;
         first.apply(&update(revision, true, vec![]));
@@ -125,7 +128,7 @@
                 }
                 Change::Follow => {
                     let answer = first.update_since(known_to).unwrap();
-                    take(&mut second, &answer);
+                    apply(&mut second, &answer);
                     known_to = Some(answer.known_to());
                 }
             }
--- a/crates/serving/tests/store_revision.rs
+++ b/crates/serving/tests/store_revision.rs
@@ -4,12 +4,12 @@
 mod support;
 
 use pitchstall_serving::fleet::{Fleet, FleetChange};
-use pitchstall_serving::freshness::{CopyFreshness, Freshness, FreshnessWord};
+use pitchstall_serving::freshness::{Freshness, FreshnessReport, ReplicaFreshness};
 use pitchstall_serving::ids::{RunnerId, RunnerName};
 use pitchstall_serving::runner::RunnerRecord;
-use pitchstall_serving::store_replica::{StoreCopy, StoreEntry, StoreUpdate};
+use pitchstall_serving::store_replica::{StoreEntry, StoreReplica, StoreUpdate};
 use pitchstall_serving::store_revision::{
-    EraNews, RevisionNumber, StoreEra, StoreEras, StoreRevision,
+    EraChange, RevisionNumber, StoreEra, StoreEras, StoreRevision,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -19,16 +19,16 @@
 const SECOND: u64 = 1_000_000;
 
 fn era(number: u64) -> StoreEra {
-    StoreEra::from_told(number).unwrap()
+    StoreEra::from_reported(number).unwrap()
 }
 
 fn at(in_era: u64, number: u64) -> StoreRevision {
     StoreRevision::new(era(in_era), RevisionNumber(number))
 }
 
-fn eras_since(first: u64) -> StoreEras {
+fn eras_from(first: u64) -> StoreEras {
     let mut eras = StoreEras::default();
-    eras.on_answer(era(first), 0);
+    eras.on_response(era(first), 0);
     eras
 }
 
@@ -42,24 +42,28 @@
 #[test]
 fn an_era_is_never_taken_back() {
     let mut eras = StoreEras::default();
-    assert_eq!(eras.on_answer(StoreEra::UNTOLD, 0), EraNews::None);
-    assert_eq!(eras.on_answer(era(0), 1), EraNews::First);
-    assert_eq!(eras.on_answer(era(3), 2), EraNews::Later { before: era(0) });
-    assert_eq!(eras.on_answer(era(2), 3), EraNews::Over);
-    assert_eq!(eras.on_answer(StoreEra::UNTOLD, 4), EraNews::None);
+    assert_eq!(eras.on_response(StoreEra::UNKNOWN, 0), EraChange::Unchanged);
+    assert_eq!(eras.on_response(era(0), 1), EraChange::First);
+    assert_eq!(eras.on_response(era(3), 2), EraChange::Later { before: era(0) });
+    assert_eq!(eras.on_response(era(2), 3), EraChange::Superseded);
+    assert_eq!(eras.on_response(StoreEra::UNKNOWN, 4), EraChange::Unchanged);
     assert_eq!((eras.current(), eras.since_us()), (era(3), Some(2)));
-    assert_eq!(StoreEra::from_told(u64::MAX), None);
+    assert_eq!(StoreEra::from_reported(u64::MAX), None);
 }
 
 /// A store that was set up anew counts its eras from the beginning.
 #[test]
 fn a_store_whose_answers_are_of_earlier_eras_alone_is_another_one() {
-    let mut eras = eras_since(3);
-    assert_eq!(eras.on_answer(era(1), SECOND), EraNews::Over);
-    assert_eq!(eras.on_answer(era(3), 10 * SECOND), EraNews::None);
-    assert_eq!(eras.on_answer(era(1), 20 * SECOND), EraNews::Over, "late ones, one by one");
-    assert_eq!(eras.on_answer(era(1), 40 * SECOND), EraNews::Replaced { before: era(3) });
-    assert_eq!((eras.current(), eras.of_word(StoreEra::UNTOLD)), (era(1), era(1)));
+    let mut eras = eras_from(3);
+    assert_eq!(eras.on_response(era(1), SECOND), EraChange::Superseded);
+    assert_eq!(eras.on_response(era(3), 10 * SECOND), EraChange::Unchanged);
+    assert_eq!(
+        eras.on_response(era(1), 20 * SECOND),
+        EraChange::Superseded,
+        "late ones, one by one"
+    );
+    assert_eq!(eras.on_response(era(1), 40 * SECOND), EraChange::Replaced { before: era(3) });
+    assert_eq!((eras.current(), eras.resolve_reported(StoreEra::UNKNOWN)), (era(1), era(1)));
 }
 
 #[test]
@@ -72,50 +76,54 @@
 
 #[test]
 fn a_word_without_an_era_is_of_the_first_one_that_was_heard_of() {
-    let mut eras = eras_since(4);
-    assert_eq!(eras.of_word(StoreEra::UNTOLD), era(4));
-    eras.on_answer(era(5), 1);
-    assert_eq!(eras.of_word(StoreEra::UNTOLD), era(4));
-    assert_eq!(eras.of_word(era(6)), era(6));
+    let mut eras = eras_from(4);
+    assert_eq!(eras.resolve_reported(StoreEra::UNKNOWN), era(4));
+    eras.on_response(era(5), 1);
+    assert_eq!(eras.resolve_reported(StoreEra::UNKNOWN), era(4));
+    assert_eq!(eras.resolve_reported(era(6)), era(6));
 }
 
 #[test]
 fn a_word_of_an_era_that_is_over_confirms_nothing() {
-    let mut copy = CopyFreshness::default();
-    let everything =
-        StoreUpdate { era: era(2), known_to: RevisionNumber(9), whole: true, entries: Vec::new() };
-    copy.on_read(&everything, 0);
-    let eras = eras_since(2);
-    copy.on_word(FreshnessWord::new(at(1, 4), Some(0)), &eras, 3 * SECOND);
-    assert_eq!(copy.verdict(3 * SECOND, SECOND), Freshness::Unconfirmed);
-    copy.on_word(FreshnessWord::new(at(1, 900), Some(0)), &eras, 3 * SECOND);
-    assert_eq!(copy.behind_for_us(4 * SECOND), None, "nothing there is later");
-    copy.on_word(FreshnessWord::new(at(2, 9), Some(0)), &eras, 4 * SECOND);
-    assert_eq!(copy.verdict(4 * SECOND, SECOND), Freshness::Fresh);
-    copy.on_word(FreshnessWord::new(at(3, 1), Some(0)), &eras, 4 * SECOND);
-    assert_eq!(copy.verdict(5 * SECOND, SECOND), Freshness::Behind);
+    let mut replica = ReplicaFreshness::default();
+    let everything = StoreUpdate {
+        era: era(2),
+        known_to: RevisionNumber(9),
+        is_snapshot: true,
+        entries: Vec::new(),
+    };
+    replica.on_full_read(&everything, 0);
+    let eras = eras_from(2);
+    replica.on_report(FreshnessReport::new(at(1, 4), Some(0)), &eras, 3 * SECOND);
+    assert_eq!(replica.assess(3 * SECOND, SECOND), Freshness::Unconfirmed);
+    replica.on_report(FreshnessReport::new(at(1, 900), Some(0)), &eras, 3 * SECOND);
+    assert_eq!(replica.behind_for_us(4 * SECOND), None, "nothing there is later");
+    replica.on_report(FreshnessReport::new(at(2, 9), Some(0)), &eras, 4 * SECOND);
+    assert_eq!(replica.assess(4 * SECOND, SECOND), Freshness::Fresh);
+    replica.on_report(FreshnessReport::new(at(3, 1), Some(0)), &eras, 4 * SECOND);
+    assert_eq!(replica.assess(5 * SECOND, SECOND), Freshness::Behind);
 }
 
 /// Nobody can tell what was lost between two eras.
 #[test]
 fn a_copy_goes_into_a_later_era_by_a_whole_list_alone() {
-    let update = |in_era, known_to, whole| StoreUpdate {
+    let update = |in_era, known_to, is_snapshot| StoreUpdate {
         era: era(in_era),
         known_to: RevisionNumber(known_to),
-        whole,
+        is_snapshot,
         entries: Vec::new(),
     };
-    let mut copy = StoreCopy::default();
-    copy.apply(&update(1, 50, true));
-    assert!(!copy.takes(&update(2, 60, false)));
-    copy.apply(&update(2, 60, false));
-    assert_eq!(copy.known_to(), Some(at(1, 50)));
-    copy.apply(&update(2, 40, true));
-    assert_eq!(copy.known_to(), Some(at(2, 40)));
-    copy.apply(&update(1, 90, true));
-    assert_eq!(copy.known_to(), Some(at(2, 40)), "an era that is over");
-    assert!(copy.update_since(Some(at(1, 90))).unwrap().whole);
-    assert!(!copy.update_since(Some(at(2, 40))).unwrap().whole);
+    let mut replica = StoreReplica::default();
+    replica.apply(&update(1, 50, true));
+    assert!(!replica.accepts(&update(2, 60, false)));
+    replica.apply(&update(2, 60, false));
+    assert_eq!(replica.known_to(), Some(at(1, 50)));
+    replica.apply(&update(2, 40, true));
+    assert_eq!(replica.known_to(), Some(at(2, 40)));
+    replica.apply(&update(1, 90, true));
+    assert_eq!(replica.known_to(), Some(at(2, 40)), "an era that is over");
+    assert!(replica.update_since(Some(at(1, 90))).unwrap().is_snapshot);
+    assert!(!replica.update_since(Some(at(2, 40))).unwrap().is_snapshot);
 }
 
 fn record(id: &str, draining: bool, revision: StoreRevision) -> RunnerRecord {
@@ -161,7 +169,7 @@
 #[test]
 fn a_life_that_ended_does_not_come_back_with_an_older_copy() {
     let name = RunnerName::new("a");
-    let life = |born_ms| RunnerId::of_life(&name, Some(born_ms));
+    let life = |born_ms| RunnerId::of_incarnation(&name, Some(born_ms));
     let record = |born_ms, revision| RunnerRecord { revision, ..runner_record(life(born_ms)) };
     let mut fleet = Fleet::default();
     fleet.put(record(100, at(1, 50)));
@@ -173,11 +181,11 @@
 #[test_case(false; "the store is not known to have been away")]
 #[test_case(true; "the store has been away")]
 fn entries_that_an_older_copy_lacks_may_be_written_again(was_away: bool) {
-    let mut copy = CopyFreshness::default();
+    let mut replica = ReplicaFreshness::default();
     let answered_us = if was_away { 0 } else { 4 * SECOND };
-    copy.on_store_answer(at(1, 50), answered_us);
-    copy.on_later_era(4 * SECOND + 50_000);
-    assert!(copy.lapses_until_us(4 * SECOND + 60_000).is_some());
+    replica.on_store_response(at(1, 50), answered_us);
+    replica.on_later_era(4 * SECOND + 50_000);
+    assert!(replica.lapse_grace_until_us(4 * SECOND + 60_000).is_some());
 }
 
 #[derive(Clone, Debug)]
@@ -185,7 +193,7 @@
     Write(u8),
     Remove(u8),
     /// The store comes back from its last copy.
-    ComeBack,
+    Restore,
     BackUp,
     /// The reader asks the store.
     Read,
@@ -197,7 +205,7 @@
     prop_oneof![
         5 => (0_u8..5).prop_map(Step::Write),
         2 => (0_u8..5).prop_map(Step::Remove),
-        1 => Just(Step::ComeBack),
+        1 => Just(Step::Restore),
         1 => Just(Step::BackUp),
         3 => Just(Step::Read),
         3 => Just(Step::Follow),
@@ -213,7 +221,7 @@
 }
 
 impl Store {
-    fn whole(&self, in_era: u64) -> StoreUpdate {
+    fn snapshot(&self, in_era: u64) -> StoreUpdate {
         let entry = |(key, (revision, write)): (&String, &(u64, u64))| StoreEntry {
             key: key.clone(),
             document: Some(write.to_string()),
@@ -221,11 +229,11 @@
         };
         let entries = self.entries.iter().map(entry).collect();
         let known_to = RevisionNumber(self.revision);
-        StoreUpdate { era: era(in_era), known_to, whole: true, entries }
+        StoreUpdate { era: era(in_era), known_to, is_snapshot: true, entries }
     }
 
     /// What a watch from a revision of this era tells.
-    fn since(&self, in_era: u64, after: u64) -> StoreUpdate {
+    fn changes_since(&self, in_era: u64, after: u64) -> StoreUpdate {
         let entry = |(revision, key, write): &(u64, String, Option<u64>)| StoreEntry {
             key: key.clone(),
             document: write.map(|write| write.to_string()),
@@ -233,7 +241,7 @@
         };
         let entries = self.changes.iter().filter(|(it, _, _)| *it > after).map(entry).collect();
         let known_to = RevisionNumber(self.revision);
-        StoreUpdate { era: era(in_era), known_to, whole: false, entries }
+        StoreUpdate { era: era(in_era), known_to, is_snapshot: false, entries }
     }
 }
 
@@ -244,7 +252,7 @@
         steps in prop::collection::vec(step(), 1..150),
     ) {
         let (mut store, mut backup, mut in_era, mut writes) = (Store::default(), Store::default(), 0, 0);
-        let (mut reader, mut follower) = (StoreCopy::default(), StoreCopy::default());
+        let (mut reader, mut follower) = (StoreReplica::default(), StoreReplica::default());
         for step in steps.into_iter().chain([Step::Read, Step::Follow]) {
             writes += 1;
             match step {
@@ -260,14 +268,14 @@
                     store.changes.push((store.revision, key.to_string(), None));
                 }
                 Step::BackUp => backup = store.clone(),
-                Step::ComeBack => {
+                Step::Restore => {
                     store = backup.clone();
                     in_era += 1;
                 }
                 Step::Read => {
                     let at_of_this_era = reader.known_to().filter(|at| at.era() == era(in_era));
                     let update = at_of_this_era
-                        .map_or_else(|| store.whole(in_era), |at| store.since(in_era, at.number().0));
+                        .map_or_else(|| store.snapshot(in_era), |at| store.changes_since(in_era, at.number().0));
                     reader.apply(&update);
                 }
                 Step::Follow => {
@@ -279,8 +287,8 @@
         }
         let held: BTreeMap<String, String> =
             store.entries.iter().map(|(key, (_, write))| (key.clone(), write.to_string())).collect();
-        for copy in [reader, follower] {
-            let entries = copy.update_since(None).unwrap().entries;
+        for replica in [reader, follower] {
+            let entries = replica.update_since(None).unwrap().entries;
             let copied: BTreeMap<String, String> =
                 entries.into_iter().map(|it| (it.key, it.document.unwrap())).collect();
             prop_assert_eq!(&copied, &held);
--- a/crates/serving/tests/suspicion.rs
+++ b/crates/serving/tests/suspicion.rs
@@ -8,19 +8,19 @@
 const SECOND: u64 = 1_000_000;
 
 /// A look that a doubt asked for has found the runner, or has not.
-fn look(runner: &mut Suspicion, since_us: u64, reachable: Option<bool>, now_us: u64) {
-    assert!(runner.on_doubt(since_us), "a look is due");
-    runner.on_verified(reachable, now_us);
+fn probe(runner: &mut Suspicion, since_us: u64, reachable: Option<bool>, now_us: u64) {
+    assert!(runner.begin_probe(since_us), "a look is due");
+    runner.on_probe_result(reachable, now_us);
 }
 
 #[test]
 fn a_busy_runner_is_not_suspected_however_long_one_request_waits() {
     let mut runner = Suspicion::default();
     runner.on_progress(900 * MILLI);
-    runner.on_silence(0, SECOND);
+    runner.on_attempt_timeout(0, SECOND);
     assert!(!runner.is_suspected(), "it has answered others since that request was sent");
-    look(&mut runner, SECOND, Some(true), SECOND + 3 * MILLI);
-    runner.on_silence(SECOND, 2 * SECOND);
+    probe(&mut runner, SECOND, Some(true), SECOND + 3 * MILLI);
+    runner.on_attempt_timeout(SECOND, 2 * SECOND);
     assert!(!runner.is_suspected(), "it took a connection");
 }
 
@@ -29,33 +29,33 @@
 #[test]
 fn a_short_silence_proves_nothing() {
     let mut runner = Suspicion::default();
-    runner.on_silence(SECOND, SECOND + 99 * MILLI);
+    runner.on_attempt_timeout(SECOND, SECOND + 99 * MILLI);
     assert!(!runner.is_suspected());
 }
 
 #[test]
 fn a_dark_runner_is_suspected_when_it_takes_no_connection() {
     let mut runner = Suspicion::default();
-    look(&mut runner, 0, Some(false), 200 * MILLI);
+    probe(&mut runner, 0, Some(false), 200 * MILLI);
     assert!(runner.is_avoided(0, 300 * MILLI));
-    assert!(!runner.on_doubt(300 * MILLI), "nothing is left to find out");
+    assert!(!runner.begin_probe(300 * MILLI), "nothing is left to find out");
 }
 
 #[test]
 fn one_look_at_a_time_is_enough() {
     let mut runner = Suspicion::default();
-    assert!(runner.on_doubt(0));
-    assert!(!runner.on_doubt(10));
-    runner.on_verified(Some(true), 20);
-    assert!(!runner.on_doubt(10), "it was found after that");
-    assert!(runner.on_doubt(30));
+    assert!(runner.begin_probe(0));
+    assert!(!runner.begin_probe(10));
+    runner.on_probe_result(Some(true), 20);
+    assert!(!runner.begin_probe(10), "it was found after that");
+    assert!(runner.begin_probe(30));
 }
 
 #[test]
 fn a_runner_that_takes_connections_and_answers_nobody_is_suspected_in_the_end() {
     let mut runner = Suspicion::default();
-    look(&mut runner, 0, Some(true), 100 * MILLI);
-    runner.on_silence(200 * MILLI, SECOND);
+    probe(&mut runner, 0, Some(true), 100 * MILLI);
+    runner.on_attempt_timeout(200 * MILLI, SECOND);
     assert!(runner.is_suspected(), "health that says otherwise does not count");
 }
 
@@ -63,7 +63,7 @@
 fn a_runner_cut_off_one_way_is_suspected_though_its_events_come() {
     let mut runner = Suspicion::default();
     runner.on_progress(100 * MILLI);
-    look(&mut runner, 150 * MILLI, Some(false), 350 * MILLI);
+    probe(&mut runner, 150 * MILLI, Some(false), 350 * MILLI);
     assert!(runner.is_suspected());
     runner.on_progress(400 * MILLI);
     assert!(!runner.is_suspected(), "evidence of life takes it back");
@@ -72,9 +72,9 @@
 #[test]
 fn a_node_that_stood_still_condemns_nobody() {
     let mut runner = Suspicion::default();
-    look(&mut runner, 0, None, 8 * SECOND);
+    probe(&mut runner, 0, None, 8 * SECOND);
     assert!(!runner.is_suspected());
-    assert!(runner.on_doubt(8 * SECOND), "it looks again");
+    assert!(runner.begin_probe(8 * SECOND), "it looks again");
 }
 
 #[test]
@@ -112,7 +112,7 @@
         for pause in pauses {
             now_us += pause;
             runner.on_progress(now_us);
-            runner.on_silence(now_us.saturating_sub(limit_us), now_us);
+            runner.on_attempt_timeout(now_us.saturating_sub(limit_us), now_us);
             prop_assert!(!runner.is_suspected());
         }
     }
--- a/crates/serving/tests/urgency.rs
+++ b/crates/serving/tests/urgency.rs
@@ -4,7 +4,7 @@
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::placement::{Choice, ReadingPlan};
 use pitchstall_serving::runner::AttemptDemand;
-use pitchstall_serving::urgency::{put_behind_if_late, rank};
+use pitchstall_serving::urgency::{defer_if_overdue, rank};
 use test_case::test_case;
 
 const TARGET_MS: f64 = 200.0;
@@ -19,9 +19,9 @@
     }
 }
 
-fn is_put_behind(wait_ms: f64, reading_ms: f64, elapsed_ms: f64) -> bool {
+fn is_deferred(wait_ms: f64, reading_ms: f64, elapsed_ms: f64) -> bool {
     let plan = ReadingPlan::Split(choice(wait_ms, reading_ms));
-    let planned = put_behind_if_late(plan, TARGET_MS, elapsed_ms);
+    let planned = defer_if_overdue(plan, TARGET_MS, elapsed_ms);
     let ReadingPlan::Split(choice) = planned else { unreachable!("the way of reading stays") };
     choice.demand.late_tokens > 0
 }
@@ -32,8 +32,8 @@
 #[test_case(100.0, 30.0, 150.0, true; "most of the time has passed")]
 #[test_case(0.0, 900.0, 0.0, false; "too long at any runner")]
 #[test_case(0.0, 30.0, 400.0, true; "late already")]
-fn waiting_puts_behind(wait_ms: f64, reading_ms: f64, elapsed_ms: f64, expected: bool) {
-    assert_eq!(is_put_behind(wait_ms, reading_ms, elapsed_ms), expected);
+fn waiting_defers_a_prompt(wait_ms: f64, reading_ms: f64, elapsed_ms: f64, expected: bool) {
+    assert_eq!(is_deferred(wait_ms, reading_ms, elapsed_ms), expected);
 }
 
 #[test]
@@ -61,7 +61,7 @@
     for (wait_ms, reading_ms) in [(0.0, 20.0), (150.0, 40.0), (300.0, 40.0), (0.0, 150.0)] {
         let ranked = |scale: f64| {
             let plan = ReadingPlan::Split(choice(wait_ms * scale, reading_ms * scale));
-            let planned = put_behind_if_late(plan, TARGET_MS * scale, 0.0);
+            let planned = defer_if_overdue(plan, TARGET_MS * scale, 0.0);
             let ReadingPlan::Split(choice) = planned else { unreachable!("the way stays") };
             rank(1, &choice, TARGET_MS * scale)
         };
