--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,64 +1,64 @@
-//! Operators' policy programs: short Rhai scripts that narrow where a request may run and
-//! set its priority.
+//! Operators' policy programs: short Rhai scripts that restrict where a request may run and set its
+//! priority.
 //!
-//! A program sees `host` (which the caller named), `service`, `prompt_tokens`, `max_tokens`,
-//! `zone` (where the request came in), `zones` (where runners of the service are) and
-//! `priority` (the route's, 0 is the most urgent), and returns a map with any of `zones` (a
-//! list of names) and `priority` (a whole number), or nothing. Zones it returns
-//! are intersected with those of the service: a program can narrow, never widen. Programs
-//! have no modules, no `eval`, no clock, and a limit on operations.
+//! A program reads `host` (as named by the client), `service`, `prompt_tokens`, `max_tokens`,
+//! `zone` (in which the request arrived), `zones` (in which the service has runners) and `priority`
+//! (of the route; 0 is the most urgent). It returns nothing, or a map with `zones` (a list of
+//! names), `priority` (an integer) or both. The zones must be among those of the service: a program
+//! can restrict the choice, never widen it. Programs have no modules, no `eval` and no clock, and
+//! their number of operations is limited.
 
 use pitchstall_serving::ids::{ServiceName, ZoneId};
 use rhai::{Array, Dynamic, Engine, Map, Scope, AST};
 use std::collections::BTreeSet;
 
-/// Most operations of one run. A program of ten lines takes about a hundred.
+/// Maximum number of operations of one run. A program of ten lines takes about a hundred.
 pub const MAX_OPERATIONS: u64 = 20_000;
 const MAX_EXPRESSION_DEPTH: usize = 32;
 const MAX_COLLECTION_ITEMS: usize = 1_024;
 const MAX_STRING_BYTES: usize = 4_096;
 
-/// What a program sees of a request.
+/// What a program can read about a request.
 #[derive(Clone, Debug)]
 pub struct PolicyInput<'a> {
-    /// The host that the caller named.
+    /// The host that the client named.
     pub host: &'a str,
-    /// The service.
+    /// The service that the request is for.
     pub service: &'a ServiceName,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub max_tokens: u64,
-    /// The zone in which the request came in.
+    /// The zone in which the request arrived.
     pub zone: &'a ZoneId,
-    /// Zones in which the service has runners.
+    /// The zones in which the service has runners.
     pub zones: &'a BTreeSet<ZoneId>,
-    /// The route's priority; 0 is the most urgent.
+    /// Priority of the route; 0 is the most urgent.
     pub priority: u32,
 }
 
 /// What a program decided.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PolicyDecision {
-    /// Zones left; `None`: not narrowed. May be empty.
+    /// The zones that remain, possibly none; `None`: no restriction.
     pub zones: Option<BTreeSet<ZoneId>>,
     /// The priority; `None`: the route's.
     pub priority: Option<u32>,
 }
 
-/// What is wrong with a program.
+/// Why a program was rejected or failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyError {
-    /// It does not parse.
+    /// The program does not parse.
     #[error("the policy program does not parse: {0}")]
     Syntax(String),
-    /// It failed or used up its operations.
+    /// The program failed, or exceeded its limit of operations.
     #[error("the policy program failed: {0}")]
     Run(String),
-    /// It returned something else than a map or nothing.
+    /// The program returned something other than nothing or a map with the expected fields.
     #[error("the policy program returned {0}; expected a map with `zones` or `priority`")]
     UnexpectedResult(String),
-    /// It named a zone that the service may not use.
+    /// The program named a zone that is not among the service's.
     #[error("the policy program named zone `{0}`, which the service may not use")]
     ForbiddenZone(ZoneId),
 }
@@ -95,15 +95,15 @@
         Self { engine }
     }
 
-    /// Compiles a program.
+    /// Compiles a program; fails if it does not parse.
     pub fn compile(&self, source: &str) -> Result<Policy, PolicyError> {
         let program =
             self.engine.compile(source).map_err(|error| PolicyError::Syntax(error.to_string()))?;
         Ok(Policy { program })
     }
 
-    /// Runs a program. A zone outside the service's is an error here, so that the operator
-    /// hears of it; callers of this function refuse the request then.
+    /// Runs a program. A zone outside the service's is an error, so that the operator learns of the
+    /// mistake; the caller must then refuse the request.
     pub fn run(
         &self,
         policy: &Policy,
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -1,73 +1,74 @@
-//! What an attempt proves, and the final answer that follows from all attempts.
+//! What an attempt proves, and the final response that follows from all attempts.
 //!
-//! A refusal promises that a request has not run and never will. So it may only be given
-//! when every attempt proves that: a connection that was never made, or a runner that says
-//! so itself. Silence, a reset and a close prove nothing.
+//! A refusal promises that a request has not run and never will. It is therefore allowed only if
+//! every attempt proves that: the connection was never made, or the runner itself reported that the
+//! request did not run. Silence, a reset and a closed connection prove nothing.
 
-/// What is known of a request after an attempt.
+/// What is known about the execution of a request after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Execution {
-    /// No runner has begun it and none will.
+    /// No runner has started the request, and none will.
     NotRun,
-    /// A runner may have begun it, or may yet.
+    /// A runner may have started the request, or may still do so.
     Unknown,
-    /// A runner has run it.
+    /// A runner has run the request.
     Ran,
 }
 
-/// Why a request ends without a runner's answer.
+/// Why a request ends without a runner's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// The deadline or the route's time limit has come.
+    /// The deadline or the route's time limit has passed.
     OutOfTime,
-    /// No runner could take it.
+    /// No runner could take the request.
     NoRunner,
-    /// What its runners take from all nodes together is used up.
+    /// The limit that its runners set for all nodes together is used up.
     LimitUsedUp {
-        /// Milliseconds until a runner takes one more.
+        /// Time until a runner takes another request, in milliseconds.
         wait_ms: u64,
     },
-    /// Every runner that was asked refused it.
+    /// Every runner that was tried refused the request.
     Refused,
-    /// An attempt failed, and the request may not be repeated.
+    /// An attempt failed, and the request must not be retried.
     Failed,
-    /// Runners have ended under it: it reaches none any more.
+    /// Runners have crashed under the request, so it is sent to no other.
     Quarantined,
-    /// Its tenant has reached its limit.
+    /// The tenant has reached its quota.
     OverQuota {
-        /// Milliseconds until there is room for it.
+        /// Time until the quota has room for the request, in milliseconds.
         wait_ms: u64,
     },
-    /// Nobody could be asked whether its tenant has reached its limit.
+    /// No keeper of the tenant's quota could be reached.
     QuotaUnknown,
 }
 
-/// An answer that the node makes itself.
+/// A response that the node produces itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// Not run; the client may come back.
+    /// Not run; the client may retry.
     Refuse,
-    /// Not run, as what its runners take is used up.
+    /// Not run, since the limit of its runners is used up.
     RefuseUntil {
-        /// Milliseconds until a runner takes one more.
+        /// Time until a runner takes another request, in milliseconds.
         wait_ms: u64,
     },
-    /// Not run, and not to be sent again.
+    /// Not run; the client must not retry.
     RefusePermanently,
-    /// Not run, as its tenant has reached its limit.
+    /// Not run, since the tenant has reached its quota.
     OverQuota {
-        /// Milliseconds until there is room for it.
+        /// Time until the quota has room for the request, in milliseconds.
         wait_ms: u64,
     },
-    /// Not run, as nobody knows whether its tenant has reached its limit; another node may.
+    /// Not run, since no keeper of the tenant's quota could be reached; another node may reach one.
     QuotaUnknown,
     /// May have run; the attempt failed.
     BadGateway,
-    /// May have run; time is up.
+    /// May have run; the time limit has passed.
     TimedOut,
 }
 
-/// The only place that chooses between a refusal and a failure.
+/// Chooses the response of a request that ends without a runner's. This is the only place that
+/// decides between a refusal and a failure.
 pub fn final_response(execution: Execution, reason: EndReason) -> FinalResponse {
     match (execution, reason) {
         (Execution::NotRun, EndReason::Quarantined) => FinalResponse::RefusePermanently,
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators put in force.
+//! The configuration that the operators have put in force.
 
 use crate::capacity_planner::ScalingSpec;
 use crate::ids::ServiceName;
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// One version of the whole configuration. Versions rise, not always by one.
+/// One version of the whole configuration. Versions increase, not necessarily by one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// The version.
+    /// Number of the version.
     pub version: u64,
     /// Routes by host.
     pub routes: RouteTable,
@@ -18,12 +18,13 @@
     pub services: BTreeMap<ServiceName, Service>,
     /// Limits on what clients may send.
     pub limits: ClientLimits,
-    /// Who may send requests.
+    /// The tenants that may send requests.
     pub tenants: Tenants,
 }
 
 impl Configuration {
-    /// The shortest target of the routes that a service has a share in, milliseconds.
+    /// The smallest target time among the routes in which a service has a share, in milliseconds;
+    /// `None` if there is no such route.
     pub fn min_target_ms(&self, service: &ServiceName) -> Option<u64> {
         let serves = |route: &&Rc<Route>| {
             route.shares.iter().any(|share| share.service == *service && share.weight > 0)
@@ -32,26 +33,28 @@
     }
 }
 
-/// Routes, found by host: a request looks at those of its own host alone, however many there are.
+/// Routes by host. A lookup examines only the routes of the request's host, however many routes
+/// there are.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
-    /// By host in lower case; of a host, the longest prefix first.
+    /// Keys are hosts in lower case; the routes of a host are sorted with the longest prefix first.
     by_host: HashMap<String, Vec<Rc<Route>>>,
 }
 
 impl RouteTable {
-    /// The route of a request: of the host's routes, the one with the longest prefix of the path.
+    /// The route of a request: among the host's routes, the one with the longest matching path
+    /// prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = self.by_host.get(&host.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// All routes, in no order.
+    /// All routes, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Route>> {
         self.by_host.values().flatten()
     }
 
-    /// How many routes there are.
+    /// Number of routes.
     pub fn len(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
@@ -75,45 +78,46 @@
     }
 }
 
-/// What may be done with a request that failed.
+/// Whether a failed request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
     NonIdempotent,
-    /// Answered by a stream of events; runs at most once unless it may be resumed.
+    /// The response is a stream of events; runs at most once unless the route is resumable.
     Streaming,
 }
 
-/// Requests of one host and path prefix.
+/// Rules for the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
     /// Host that clients name.
     pub host: String,
-    /// Beginning of the path.
+    /// Prefix of the path.
     pub prefix: String,
-    /// What may be done with a request that failed.
+    /// Whether a failed request may be retried.
     pub kind: RequestKind,
-    /// Longest time the operators want a request held, milliseconds.
+    /// Maximum time for which the operators want a request to be held, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full worth, milliseconds.
+    /// Time within which a response earns its full value, in milliseconds.
     pub target_ms: u64,
-    /// Longest pause between events of a stream in time, milliseconds.
+    /// Maximum gap between events of a stream that counts as in time, in milliseconds; `None`: no
+    /// target.
     pub gap_target_ms: Option<u64>,
-    /// Rank; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
     /// Services that share the requests, with their weights.
     pub shares: Vec<Share>,
-    /// Most runners that may run one request.
+    /// Maximum number of runners that may run one request.
     pub max_attempts: u32,
-    /// Whether requests name the parts of their prompt.
+    /// Whether requests name the shared prefixes of their prompt.
     pub sticky: bool,
-    /// Whether a broken stream may go on at another runner.
+    /// Whether a broken stream may continue at another runner.
     pub resumable: bool,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
@@ -124,47 +128,48 @@
     }
 }
 
-/// A service's part of a route.
+/// A service's share of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     /// The service.
     pub service: ServiceName,
-    /// Its weight among the route's shares.
+    /// Weight among the route's shares.
     pub weight: u32,
 }
 
 /// A service that runners offer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Connections that a runner takes from all callers together.
+    /// Maximum number of connections that a runner accepts in total.
     pub max_connections: u32,
-    /// What its runners are, if they run a language model.
+    /// Properties of its runners; `None` if they do not run a language model.
     pub engine: Option<EngineSpec>,
-    /// How its runners can be ordered, if they can.
+    /// How its runners can be ordered; `None` if they cannot.
     pub scaling: Option<ScalingSpec>,
 }
 
-/// A runner of a language model.
+/// Properties of the runners of a language model.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineSpec {
     /// Requests in one batch.
     pub slots: u32,
-    /// Prompt tokens that the KV cache holds.
+    /// Capacity of the KV cache, in prompt tokens.
     pub kv_tokens: u64,
-    /// Seconds that a prompt's handle is kept.
+    /// Time for which the handle of a prompt is kept, in seconds.
     pub handle_ttl_s: f64,
-    /// Bytes of KV cache of a token; 0: not told.
+    /// Size of a token in the KV cache, in bytes; 0: unknown.
     pub token_bytes: u64,
-    /// Bandwidth of a runner's link for KV cache, megabits a second; 0: not told.
+    /// Bandwidth of a runner's link for transfers of KV cache, in megabits per second; 0: unknown.
     pub transfer_mbps: f64,
 }
 
 impl EngineSpec {
-    /// How many times as long as inside a zone a move of KV cache between regions takes, by the
-    /// platform's interface.
+    /// A transfer of KV cache between regions takes this many times as long as one within a zone,
+    /// according to the platform's interface.
     const CROSS_REGION_FACTOR: f64 = 10.0;
 
-    /// Time that a move of KV cache between regions takes, milliseconds a token; `None`: not told.
+    /// Time of a transfer of KV cache between regions, in milliseconds per token; `None` if the
+    /// size of a token or the bandwidth is unknown.
     pub fn cross_region_ms_per_token(&self) -> Option<f64> {
         const BITS_PER_BYTE: f64 = 8.0;
         const BITS_PER_MS_PER_MBPS: f64 = 1_000.0;
@@ -178,13 +183,13 @@
 /// Limits on what clients may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Time to send a request's head, milliseconds.
+    /// Time within which a client must send a request's head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time for which a connection may rest between requests, milliseconds.
+    /// Time for which a connection may be idle between requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
--- a/crates/serving/src/digest.rs
+++ b/crates/serving/src/digest.rs
@@ -1,9 +1,9 @@
-//! What every node tells the others now and then: that it is there, how fresh its copy of the
-//! store is, which runners are changing their role, and what its clock says.
+//! The digest that every node sends to others periodically: that it is running, how fresh its
+//! replica of the store is, which runners are changing their role, and its wall clock.
 //!
-//! A digest holds all of that, not changes, so a lost or doubled one does no harm; one that
-//! arrives late is told by its sequence. Loads and caches of runners are not in it: they are
-//! known to the runners' schedulers ([`crate::scheduling`]).
+//! A digest holds the whole state, not changes, so a lost or duplicated one does no harm; its
+//! sequence number shows one that arrives late. Loads and caches of runners are not part of it: the
+//! runners' schedulers know them ([`crate::scheduling`]).
 
 use crate::freshness::StoreFreshnessReport;
 use crate::ids::{NodeId, RunnerId};
@@ -15,97 +15,100 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A runner was ordered to change its role. The word grows old on its way from node to node:
-/// told again it ends when it would have ended, and not later.
+/// A runner that was ordered to change its role. The remaining time shrinks as the report passes
+/// from node to node, so a repeated report does not prolong the transition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleTransition {
     /// The runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
-    /// Its new role. A runner that has it already is not changing.
+    /// The new role. A runner that already has it is not in transition.
     #[serde(rename = "s")]
     pub stage: Stage,
-    /// Milliseconds for which it is still to be left alone.
+    /// Time for which the runner must still be left alone, in milliseconds.
     #[serde(rename = "l")]
     pub remaining_ms: u64,
 }
 
-/// A node holds a keeper of tenants' limits.
+/// A keeper of tenants' limits that a node holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldKeeper {
     /// The keeper.
     #[serde(rename = "k")]
     pub keeper: KeeperId,
-    /// The store's revision at which the node took it.
+    /// Revision of the store at which the node took the keeper.
     #[serde(rename = "r")]
     revision: RevisionNumber,
-    /// The era of that revision. Builds that know no eras tell none.
+    /// Era of that revision. Builds without support for eras leave it out.
     #[serde(rename = "e", default, skip_serializing_if = "StoreEra::is_unknown")]
     era: StoreEra,
 }
 
 impl HeldKeeper {
-    /// A node took a keeper at a revision.
+    /// A keeper that a node took at `revision`.
     pub fn new(keeper: KeeperId, revision: StoreRevision) -> Self {
         Self { keeper, revision: revision.number(), era: revision.era() }
     }
 
-    /// The store's revision at which the node took it, as a node takes it that has heard of these eras.
+    /// Revision of the store at which the node took the keeper; `eras` resolves an era that was
+    /// left out.
     pub fn revision(&self, eras: &StoreEras) -> StoreRevision {
         StoreRevision::new(eras.resolve_reported(self.era), self.revision)
     }
 }
 
-/// One node's word to another.
+/// A node's report of its state to another node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The node.
+    /// The node that sends the digest.
     pub node: NodeId,
-    /// This start of the node, drawn at random: the time of day may jump back.
+    /// Random number of this start of the node. The time of day would not do, since it may jump
+    /// back.
     pub incarnation: u64,
-    /// Counts the node's digests.
+    /// Number of the digest, counted within the incarnation.
     pub sequence: u64,
-    /// What the node tells of itself.
+    /// What the node reports about itself.
     pub member: Member,
-    /// How fresh the node's copy of the store is.
+    /// How fresh the node's replica of the store is.
     #[serde(default)]
     pub store: StoreFreshnessReport,
-    /// Runners that were ordered to change their role and take no work meanwhile.
+    /// Runners that were ordered to change their role and receive no work meanwhile.
     #[serde(default)]
     pub changing: Vec<RoleTransition>,
     /// The keepers of tenants' limits that the node holds.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub held_keepers: Vec<HeldKeeper>,
-    /// What runners take from all nodes together that the node counts for all.
+    /// Limits of runners that apply to all nodes together and that this node counts.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<LimitWord>,
-    /// Whether a planned stop of the node has begun: it counts no runner's limit any more.
+    /// Whether a planned stop of the node has begun, after which it no longer counts runners'
+    /// limits.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_stopping: bool,
-    /// What the machine's clock says, milliseconds since 1970.
+    /// Wall clock of the machine, in milliseconds since 1970.
     #[serde(default)]
     pub wall_ms: u64,
 }
 
-/// How fresh a digest is.
+/// How a digest relates to earlier ones of the same node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DigestStatus {
-    /// From a start of a node that was not known.
+    /// The first digest of a start of a node.
     NewIncarnation,
-    /// Later than all before.
+    /// Later than all earlier digests.
     Newer,
-    /// Overtaken by a later one.
+    /// Overtaken by a later digest.
     Stale,
 }
 
-/// The last digest of each node.
+/// The latest digest of each node.
 #[derive(Clone, Debug, Default)]
 pub struct DigestTracker {
     last: HashMap<NodeId, (u64, u64)>,
 }
 
 impl DigestTracker {
-    /// Notes a digest and tells how fresh it is.
+    /// Records a digest and returns how it relates to earlier ones.
     pub fn on_digest(&mut self, digest: &Digest) -> DigestStatus {
         let newest = (digest.incarnation, digest.sequence);
         match self.last.insert(digest.node.clone(), newest) {
@@ -121,24 +124,25 @@
     }
 }
 
-/// Nodes that one digest goes to; with more of them they take turns.
+/// Nodes that receive one digest; if there are more, they take turns.
 pub const DIGEST_FAN_OUT: usize = 16;
-/// How many of them are of other regions, if there are any: with a digest a second each node there
-/// hears of this one twice a minute in fleets of 60 nodes elsewhere, and the list tells who is there.
+/// How many of them are in other regions, if there are any. At one digest a second, each of 60
+/// remote nodes receives one twice a minute; the lists of members that nodes exchange show the
+/// rest.
 const REMOTE_FAN_OUT: usize = 2;
 
-/// Time without a digest after which a node counts as gone among so many, microseconds.
+/// Time without a digest after which a node counts as gone in a fleet of `nodes`, in microseconds.
 pub fn silence_timeout_us(nodes: usize) -> u64 {
-    /// Between two digests of a node, and what may be lost of them.
+    /// Time between two digests of a node, and the number of lost digests that is tolerated.
     const DIGEST_INTERVAL_US: u64 = 1_000_000;
     const MAX_LOST_DIGESTS: u64 = 3;
-    /// Rounds of digests, which go to some nodes at a time.
+    /// Rounds over all nodes to allow for, since each digest reaches only some of them.
     const ROUNDS: u64 = 2;
     let rounds = nodes.div_ceil(DIGEST_FAN_OUT) as u64 * ROUNDS;
     (rounds + MAX_LOST_DIGESTS) * DIGEST_INTERVAL_US
 }
 
-/// Whose turn it is to hear of a node.
+/// Positions in the rotation over the nodes that receive a digest.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DigestRotation {
     next_in_region: usize,
@@ -146,7 +150,7 @@
 }
 
 impl DigestRotation {
-    /// The nodes that the next digest goes to: most are of the own region.
+    /// The nodes that receive the next digest; most of them are in the own region.
     pub fn next<A: Copy>(&mut self, in_region: &[A], remote: &[A]) -> Vec<A> {
         let remote_count =
             if in_region.is_empty() { DIGEST_FAN_OUT } else { REMOTE_FAN_OUT }.min(remote.len());
--- a/crates/serving/src/event_stream.rs
+++ b/crates/serving/src/event_stream.rs
@@ -1,16 +1,16 @@
-//! Streams of server-sent events: only whole events are forwarded, so that a stream that
-//! breaks off can go on at another runner after the last event that the client has.
+//! Streams of server-sent events. Only complete events are forwarded, so that a broken stream can
+//! continue at another runner after the last event that the client has received.
 
-/// A whole event, with the blank line that ends it.
+/// A complete event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as the runner sent them.
+    /// The event as the runner sent it.
     pub bytes: Vec<u8>,
-    /// Its id, if it has one.
+    /// The `id` field; `None` if the event has none.
     pub id: Option<String>,
 }
 
-/// Cuts a stream of bytes into events.
+/// Splits a stream of bytes into events.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
@@ -18,7 +18,7 @@
 }
 
 impl EventSplitter {
-    /// Takes the next bytes and returns the events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -31,12 +31,12 @@
         events
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of the event that is not yet complete.
     pub fn pending(&self) -> &[u8] {
         &self.pending
     }
 
-    /// Where the first whole event ends: after an empty line.
+    /// End of the first complete event, which is after its blank line.
     fn find_end(&mut self) -> Option<usize> {
         let mut line_start = self.scanned;
         while let Some(length) = self.pending[line_start..].iter().position(|byte| *byte == b'\n') {
@@ -58,7 +58,7 @@
     Some(text.trim().to_owned())
 }
 
-/// Joins the runs of one stream: an event passes once, in order.
+/// Merges consecutive runs of one stream, so that each event is forwarded once and in order.
 #[derive(Clone, Debug, Default)]
 pub struct EventDeduplicator {
     last_id: Option<u64>,
@@ -67,24 +67,24 @@
 /// What to do with an event of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventAction {
-    /// It follows; forward it.
+    /// The event is new; forward it.
     Forward,
-    /// The client has it already.
+    /// The client has already received the event.
     Skip,
 }
 
 impl EventDeduplicator {
-    /// A stream that goes on after the given event.
+    /// A stream that continues after the event with this id; `None`: from its start.
     pub fn after(last_id: Option<u64>) -> Self {
         Self { last_id }
     }
 
-    /// The id of the last event that was forwarded.
+    /// Id of the last event that was forwarded; `None` if there is none.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Decides about the next event of a run.
+    /// Decides about the next event of a run. An event without a numeric id is always forwarded.
     pub fn on_event(&mut self, event: &Event) -> EventAction {
         let Some(id) = event.id.as_deref().and_then(|id| id.parse::<u64>().ok()) else {
             return EventAction::Forward;
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -1,81 +1,88 @@
-//! How fresh a node's copy of the store is, by its own answers and by other nodes' word.
+//! How fresh a node's replica of the store is, from the store's responses and from other nodes'
+//! reports.
 //!
-//! A watch that waits says nothing about whether it still works. Asking again and again costs
-//! a call each time, at every node. So nodes tell each other up to which revision they know a
-//! subject and how long ago the store confirmed that. A node whose copy reaches the last change
-//! that any node has seen is as fresh as the freshest word, whatever its own watch does; one
-//! that has heard nothing for a while asks the store itself, and what it learns spares the
-//! others the same call. In a fleet the calls that only confirm therefore do not grow with it.
+//! A watch that waits for a change does not show whether it still works, and polling the store
+//! costs a call each time, at every node. Nodes therefore report to each other the last change of a
+//! subject that they have seen, and how long ago the store confirmed that it was the last. A
+//! replica that includes the last change seen by any node is as fresh as the freshest report,
+//! whatever the state of its own watch. A node that has received no confirmation for a while
+//! queries the store itself, and its report spares the others the same call, so the number of calls
+//! that only confirm does not grow with the fleet.
 //!
-//! Ages are handed on as ages, so clocks are never compared. A word that was held up on its way
-//! is believed to be younger than it is, by that time; whoever believes it asks that much later,
-//! counted from when it came.
+//! Reports carry ages, so clocks are never compared. A report that was delayed on its way makes a
+//! confirmation look younger by the delay; its receiver queries the store later by as much, counted
+//! from the arrival.
 
 use crate::store_replica::{StoreUpdate, Subject};
 use crate::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 use serde::{Deserialize, Serialize};
 
-/// What a node tells of one subject.
+/// What a node reports about one subject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreshnessReport {
     /// Revision of the last change that the node has seen.
     #[serde(rename = "c")]
     changed_at: RevisionNumber,
-    /// The era of that revision. Builds that know no eras tell none.
+    /// Era of that revision. Builds without support for eras leave it out.
     #[serde(rename = "e", default, skip_serializing_if = "StoreEra::is_unknown")]
     era: StoreEra,
-    /// Milliseconds since the store confirmed that there was none after it; `None`: never.
+    /// Time since the store confirmed that there was no later change, in milliseconds; `None`: it
+    /// never has.
     #[serde(rename = "a")]
     pub age_ms: Option<u64>,
 }
 
 impl FreshnessReport {
-    /// A word that the last change was at a revision, as the store confirmed so long ago.
+    /// A report that the last change was at `changed_at`, as the store confirmed `age_ms` ago.
     pub fn new(changed_at: StoreRevision, age_ms: Option<u64>) -> Self {
         Self { changed_at: changed_at.number(), era: changed_at.era(), age_ms }
     }
 
-    /// Revision of the last change that the node has seen, as a node takes it that has heard of these eras.
+    /// Revision of the last change that the node has seen; `eras` resolves an era that was left
+    /// out.
     pub fn changed_at(&self, eras: &StoreEras) -> StoreRevision {
         StoreRevision::new(eras.resolve_reported(self.era), self.changed_at)
     }
 }
 
-/// Whether a node's copy can be relied on.
+/// Whether a node's replica can be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Confirmed lately.
+    /// The replica was confirmed within the time for which a confirmation holds.
     Fresh,
-    /// Nobody has confirmed it lately.
+    /// No confirmation within that time.
     Unconfirmed,
-    /// Another node has seen a later change for longer than a watch takes to tell.
+    /// Another node has seen a later change, and this node's watch did not deliver it in time.
     Behind,
 }
 
-/// Time that a node's own watch has to tell what another node has already seen, microseconds.
+/// Time that a node's own watch has to deliver a change that another node has already seen, in
+/// microseconds.
 const WATCH_DELIVERY_TIMEOUT_US: u64 = 300_000;
-/// Time for which a node that has read everything waits for another one's word on which change
-/// was the last, before it tells its own bound: that makes nodes that know better ask.
+/// Time for which a node that has read all entries waits for another node's report of the last
+/// change, before it reports the revision of its read, in microseconds. That revision is an upper
+/// bound, which makes nodes with better knowledge query the store.
 const LAST_CHANGE_WAIT_US: u64 = 1_300_000;
-/// Time without word from the store after which it counts as having been away, microseconds. While
-/// all is well its word comes within 1.8 s on the users' deployments, and the first entries lapse
-/// after three heartbeats of more than a second.
+/// Time without a response of the store after which the store counts as having been unavailable, in
+/// microseconds. In normal operation a response comes within 1.8 s on the users' deployments, and
+/// the first entries lapse after three missed heartbeats of more than a second each.
 const STORE_AWAY_AFTER_US: u64 = 2_200_000;
-/// Time after its return within which entries that lapsed are back, microseconds: the platform
-/// promises about two seconds. A little less, as a runner that is gone for good may get no request
-/// two seconds after its entry was seen to be gone.
+/// Time after the store's return within which lapsed entries are written again, in microseconds.
+/// The platform promises about two seconds. The value is a little lower, since a runner that is
+/// gone for good must receive no request two seconds after its entry was found missing.
 const LAPSE_GRACE_US: u64 = 1_800_000;
-/// Time after the last word of a later change within which it is believed that there is one, microseconds:
-/// nodes repeat their words each second or some seconds, and one whose store has been replaced tells of
-/// revisions that this node's store never had.
+/// Time after the last report of a later change for which the change is assumed to exist, in
+/// microseconds. Nodes repeat their reports every one to several seconds, and a node whose store
+/// was replaced reports revisions that this node's store never had.
 const REPORTED_CHANGE_TTL_US: u64 = 5_000_000;
-/// Later changes that are remembered: a storm of three a second for as long as words are believed.
+/// Reported later changes that are remembered: three changes a second for as long as a report
+/// holds.
 const MAX_REPORTED_CHANGES: usize = 16;
-/// Added to an age for each time it is handed on, milliseconds.
+/// Time added to an age for each hop between nodes, in milliseconds.
 const AGE_ADDED_PER_HOP_MS: u64 = 20;
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// A change that is not known here and that other nodes have told of.
+/// A change that other nodes have reported and that this node does not know.
 #[derive(Clone, Copy, Debug)]
 struct ReportedChange {
     revision: StoreRevision,
@@ -83,49 +90,51 @@
     last_us: u64,
 }
 
-/// Freshness of a node's copy of one subject.
+/// Freshness of a node's replica of one subject.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaFreshness {
-    /// The subject is one entry, which is never removed: the revision of the entry tells the last change. Otherwise
-    /// what was removed before everything was read does not show.
+    /// The subject consists of one entry that is never removed, so the revision of the entry is the
+    /// last change. For other subjects a snapshot does not show removals before it.
     is_single_entry: bool,
     known_to: StoreRevision,
-    /// No change after this revision is known. After everything has been read that is the
-    /// read's own revision, as what was removed before it does not show.
+    /// Revision of the last known change. After a read of all entries it is the revision of the
+    /// read, since the read does not show earlier removals.
     changed_at: StoreRevision,
-    /// When everything was read, until it is known better which change was the last.
+    /// Time of the last read of all entries, until the last change is known exactly; in
+    /// microseconds.
     read_at_us: Option<u64>,
     confirmed_at_us: Option<u64>,
-    /// When the store was heard of again after it had been away.
+    /// Time of the first confirmation after the store was unavailable, in microseconds.
     store_back_at_us: Option<u64>,
-    /// A later change that another node has seen, and when it was first told.
+    /// The latest change that another node has seen and this one has not, and the time of its first
+    /// report or of the last query of the store, in microseconds.
     ahead_elsewhere: Option<(StoreRevision, u64)>,
-    /// Later changes that others have told of, the earliest first.
+    /// Later changes that other nodes have reported, in the order of their first report.
     reported: Vec<ReportedChange>,
 }
 
 impl ReplicaFreshness {
-    /// Of a subject that is one entry.
+    /// Freshness of a subject that consists of a single entry, which is never removed.
     pub fn for_single_entry() -> Self {
         Self { is_single_entry: true, ..Self::default() }
     }
 
-    /// The store has answered: everything up to a revision is known.
+    /// The store has responded: every change up to `known_to` is known.
     pub fn on_store_response(&mut self, known_to: StoreRevision, now_us: u64) {
         self.known_to = known_to;
-        // The store itself knows of no later change: what was told before is of another store.
+        // The store itself has no later change, so earlier reports refer to another store.
         self.reported.clear();
         self.confirm(now_us, now_us);
         self.ahead_elsewhere = self.ahead_elsewhere.filter(|(revision, _)| *revision > known_to);
     }
 
-    /// Everything has been read from the store.
+    /// All entries have been read from the store.
     pub fn on_full_read(&mut self, update: &StoreUpdate, now_us: u64) {
         self.on_snapshot(update, now_us);
         self.on_store_response(update.known_to(), now_us);
     }
 
-    /// All entries are known, as they stood at a revision.
+    /// All entries are known as of the update's revision.
     fn on_snapshot(&mut self, update: &StoreUpdate, now_us: u64) {
         let latest = update.entries.iter().map(|entry| update.revision_of(entry)).max();
         match latest.filter(|_| self.is_single_entry) {
@@ -140,12 +149,12 @@
         }
     }
 
-    /// Another node has handed on its copy, which the store confirmed so long ago.
+    /// Another node has passed on an update of its replica, which the store confirmed `age_ms` ago.
     pub fn on_peer_update(&mut self, update: &StoreUpdate, age_ms: Option<u64>, now_us: u64) {
         if update.is_snapshot {
             self.on_snapshot(update, now_us);
         }
-        // A word that left a change out would confirm copies that have not seen it.
+        // A report that omitted one of these changes would confirm replicas that do not include it.
         update.entries.iter().for_each(|entry| self.on_change(update.revision_of(entry)));
         self.known_to = self.known_to.max(update.known_to());
         let known_to = self.known_to;
@@ -157,7 +166,7 @@
         self.confirm(confirmed_at_us, now_us);
     }
 
-    /// The store confirmed the copy at a time that has been learnt now.
+    /// Records that the store confirmed the replica at `at_us`, as learned at `now_us`.
     fn confirm(&mut self, at_us: u64, now_us: u64) {
         if self.confirmed_at_us.is_some_and(|before_us| at_us > before_us + STORE_AWAY_AFTER_US) {
             self.store_back_at_us = Some(now_us);
@@ -165,13 +174,13 @@
         self.confirmed_at_us = self.confirmed_at_us.max(Some(at_us));
     }
 
-    /// The store has come back from an older copy: entries that it lacks may be written again.
+    /// The store was restored from a backup: entries missing from it may be written again.
     pub fn on_later_era(&mut self, now_us: u64) {
         self.store_back_at_us = Some(now_us);
     }
 
-    /// Until when an entry that is gone may only have lapsed while the store was away; `None`: the
-    /// store has been there, and whoever is gone from it is gone.
+    /// Time until which a missing entry may only have lapsed while the store was unavailable, in
+    /// microseconds; `None` if the store was available, so that a missing entry was removed.
     pub fn lapse_grace_until_us(&self, now_us: u64) -> Option<u64> {
         if self.confirmed_at_us.is_some_and(|at_us| now_us > at_us + STORE_AWAY_AFTER_US) {
             return Some(now_us + LAPSE_GRACE_US);
@@ -180,13 +189,13 @@
         until_us.filter(|until_us| now_us < *until_us)
     }
 
-    /// Milliseconds since the store confirmed the copy; `None`: it never has.
+    /// Time since the store last confirmed the replica, in milliseconds; `None`: it never has.
     pub fn confirmed_age_ms(&self, now_us: u64) -> Option<u64> {
         let age_us = self.confirmed_at_us.map(|at_us| now_us.saturating_sub(at_us));
         age_us.map(|age_us| age_us / MICROS_PER_MILLI)
     }
 
-    /// A change has been told by a watch.
+    /// A watch has delivered a change.
     pub fn on_change(&mut self, revision: StoreRevision) {
         if revision > self.changed_at {
             self.changed_at = revision;
@@ -194,8 +203,8 @@
         }
     }
 
-    /// Another node's word. One that has seen no change that is unknown here confirms the copy, unless it is of an
-    /// era that is over: then it does not know what was written since.
+    /// Records another node's report. It confirms the replica if that node has seen no change
+    /// unknown here, unless the report is of an earlier era, whose nodes do not know later writes.
     pub fn on_report(&mut self, report: FreshnessReport, eras: &StoreEras, now_us: u64) {
         let changed_at = report.changed_at(eras);
         if changed_at > self.known_to {
@@ -212,7 +221,7 @@
         let confirmed_at_us =
             now_us.saturating_sub((age_ms + AGE_ADDED_PER_HOP_MS) * MICROS_PER_MILLI);
         self.confirm(confirmed_at_us, now_us);
-        // Confirmed after everything was read here: nothing has changed in between.
+        // The confirmation is later than the read of all entries: nothing has changed in between.
         if self.read_at_us.is_some_and(|read_at_us| read_at_us < confirmed_at_us) {
             self.changed_at = changed_at;
             self.read_at_us = None;
@@ -221,7 +230,7 @@
 
     fn on_reported_change(&mut self, revision: StoreRevision, now_us: u64) {
         self.reported.retain(|change| now_us < change.last_us + REPORTED_CHANGE_TTL_US);
-        // Whoever has seen a change has seen those before it.
+        // A node that has seen a change has also seen all earlier ones.
         let earlier = self.reported.iter_mut().filter(|change| change.revision <= revision);
         earlier.for_each(|change| change.last_us = now_us);
         let is_known = self.reported.iter().any(|change| change.revision == revision);
@@ -230,8 +239,8 @@
         }
     }
 
-    /// For how long others have told of a change that is not known here, microseconds; `None`: nobody
-    /// does, or the store itself has said since that there is none.
+    /// Time for which other nodes have reported a change that is unknown here, in microseconds;
+    /// `None` if no report holds, or if the store has since confirmed that there is no such change.
     pub fn behind_for_us(&self, now_us: u64) -> Option<u64> {
         let current =
             self.reported.iter().filter(|change| now_us < change.last_us + REPORTED_CHANGE_TTL_US);
@@ -239,7 +248,7 @@
         Some(now_us.saturating_sub(first_us))
     }
 
-    /// What to tell the other nodes.
+    /// What to report to other nodes.
     pub fn report(&self, now_us: u64) -> FreshnessReport {
         if self.read_at_us.is_some_and(|read_at_us| now_us < read_at_us + LAST_CHANGE_WAIT_US) {
             return FreshnessReport::default();
@@ -247,14 +256,14 @@
         FreshnessReport::new(self.changed_at, self.confirmed_age_ms(now_us))
     }
 
-    /// Whether another node has seen a later change for longer than a watch takes to tell.
+    /// Whether another node has seen a later change that this node's watch did not deliver in time.
     pub fn is_behind(&self, now_us: u64) -> bool {
         let is_overdue =
             |(_, first_us): (StoreRevision, u64)| now_us >= first_us + WATCH_DELIVERY_TIMEOUT_US;
         self.ahead_elsewhere.is_some_and(is_overdue)
     }
 
-    /// Whether the copy can be relied on, if a confirmation holds for so long.
+    /// Whether the replica can be relied on, if a confirmation holds for `confirmation_ttl_us`.
     pub fn assess(&self, now_us: u64, confirmation_ttl_us: u64) -> Freshness {
         if self.is_behind(now_us) {
             return Freshness::Behind;
@@ -265,7 +274,8 @@
         }
     }
 
-    /// The store was asked because another node was ahead; it is given time again.
+    /// The node queries the store because another node is ahead; the time for delivery starts
+    /// again.
     pub fn on_store_queried(&mut self, now_us: u64) {
         if let Some((revision, _)) = self.ahead_elsewhere {
             self.ahead_elsewhere = Some((revision, now_us));
@@ -273,14 +283,14 @@
     }
 }
 
-/// Freshness of a node's copies.
+/// Freshness of a node's replicas.
 #[derive(Clone, Debug)]
 pub struct StoreFreshness {
     /// The operators' configuration.
     pub configuration: ReplicaFreshness,
     /// The runners' entries.
     pub runners: ReplicaFreshness,
-    /// Requests under which runners have ended.
+    /// Requests under which runners have crashed.
     pub crashes: ReplicaFreshness,
 }
 
@@ -294,7 +304,7 @@
     }
 }
 
-/// What a node tells of its copies.
+/// What a node reports about its replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreFreshnessReport {
     /// The operators' configuration.
@@ -303,13 +313,13 @@
     /// The runners' entries.
     #[serde(rename = "r")]
     pub runners: FreshnessReport,
-    /// Requests under which runners have ended.
+    /// Requests under which runners have crashed.
     #[serde(rename = "q", default)]
     pub crashes: FreshnessReport,
 }
 
 impl StoreFreshness {
-    /// The copy of a subject.
+    /// Freshness of the replica of a subject.
     pub fn replica(&self, subject: Subject) -> &ReplicaFreshness {
         match subject {
             Subject::Configuration => &self.configuration,
@@ -318,7 +328,7 @@
         }
     }
 
-    /// The copy of a subject, to be changed.
+    /// Freshness of the replica of a subject, for changes.
     pub fn replica_mut(&mut self, subject: Subject) -> &mut ReplicaFreshness {
         match subject {
             Subject::Configuration => &mut self.configuration,
@@ -327,7 +337,7 @@
         }
     }
 
-    /// What to tell the other nodes.
+    /// What to report to other nodes.
     pub fn report(&self, now_us: u64) -> StoreFreshnessReport {
         StoreFreshnessReport {
             configuration: self.configuration.report(now_us),
@@ -336,14 +346,14 @@
         }
     }
 
-    /// Another node's word.
+    /// Records another node's report.
     pub fn on_report(&mut self, report: &StoreFreshnessReport, eras: &StoreEras, now_us: u64) {
         self.configuration.on_report(report.configuration, eras, now_us);
         self.runners.on_report(report.runners, eras, now_us);
         self.crashes.on_report(report.crashes, eras, now_us);
     }
 
-    /// The store has come back from an older copy.
+    /// The store was restored from a backup.
     pub fn on_later_era(&mut self, now_us: u64) {
         Subject::ALL.into_iter().for_each(|subject| self.replica_mut(subject).on_later_era(now_us));
     }
--- a/crates/serving/src/ids.rs
+++ b/crates/serving/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers. Each is a type of its own, so that a zone cannot be passed for a node.
+//! Identifiers. Each kind has its own type, so that a zone cannot be passed where a node is
+//! expected.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -43,21 +44,22 @@
 }
 
 text_identifier!(
-    /// A node: one process of the serving system. Unique for each start of a process.
+    /// A node: one process of the serving system. The identifier is unique to each start of a
+    /// process.
     NodeId
 );
 text_identifier!(
-    /// A runner's name, which it keeps when it starts again.
+    /// Name of a runner, which it keeps across restarts.
     RunnerName
 );
 text_identifier!(
-    /// One life of a runner, from a start to an end: its name and when it began. Whatever is believed of a
-    /// runner is believed of a life, so that nothing of one passes to the next, and a word between
-    /// nodes says which it is about.
+    /// One incarnation of a runner: its name and the time of its start. All state about a runner is
+    /// kept by incarnation, so that nothing carries over to the next one, and messages between
+    /// nodes name the incarnation that they refer to.
     RunnerId
 );
 text_identifier!(
-    /// A zone: the machines that share one place and one network.
+    /// A zone: machines that share a location and a network.
     ZoneId
 );
 text_identifier!(
@@ -65,26 +67,26 @@
     RegionId
 );
 text_identifier!(
-    /// A tenant: somebody whose requests are served and counted.
+    /// A tenant, whose requests are served and counted.
     TenantName
 );
 text_identifier!(
-    /// A service that operators define and callers name.
+    /// A service that operators define and clients name.
     ServiceName
 );
 
-/// Stands between a runner's name and the time of its start.
+/// Separates a runner's name from the time of its start.
 const INCARNATION_SEPARATOR: char = '@';
 
 impl RunnerId {
-    /// The life of a runner that began at a Unix time, milliseconds; `None`: the platform does not tell when
-    /// runners start, and each start has a name of its own.
+    /// The incarnation of a runner that started at a Unix time in milliseconds. With `None`, the
+    /// platform does not report when runners start, and each start has its own name.
     pub fn of_incarnation(name: &RunnerName, started_at_ms: Option<u64>) -> Self {
         match started_at_ms {
             Some(started_at_ms) => {
                 Self::new(format!("{name}{INCARNATION_SEPARATOR}{started_at_ms}"))
             }
-            // Otherwise a part of the name would pass for the time.
+            // Without a trailing separator, part of the name would be taken for the time.
             None if name.as_str().contains(INCARNATION_SEPARATOR) => {
                 Self::new(format!("{name}{INCARNATION_SEPARATOR}"))
             }
@@ -92,17 +94,18 @@
         }
     }
 
-    /// The runner.
+    /// Name of the runner.
     pub fn name(&self) -> RunnerName {
         RunnerName::new(self.parts().0)
     }
 
-    /// When this life began, Unix milliseconds; `None`: not told.
+    /// Time at which this incarnation started, in Unix milliseconds; `None`: not reported.
     pub fn started_at_ms(&self) -> Option<u64> {
         self.parts().1.parse().ok()
     }
 
-    /// Whether what says that it began then is this life, as far as both are told.
+    /// Whether a reported start time can be this incarnation's. A time that is unknown on either
+    /// side matches.
     pub fn matches_start(&self, started_at_ms: Option<u64>) -> bool {
         match (self.started_at_ms(), started_at_ms) {
             (Some(own_ms), Some(other_ms)) => own_ms == other_ms,
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,51 +1,51 @@
-//! What a node decides about requests, runners and answers.
+//! The decisions of a node about requests, runners and responses.
 //!
-//! Everything here is plain state: time is handed in as microseconds of a steady clock, and
+//! The code here is pure state: time is passed in as microseconds of a monotonic clock, and
 //! nothing reads a socket, a clock or a random source. The daemon and the tests run the same
-//! code. Modules in the order in which a request meets them:
+//! code. The modules, in the order in which a request reaches them:
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`ids`] | nothing: the types of identifiers |
-//! | [`configuration`] | what the operators have put in force |
-//! | [`topology`] | which zones belong to one region |
-//! | [`distance`] | how far zones are from each other |
-//! | [`regions`] | when a request leaves its region |
-//! | [`routing`] | which route and which service a request belongs to |
-//! | [`prefix`] | which parts of a prompt requests share |
-//! | [`request`] | what of a request and an answer matters to a node |
-//! | [`request_identity`] | which requests are the same one, whatever ids they carry |
-//! | [`digest`] | what every node tells the others now and then |
-//! | [`store_replica`] | what brings another node's copy of the store up to date |
-//! | [`store_revision`] | points in the store's history, across its returns from older copies |
+//! | [`ids`] | types of identifiers |
+//! | [`configuration`] | the configuration that the operators have put in force |
+//! | [`topology`] | the regions to which zones belong |
+//! | [`distance`] | distances between zones |
+//! | [`regions`] | when a request is sent to another region |
+//! | [`routing`] | the route and the service of a request |
+//! | [`prefix`] | the shared prefixes of prompts |
+//! | [`request`] | properties of requests and responses that matter to a node |
+//! | [`request_identity`] | recognizing the same request under different ids |
+//! | [`digest`] | the state that every node sends to others periodically |
+//! | [`store_replica`] | updates that bring another node's replica of the store up to date |
+//! | [`store_revision`] | order of the store's changes, also across restores from a backup |
 //! | [`membership`] | which nodes read the store, and which follow them |
-//! | [`freshness`] | how fresh the copy of the store is, by all nodes' word |
-//! | [`runner`], [`fleet`] | which runners exist, how loaded and how healthy they are |
-//! | [`runner_limit`], [`limit_keeper`] | what a runner takes from all nodes together, and who counts it |
-//! | [`runner_notice`] | whether a runner takes requests, by its own word |
-//! | [`prefix_cache`], [`failure_rate`] | what a runner probably holds, how often it fails |
-//! | [`suspicion`] | whether a runner that is silent is busy or gone |
-//! | [`read_pace`], [`runner_pace`] | how fast prompts are read, and how much each runner differs |
-//! | [`placement`] | which runner reads a prompt and which one writes the answer |
-//! | [`urgency`] | what goes ahead of what at a runner |
-//! | [`scheduling`] | which node places a request, and what nodes say to each other for that |
-//! | [`scheduler`], [`reservations`] | what that node decides, and what it has set aside |
+//! | [`freshness`] | freshness of a replica of the store, from all nodes' reports |
+//! | [`runner`], [`fleet`] | the runners, their load and their health |
+//! | [`runner_limit`], [`limit_keeper`] | limits that a runner sets for all nodes together, and their keepers |
+//! | [`runner_notice`] | whether a runner takes requests, as it reports itself |
+//! | [`prefix_cache`], [`failure_rate`] | estimates of what a runner has cached and how often it fails |
+//! | [`suspicion`] | whether a silent runner is busy or unreachable |
+//! | [`read_pace`], [`runner_pace`] | prefill speed in general, and how much each runner differs |
+//! | [`placement`] | the prefill runner and the decode runner of a request |
+//! | [`urgency`] | the order in which a runner processes requests |
+//! | [`scheduling`] | the node that schedules a request, and the messages between nodes for that |
+//! | [`scheduler`], [`reservations`] | decisions of that node, and the capacity that it has reserved |
 //! | [`role_planner`] | when a runner changes its role |
-//! | [`capacity_planner`] | how many runners there are, of which kind and where |
-//! | [`authority`] | which node may order that |
-//! | [`tenancy`] | who may send requests, and for whom they run |
-//! | [`usage`], [`wall_clock`] | how many requests of each tenant began, and when |
-//! | [`quota`] | what a tenant may have run, and what nodes say to each other for that |
-//! | [`quota_slots`], [`quota_share`] | which keepers a tenant's limit is split among, and into what |
+//! | [`capacity_planner`] | number, kind and location of the runners |
+//! | [`authority`] | the node that may give the orders for that |
+//! | [`tenancy`] | who may send requests, and on behalf of which tenant they run |
+//! | [`usage`], [`wall_clock`] | number of requests that each tenant started, and when |
+//! | [`quota`] | quotas of tenants, and the messages between nodes for them |
+//! | [`quota_slots`], [`quota_share`] | the keepers among which a quota is divided, and their shares |
 //! | [`quota_keeper`], [`quota_bucket`] | whether a run is paid for |
-//! | [`quota_grants`], [`quota_turns`] | what may be given back, and how long others wait |
+//! | [`quota_grants`], [`quota_turns`] | grants that may be returned, and how long other nodes wait |
 //! | [`quota_term`], [`quota_candidacy`] | which node is a keeper, and until when |
-//! | [`quota_desk`], [`quota_outcome`] | which keeper a node asks, and what follows from the answer or from none |
-//! | [`retry_budget`] | whether one more attempt may be made |
-//! | [`crash_evidence`] | which requests were under way at a runner when it ended |
-//! | [`quarantine`] | which requests end runners, and reach none any more |
-//! | [`attempt`] | what a failed attempt proves, and the final answer that follows |
-//! | [`event_stream`] | which bytes of a stream may be forwarded, and where it can go on |
+//! | [`quota_desk`], [`quota_outcome`] | the keeper that a node asks, and what follows from its reply or its silence |
+//! | [`retry_budget`] | whether another attempt may be made |
+//! | [`crash_evidence`] | the requests that were running at a runner when it crashed |
+//! | [`quarantine`] | requests that crash runners, and are sent to none any more |
+//! | [`attempt`] | what a failed attempt proves, and the final response that follows |
+//! | [`event_stream`] | the bytes of a stream that may be forwarded, and where it can continue |
 
 mod asked_rate;
 pub mod attempt;
--- a/crates/serving/src/membership.rs
+++ b/crates/serving/src/membership.rs
@@ -1,10 +1,11 @@
-//! Which nodes there are, and which of them read the store for the others.
+//! The nodes of the fleet, and which of them read the store on behalf of the others.
 //!
-//! A few nodes of each zone (its mirrors) watch the store; the others follow a mirror, so the
-//! calls to the store do not grow with the fleet. Where there are several regions, a call crosses
-//! from one to another mostly: then a few nodes of each region watch it, of different zones. Every node finds the same mirrors, as far as
-//! it knows the same nodes. Nodes that disagree for a while cost calls and nothing else: a
-//! mirror is any node that is asked for its copy.
+//! A few nodes of each zone, the store readers, watch the store; all others follow a store reader,
+//! so the number of calls to the store does not grow with the fleet. Where there are several
+//! regions, most calls to the store cross between regions; there, a few nodes in different zones of
+//! each region read it. Nodes that know the same members choose the same store readers. Nodes that
+//! disagree for a while only cost additional calls, since every node answers queries from its
+//! replica.
 
 use crate::ids::{NodeId, RegionId, ZoneId};
 use crate::prefix::rendezvous_weight;
@@ -14,27 +15,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Mirrors of a zone: one may be lost or cut off without the zone's nodes noticing.
+/// Store readers of a zone: one may be lost or cut off without the zone's other nodes noticing.
 const STORE_READERS_PER_ZONE: usize = 2;
-/// Mirrors of a region, where there are several: one may be lost or cut off without the region's
-/// nodes noticing, or its zone.
+/// Store readers of a region where there are several: one of them, or its zone, may be lost or cut
+/// off without the region's other nodes noticing.
 const STORE_READERS_PER_REGION: usize = 2;
 
-/// What a node tells of itself.
+/// What a node reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where other nodes reach it, by datagrams and connections.
+    /// Address at which other nodes reach it, by datagrams and by connections.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone in which it runs.
     #[serde(rename = "z")]
     pub zone: ZoneId,
-    /// Its share of a processor, in thousandths.
+    /// Share of a processor that the node may use, in thousandths of a core.
     #[serde(rename = "p")]
     pub millicpus: u32,
 }
 
-/// All nodes that are known, this one included.
+/// All known nodes, including this one.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own: NodeId,
@@ -43,90 +44,92 @@
 }
 
 impl Membership {
-    /// A node that knows only itself, and the regions of the zones.
+    /// A view that holds only this node, and the regions of the zones.
     pub fn new(own: NodeId, member: Member, topology: Topology) -> Self {
         let members = BTreeMap::from([(own.clone(), member)]);
         Self { own, topology, members }
     }
 
-    /// Zones belong to other regions from now on.
+    /// Replaces the assignment of zones to regions.
     pub fn set_topology(&mut self, topology: Topology) {
         self.topology = topology;
     }
 
-    /// This node's name.
+    /// Identifier of this node.
     pub fn own_name(&self) -> &NodeId {
         &self.own
     }
 
-    /// What this node tells of itself.
+    /// What this node reports about itself.
     pub fn own(&self) -> &Member {
         &self.members[&self.own]
     }
 
-    /// Takes in what another node tells of itself.
+    /// Inserts or replaces what another node reports about itself. This node's own record is never
+    /// replaced.
     pub fn upsert(&mut self, name: &NodeId, member: &Member) {
         if *name != self.own {
             self.members.insert(name.clone(), member.clone());
         }
     }
 
-    /// Forgets the other nodes for which `is_kept` is false.
+    /// Removes the other nodes for which `is_kept` is false.
     pub fn retain(&mut self, is_kept: impl Fn(&NodeId) -> bool) {
         let own = self.own.clone();
         self.members.retain(|name, _| *name == own || is_kept(name));
     }
 
-    /// The region of this node.
+    /// Region of this node.
     pub fn own_region(&self) -> RegionId {
         self.topology.region_of(&self.own().zone)
     }
 
-    /// Regions with nodes.
+    /// All regions that have nodes.
     pub fn regions(&self) -> BTreeSet<RegionId> {
         self.zones().into_iter().map(|zone| self.topology.region_of(zone)).collect()
     }
 
-    /// Whether there are nodes in another region than this node's.
+    /// Whether any node is in another region than this node.
     pub fn has_other_regions(&self) -> bool {
         let own_zone = &self.own().zone;
         self.members.values().any(|member| !self.topology.is_same_region(&member.zone, own_zone))
     }
 
-    /// How many nodes a region has.
+    /// Number of nodes in a region.
     pub fn count_in(&self, region: &RegionId) -> usize {
         let zones = self.members.values().map(|member| &member.zone);
         zones.filter(|zone| self.topology.is_in(zone, region)).count()
     }
 
-    /// The shards of a region's runners.
+    /// All shards of a region's runners.
     pub fn shards_of(&self, region: RegionId) -> impl Iterator<Item = Shard> {
         let of = Shard::count(self.count_in(&region));
         Shard::all(region, of)
     }
 
-    /// How many nodes there are.
+    /// Number of nodes, including this one.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there is no node: never, as there is this one.
+    /// Always false, since this node is included.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Whether this node reads the store for others.
+    /// Whether this node reads the store on behalf of others.
     pub fn is_store_reader(&self) -> bool {
         self.store_readers_of(&self.own_region()).contains(&&self.own)
     }
 
-    /// How many nodes read the store.
+    /// Number of nodes that read the store.
     pub fn store_reader_count(&self) -> usize {
         self.store_readers().len()
     }
 
-    /// Where this node may follow the store, the best first: the mirrors of its own zone, each
-    /// node beginning with another one, then those of its region's other zones, then the rest.
+    /// Addresses from which this node may follow the store, in order of preference: the store
+    /// readers of its own zone, in an order that differs between nodes, then those of the region's
+    /// other zones, then all others.
     pub fn sources(&self) -> Vec<SocketAddr> {
         let own_zone = &self.own().zone;
         let mut names = self.store_readers();
@@ -143,12 +146,12 @@
         self.addresses_of_others(names)
     }
 
-    /// The other nodes that read the store.
+    /// Addresses of the other nodes that read the store.
     pub fn other_store_readers(&self) -> Vec<SocketAddr> {
         self.addresses_of_others(self.store_readers())
     }
 
-    /// The other nodes of a region that read the store.
+    /// Addresses of the other nodes of a region that read the store.
     pub fn other_store_readers_in(&self, region: &RegionId) -> Vec<SocketAddr> {
         self.addresses_of_others(self.store_readers_of(region))
     }
@@ -158,28 +161,28 @@
         others.map(|name| self.members[name].address).collect()
     }
 
-    /// All nodes.
+    /// Identifiers of all nodes.
     pub fn names(&self) -> impl Iterator<Item = &NodeId> + Clone {
         self.members.keys()
     }
 
-    /// Whether a node is of this node's region.
+    /// Whether a node is known and in this node's region.
     pub fn is_in_own_region(&self, name: &NodeId) -> bool {
         let own_zone = &self.own().zone;
         self.zone_of(name).is_some_and(|zone| self.topology.is_same_region(zone, own_zone))
     }
 
-    /// The zone of a node.
+    /// Zone of a node; `None` if the node is unknown.
     pub fn zone_of(&self, name: &NodeId) -> Option<&ZoneId> {
         self.members.get(name).map(|member| &member.zone)
     }
 
-    /// All nodes with what they tell of themselves.
+    /// All nodes with what they report about themselves.
     pub fn all(&self) -> impl Iterator<Item = (&NodeId, &Member)> + Clone {
         self.members.iter()
     }
 
-    /// Some nodes with what they tell of themselves, this one among them.
+    /// At most `max_count` nodes with what they report about themselves, this node first.
     pub fn sample(&self, max_count: usize) -> Vec<(NodeId, Member)> {
         let own = (self.own.clone(), self.own().clone());
         let others = self.members.iter().filter(|(name, _)| **name != self.own);
@@ -187,14 +190,14 @@
         std::iter::once(own).chain(others).take(max_count).collect()
     }
 
-    /// Where the other nodes are reached.
+    /// Addresses of all other nodes.
     pub fn other_addresses(&self) -> Vec<SocketAddr> {
         let others = self.members.iter().filter(|(name, _)| **name != self.own);
         others.map(|(_, member)| member.address).collect()
     }
 
-    /// The node that is told what this one is told, so that it outlives this one: one that reads
-    /// the store, if there is one of another zone, of the own region if there is one.
+    /// Address of the node that receives the same reports as this one, so that they survive the
+    /// loss of this node: a store reader, preferably of another zone and of the same region.
     pub fn backup_node(&self) -> Option<SocketAddr> {
         let own_zone = &self.own().zone;
         let mut names = self.store_readers();
@@ -206,8 +209,8 @@
         self.addresses_of_others(names).first().copied()
     }
 
-    /// The scheduler of a shard among the nodes of its region for which `is_up` holds, or among
-    /// all nodes if none of the region is known; `None` if it is this node, or nobody is up.
+    /// The scheduler of a shard: the candidate with the largest share of a processor for which
+    /// `is_up` holds. Returns `None` if that is this node, or if no candidate is up.
     pub fn scheduler(
         &self,
         shard: &Shard,
@@ -230,8 +233,8 @@
         self.members.iter().filter(move |(_, member)| is_candidate(&member.zone))
     }
 
-    /// How many nodes for which `is_there` holds come before one as the scheduler of a shard, and keeper of its
-    /// runners' limits.
+    /// Number of candidates for which `is_present` holds that rank before `name` as the scheduler
+    /// of a shard and the keeper of its runners' limits.
     pub fn scheduler_rank_of(
         &self,
         name: &NodeId,
@@ -245,7 +248,7 @@
         others.filter(|(other, member)| rank(other, member) > own && is_present(other)).count()
     }
 
-    /// The nodes that may be the scheduler of a shard, the first one first.
+    /// The candidates for the scheduler of a shard, the highest rank first.
     pub fn schedulers_by_rank(&self, shard: &Shard) -> Vec<(&NodeId, SocketAddr)> {
         let mut candidates: Vec<_> = self.scheduler_candidates(shard).collect();
         candidates.sort_by_cached_key(|(name, member)| {
@@ -254,7 +257,7 @@
         candidates.into_iter().map(|(name, member)| (name, member.address)).collect()
     }
 
-    /// Spreads the nodes over the places that they may choose.
+    /// Distributes the nodes evenly over the targets that they choose from.
     fn spread_weight(&self, place: &str) -> u64 {
         rendezvous_weight(self.own.as_str(), place)
     }
@@ -270,7 +273,8 @@
         self.regions().iter().flat_map(|region| self.store_readers_of(region)).collect()
     }
 
-    /// The nodes of a region that read the store; the same ones at every node.
+    /// The nodes of a region that read the store; every node with the same members finds the same
+    /// ones.
     fn store_readers_of(&self, region: &RegionId) -> Vec<&NodeId> {
         let mut zones = self.zones();
         let is_only_region = zones.iter().all(|zone| self.topology.is_in(zone, region));
@@ -279,7 +283,7 @@
         if is_only_region {
             return ranked.flatten().map(|(_, _, name)| name).collect();
         }
-        // The first of each zone go before the second of any.
+        // The first node of each zone ranks before the second one of any zone.
         let ranked_by_zone = ranked.flat_map(|nodes| nodes.into_iter().enumerate());
         let mut ranked_by_zone: Vec<_> = ranked_by_zone.collect();
         ranked_by_zone.sort_by(|(rank_in_zone, node), (other_rank, other)| {
@@ -292,7 +296,8 @@
             .collect()
     }
 
-    /// The strongest nodes of a zone with their rank; among equals the same ones at every node.
+    /// The nodes of a zone with the largest shares of a processor, with their ranks. A hash that is
+    /// the same at every node breaks ties.
     fn strongest_of(&self, zone: &ZoneId, max_count: usize) -> Vec<(u32, u64, &NodeId)> {
         let of_zone = self.members.iter().filter(|(_, member)| member.zone == *zone);
         let mut ranked: Vec<_> = of_zone
--- a/crates/serving/src/store_replica.rs
+++ b/crates/serving/src/store_replica.rs
@@ -1,17 +1,19 @@
-//! A node's copy of the store's entries, as it hands them on to other nodes.
+//! A node's replica of the store's entries, from which it serves updates to other nodes.
 //!
-//! The copy is exact up to a revision. Whoever knows the store up to an earlier one gets what
-//! has changed since, if the copy still knows what was removed since; otherwise the whole list. All of a copy is
-//! of one era of the store: into a later one leads a whole list alone, as nobody tells what was lost.
+//! A replica is exact up to a revision. A node that knows the store up to an earlier revision
+//! receives the entries changed since then, provided that the replica still holds the tombstones of
+//! that interval; otherwise it receives a snapshot of all entries. All entries of a replica belong
+//! to one era of the store. Only a snapshot leads into a later era, because nobody knows which
+//! changes were lost between the two.
 
 use crate::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Removed entries that are remembered.
+/// Tombstones that a replica keeps for each subject; beyond this it drops all of them.
 const MAX_TOMBSTONES: usize = 512;
 
-/// What is followed.
+/// A range of the store's entries that nodes follow on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subject {
     /// The operators' configuration.
@@ -20,13 +22,13 @@
     /// The runners' entries.
     #[serde(rename = "r")]
     Runners,
-    /// Requests under which runners have ended.
+    /// Requests under which runners have crashed.
     #[serde(rename = "q")]
     Crashes,
 }
 
 impl Subject {
-    /// Everything that is followed.
+    /// All subjects, in the order of their declaration.
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Runners, Self::Crashes];
 }
 
@@ -41,55 +43,56 @@
     }
 }
 
-/// An entry of the store, or the note that it was removed.
+/// An entry of the store, or the tombstone of a removed one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreEntry {
-    /// The key.
+    /// Key of the entry in the store.
     #[serde(rename = "k")]
     pub key: String,
-    /// The document; `None`: the entry was removed. A value that is no text is handed on as an empty
-    /// document, which nothing can be read from.
+    /// The stored document; `None` marks a tombstone. A value that is not text is passed on as an
+    /// empty document, which no reader can parse.
     #[serde(rename = "v")]
     pub document: Option<String>,
-    /// Revision of the change, in the era of the update or the copy that the entry stands in.
+    /// Revision of the change, in the era of the update or replica that holds the entry.
     #[serde(rename = "r")]
     pub revision: RevisionNumber,
 }
 
 impl StoreEntry {
-    /// Whether it notes that the entry was removed.
+    /// Whether this is the tombstone of a removed entry.
     pub fn is_tombstone(&self) -> bool {
         self.document.is_none()
     }
 }
 
-/// Entries that bring another copy up to date.
+/// Entries that bring another replica up to date.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUpdate {
-    /// The era that it is of. Builds that know no eras tell none.
+    /// Era of the revisions in this update. Builds without support for eras leave it out.
     #[serde(rename = "era", default, skip_serializing_if = "StoreEra::is_unknown")]
     pub era: StoreEra,
-    /// Revision up to which everything is known after it.
+    /// Revision up to which the receiver knows every change after applying the update; see
+    /// [`Self::known_to`] for the revision with its era.
     pub known_to: RevisionNumber,
-    /// Whether these are all entries: what is not among them is gone.
+    /// Whether the update holds all entries, so that entries missing from it have been removed.
     #[serde(rename = "whole")]
     pub is_snapshot: bool,
-    /// The entries.
+    /// Changed entries and tombstones, or all entries if the update is a snapshot.
     pub entries: Vec<StoreEntry>,
 }
 
 impl StoreUpdate {
-    /// Revision up to which everything is known after it.
+    /// Revision up to which the receiver knows every change after applying the update.
     pub fn known_to(&self) -> StoreRevision {
         StoreRevision::new(self.era, self.known_to)
     }
 
-    /// Revision of one of its entries.
+    /// Revision of one of the update's entries, with the update's era.
     pub fn revision_of(&self, entry: &StoreEntry) -> StoreRevision {
         StoreRevision::new(self.era, entry.revision)
     }
 
-    /// Bytes of its keys and documents.
+    /// Total size of the keys and documents, in bytes.
     pub fn content_bytes(&self) -> usize {
         let bytes = |entry: &StoreEntry| {
             entry.key.len() + entry.document.as_ref().map_or(0, |document| document.len())
@@ -98,18 +101,18 @@
     }
 }
 
-/// The entries of one subject.
+/// Replica of the entries of one subject.
 #[derive(Clone, Debug, Default)]
 pub struct StoreReplica {
-    /// `None`: nothing has been read yet. All entries are of its era.
+    /// `None` until a first update is applied. All entries are of this revision's era.
     known_to: Option<StoreRevision>,
-    /// Removals after this revision are remembered.
+    /// Tombstones of removals after this revision are complete.
     tombstones_since: StoreRevision,
     entries: BTreeMap<String, StoreEntry>,
 }
 
 impl StoreReplica {
-    /// Revision up to which everything is known.
+    /// Revision up to which every change is known; `None` until a first update is applied.
     pub fn known_to(&self) -> Option<StoreRevision> {
         self.known_to
     }
@@ -119,24 +122,26 @@
         StoreRevision::new(era, entry.revision)
     }
 
-    /// Revision of the latest entry; `None`: there is none.
+    /// Revision of the latest change among the entries; `None` if there are no entries.
     pub fn last_changed_at(&self) -> Option<StoreRevision> {
         self.entries.values().map(|entry| self.revision_of(entry)).max()
     }
 
-    /// Forgets everything: another store counts its revisions in another way.
+    /// Empties the replica, for use when the node turns to another store, whose revisions are not
+    /// comparable.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether an update leads on from what is known: it ends no earlier, and is whole if it is of a later era.
+    /// Whether the update can be applied: it must not end before the replica's revision, and must
+    /// be a snapshot if it is of a later era.
     pub fn accepts(&self, update: &StoreUpdate) -> bool {
         let Some(known_to) = self.known_to else { return true };
         let is_of_same_era = update.era == known_to.era();
         update.known_to() >= known_to && (update.is_snapshot || is_of_same_era)
     }
 
-    /// Takes in an update. One that does not lead on from what is known changes nothing.
+    /// Applies an update. An update that is not accepted changes nothing.
     pub fn apply(&mut self, update: &StoreUpdate) {
         if !self.accepts(update) {
             return;
@@ -152,8 +157,8 @@
         self.prune_tombstones();
     }
 
-    /// What brings a copy that is exact up to `after` up to date; `None` if nothing is known
-    /// here, or if the other copy is ahead.
+    /// The update for a replica that is exact up to `after` (`None`: an empty one). Returns `None`
+    /// if this replica is empty, or if the other one is ahead.
     pub fn update_since(&self, after: Option<StoreRevision>) -> Option<StoreUpdate> {
         let known_to = self.known_to?;
         if after.is_some_and(|after| after > known_to) {
@@ -169,7 +174,7 @@
         Some(StoreUpdate { era, known_to, is_snapshot: since.is_none(), entries })
     }
 
-    /// Bounds the memory that removed entries take.
+    /// Bounds the memory that tombstones take.
     fn prune_tombstones(&mut self) {
         let tombstones = self.entries.values().filter(|entry| entry.document.is_none()).count();
         if tombstones > MAX_TOMBSTONES {
@@ -179,7 +184,7 @@
     }
 }
 
-/// A node's copies.
+/// A node's replicas, one for each subject.
 #[derive(Clone, Debug, Default)]
 pub struct StoreReplicas {
     configuration: StoreReplica,
@@ -188,7 +193,7 @@
 }
 
 impl StoreReplicas {
-    /// The copy of a subject.
+    /// The replica of a subject.
     pub fn get(&self, subject: Subject) -> &StoreReplica {
         match subject {
             Subject::Configuration => &self.configuration,
@@ -197,7 +202,7 @@
         }
     }
 
-    /// The copy of a subject, to be changed.
+    /// The replica of a subject, for changes.
     pub fn get_mut(&mut self, subject: Subject) -> &mut StoreReplica {
         match subject {
             Subject::Configuration => &mut self.configuration,
@@ -207,43 +212,45 @@
     }
 }
 
-/// A node asks another for its copy.
+/// One node's query for an update of its replica from another node's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUpdateQuery {
-    /// What it asks for.
+    /// The subject to update.
     pub subject: Subject,
-    /// Revision up to which it knows everything; `None`: it knows nothing.
+    /// Revision up to which the querying node knows every change; `None`: it knows nothing.
     after: Option<RevisionNumber>,
-    /// The era of that revision. Builds that know no eras tell none.
+    /// Era of that revision. Builds without support for eras leave it out.
     #[serde(default, skip_serializing_if = "StoreEra::is_unknown")]
     era: StoreEra,
-    /// Time for which the answer may wait for a change, milliseconds.
+    /// Time for which the reply may be held back until there is a change, in milliseconds.
     pub wait_ms: u64,
 }
 
 impl StoreUpdateQuery {
-    /// A question of a node that knows everything up to a revision, for an answer that may wait so long.
+    /// Builds the query of a node that knows every change up to `after`, with a reply that may be
+    /// held back for `wait_ms`.
     pub fn new(subject: Subject, after: Option<StoreRevision>, wait_ms: u64) -> Self {
         let era = after.unwrap_or_default().era();
         Self { subject, after: after.map(StoreRevision::number), era, wait_ms }
     }
 
-    /// Revision up to which the asking node knows everything, as a node takes it that has heard of these eras.
+    /// Revision up to which the querying node knows every change; `eras` resolves an era that was
+    /// left out.
     pub fn after(&self, eras: &StoreEras) -> Option<StoreRevision> {
         let era = eras.resolve_reported(self.era);
         self.after.map(|number| StoreRevision::new(era, number))
     }
 }
 
-/// The answer.
+/// The reply to a [`StoreUpdateQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUpdateReply {
-    /// What brings the asking node up to date; `None` if this node knows less, or if the update
-    /// follows the answer.
+    /// The update; `None` if this node knows less than the querying one, or if the update follows
+    /// the reply in compressed form.
     pub update: Option<StoreUpdate>,
-    /// The update follows the answer compressed, as it is large.
+    /// Whether a large update follows the reply in compressed form.
     #[serde(default)]
     pub is_compressed: bool,
-    /// Milliseconds since the store confirmed the copy; `None`: it never has.
+    /// Time since the store last confirmed the replica, in milliseconds; `None`: it never has.
     pub age_ms: Option<u64>,
 }
--- a/crates/serving/src/store_revision.rs
+++ b/crates/serving/src/store_revision.rs
@@ -1,13 +1,13 @@
 //! Points in the history of the platform's store.
 //!
-//! The store counts its changes by a revision. It may come back from an older copy of itself: then it has lost what it
-//! acknowledged since, and gives the same revisions out again. Each such return begins a new era, which the
-//! store tells in its answers. So a revision orders changes only together with its era, and a bare number
-//! has no order here.
+//! The store counts its changes by a revision. A store that is restored from a backup loses the
+//! changes that it acknowledged after the backup and assigns the same revisions again. Each such
+//! restore begins a new era, which the store reports in its responses. A revision therefore orders
+//! changes only together with its era, and a bare number has no order here.
 
 use serde::{Deserialize, Serialize};
 
-/// An era of the store. A later one begins when the store comes back from an older copy.
+/// An era of the store. A later era begins when the store is restored from a backup.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,30 +15,31 @@
 pub struct StoreEra(u64);
 
 impl StoreEra {
-    /// No era was told: by a store that knows none, or by a node of a build that knows none.
+    /// The era was not reported, by a store or by a node of a build that does not support eras.
     pub const UNKNOWN: Self = Self(0);
 
-    /// An era by the number that the store tells, from 0 on; `None`: it is too large to count further.
+    /// The era with the number that the store reports, counted from 0; `None` if the number is too
+    /// large to represent.
     pub fn from_reported(number: u64) -> Option<Self> {
         number.checked_add(1).map(Self)
     }
 
-    /// Whether the store, or the node whose word it is, told it.
+    /// Whether the store, or the node that sent a message, reported the era.
     pub fn is_known(self) -> bool {
         self != Self::UNKNOWN
     }
 
-    /// Whether nobody told it; for words between nodes, which leave it out then.
+    /// Whether the era was not reported. Messages between nodes leave the era out in that case.
     pub fn is_unknown(&self) -> bool {
         !self.is_known()
     }
 
-    /// The number that was told.
+    /// The number that the store reported; `None` if the era is unknown.
     pub fn reported_number(self) -> Option<u64> {
         self.0.checked_sub(1)
     }
 
-    /// This era, or another one if it was not told.
+    /// This era if it is known, otherwise `other`.
     pub fn or(self, other: Self) -> Self {
         if self.is_known() {
             self
@@ -57,13 +58,13 @@
     }
 }
 
-/// The number of a revision, which orders nothing without its era.
+/// The number of a revision, which has no order without its era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RevisionNumber(pub u64);
 
 impl RevisionNumber {
-    /// As a condition: there is no such key.
+    /// As a condition of a write: the key does not exist.
     pub const ABSENT: Self = Self(0);
 }
 
@@ -73,7 +74,7 @@
     }
 }
 
-/// A point in the store's history. Whatever is of a later era is later.
+/// A point in the store's history. Every revision of a later era is later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreRevision {
     era: StoreEra,
@@ -81,27 +82,27 @@
 }
 
 impl StoreRevision {
-    /// The revision that has a number in an era.
+    /// The revision with this number in this era.
     pub fn new(era: StoreEra, number: RevisionNumber) -> Self {
         Self { era, number: number.0 }
     }
 
-    /// The revision that has a number in a store that tells no eras.
+    /// The revision with this number in a store that does not support eras.
     pub const fn without_era(number: u64) -> Self {
         Self { era: StoreEra::UNKNOWN, number }
     }
 
-    /// Its era.
+    /// The era of the revision.
     pub fn era(self) -> StoreEra {
         self.era
     }
 
-    /// Its number, as the store gives it in this era.
+    /// The number that the store assigns to the revision within its era.
     pub fn number(self) -> RevisionNumber {
         RevisionNumber(self.number)
     }
 
-    /// The one after it.
+    /// The next revision of the same era.
     pub fn next(self) -> Self {
         Self { number: self.number + 1, ..self }
     }
@@ -116,12 +117,12 @@
     }
 }
 
-/// A lease of the store. Its number may be given to another holder in a later era.
+/// A lease of the store. The store may assign its number to another holder in a later era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLease {
-    /// The era in which it was granted.
+    /// The era in which the lease was granted.
     pub era: StoreEra,
-    /// Its number, as the store gives it in this era.
+    /// The number that the store assigns to the lease within its era.
     pub number: u64,
 }
 
@@ -131,54 +132,57 @@
     }
 }
 
-/// What an answer of the store tells of its era.
+/// What a response of the store shows about its era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EraChange {
-    /// The first era that is heard of.
+    /// The first era that this node observes.
     First,
-    /// Nothing new.
+    /// The era is the current one, or was not reported.
     Unchanged,
-    /// A later era has begun: the store came back from an older copy.
+    /// A later era has begun: the store was restored from a backup.
     Later {
-        /// The era that was known before.
+        /// The era that was current until now.
         before: StoreEra,
     },
-    /// The answer is of an era that is over: it was late, or read from a copy that lags.
+    /// The response is of an earlier era: it was delayed, or read from a replica that lags.
     Superseded,
-    /// Answers have been of earlier eras alone for a time: another store is there, which counts its eras anew.
+    /// Only earlier eras have been observed for many times as long as a response can be under way:
+    /// another store, which counts its own eras, has taken this one's place.
     Replaced {
-        /// The era that was known before.
+        /// The era that was current until now.
         before: StoreEra,
     },
 }
 
-/// Time for which a store's answers are of earlier eras alone until it is believed to be another one, microseconds: many
-/// times as long as an answer may be on its way.
+/// Time for which all responses must be of earlier eras before the store counts as replaced, in
+/// microseconds. It is many times as long as a response can be under way.
 const STORE_REPLACED_AFTER_US: u64 = 15_000_000;
 
-/// The eras of the store that a node has heard of from the store itself.
+/// The eras that a node has observed in the store's own responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreEras {
     first: StoreEra,
     current: StoreEra,
-    /// When the current one was first heard of, microseconds.
+    /// Time at which the current era was first observed, in microseconds.
     since_us: u64,
-    /// Since when all answers were of earlier eras, microseconds; `None`: the last one was not.
+    /// Time since which all responses have been of earlier eras, in microseconds; `None` if the
+    /// last one was not.
     earlier_since_us: Option<u64>,
 }
 
 impl StoreEras {
-    /// The era that the store is in, as far as is known.
+    /// The latest era that is known.
     pub fn current(&self) -> StoreEra {
         self.current
     }
 
-    /// When a node first heard of the current era, microseconds; `None`: the store tells no eras.
+    /// Time at which the current era was first observed, in microseconds; `None` if the store
+    /// reports no eras.
     pub fn since_us(&self) -> Option<u64> {
         self.current.is_known().then_some(self.since_us)
     }
 
-    /// The store has answered in an era. One that is not told changes nothing.
+    /// Records the era of a response of the store. An era that was not reported changes nothing.
     pub fn on_response(&mut self, era: StoreEra, now_us: u64) -> EraChange {
         if era.is_unknown() {
             return EraChange::Unchanged;
@@ -209,8 +213,9 @@
         EraChange::Replaced { before }
     }
 
-    /// The era of what another node tells. A build that knows no eras tells none: until the store has come back
-    /// from an older copy its words are of the only era there is, and after that they are of one that is over.
+    /// The era that another node's message refers to. A build without support for eras leaves it
+    /// out: its revisions are of the first era that was observed, which is the only one until the
+    /// store is restored from a backup, and a past one after that.
     pub fn resolve_reported(&self, reported: StoreEra) -> StoreEra {
         reported.or(self.first)
     }
--- a/crates/serving/src/suspicion.rs
+++ b/crates/serving/src/suspicion.rs
@@ -1,23 +1,26 @@
-//! Whether a runner counts as unreachable, from what one node sees of it.
+//! Failure detection: whether a runner counts as unreachable, from what one node observes of it.
 //!
-//! A busy runner is as silent towards one request as a dead one, so silence alone proves
-//! nothing. Three kinds of evidence are told apart:
+//! To a single request, a busy runner is as silent as a dead one, so silence alone proves nothing.
+//! There are three kinds of evidence:
 //!
-//! - *progress*: a head, an event, a connection that was opened. It takes suspicion back.
-//! - *doubt*: a request heard nothing for a while, or its connection broke. It is settled by
-//!   opening a connection: a runner whose process is gone refuses it, one that is dark or cut
-//!   off does not answer, one that is only busy accepts it.
-//! - *proof*: a connection could not be opened, or nobody heard anything for the whole time
-//!   that an attempt may take, if that is no short one. The runner is avoided for a time that doubles with each proof
-//!   in a row.
+//! - *progress*: a response head, an event, or a connection that was opened. It clears the
+//!   suspicion.
+//! - *doubt*: a request has received nothing for a while, or its connection broke. A probe that
+//!   opens a connection settles it: a runner whose process is gone refuses the connection, one that
+//!   is powered off or cut off does not answer, and one that is only busy accepts it.
+//! - *proof*: a connection could not be opened, or no request received anything for the whole time
+//!   that an attempt may take, if that time is not short. The runner is avoided for a time that
+//!   doubles with each consecutive proof.
 
-/// Silence of an attempt that is shorter proves nothing, even if nobody else heard anything.
+/// Silence of an attempt for less than this proves nothing, even if no other request received
+/// anything; in microseconds. Without the bound, attempts with only 99 ms left would mark a busy
+/// runner as unreachable under overload.
 const MIN_SILENCE_US: u64 = 500_000;
-/// First and longest time for which a runner that could not be reached is avoided.
+/// Minimum and maximum time for which an unreachable runner is avoided, in microseconds.
 const MIN_BACKOFF_US: u64 = 500_000;
 const MAX_BACKOFF_US: u64 = 8_000_000;
 
-/// What one node believes of one runner.
+/// One node's view of the reachability of one runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Suspicion {
     avoided_until_us: u64,
@@ -28,7 +31,7 @@
 }
 
 impl Suspicion {
-    /// Something came from the runner.
+    /// The runner has sent something.
     pub fn on_progress(&mut self, now_us: u64) {
         self.progress_at_us = now_us;
         self.avoided_until_us = 0;
@@ -43,8 +46,8 @@
         }
     }
 
-    /// The time of an attempt that was sent at `sent_at_us` is over without any answer. A
-    /// runner that has answered somebody since is busy, or lost this one request.
+    /// An attempt that was sent at `sent_at_us` has timed out without any response. A runner that
+    /// has since responded to another request is busy, or lost only this request.
     pub fn on_attempt_timeout(&mut self, sent_at_us: u64, now_us: u64) {
         let is_long = now_us >= sent_at_us + MIN_SILENCE_US;
         if is_long && self.progress_at_us < sent_at_us {
@@ -52,16 +55,16 @@
         }
     }
 
-    /// Nothing has come for a request since `since_us`, or its connection broke then. Returns
-    /// whether the caller is to open a connection, and then to tell the result by
-    /// [`Self::on_probe_result`]: one such look at a time is enough.
+    /// A request has received nothing since `since_us`, or its connection broke then. Returns
+    /// whether the caller must probe the runner by opening a connection, and report the result to
+    /// [`Self::on_probe_result`]. Only one probe is under way at a time.
     pub fn begin_probe(&mut self, since_us: u64) -> bool {
         let is_settled = self.progress_at_us > since_us || self.is_suspected();
         !is_settled && !std::mem::replace(&mut self.is_probing, true)
     }
 
-    /// A connection was opened, or could not be. `None`: the look took so long that the node
-    /// itself must have stood still.
+    /// Result of a probe: whether a connection could be opened. `None`: the probe took so long that
+    /// the node itself must have been suspended.
     pub fn on_probe_result(&mut self, reachable: Option<bool>, now_us: u64) {
         self.is_probing = false;
         match reachable {
@@ -71,13 +74,13 @@
         }
     }
 
-    /// Whether it could not be reached and has not answered since.
+    /// Whether the runner could not be reached and has not responded since.
     pub fn is_suspected(&self) -> bool {
         self.backoff_us > 0
     }
 
-    /// Whether new requests go elsewhere. After the time for which a runner is suspected, one
-    /// request tries it before others follow.
+    /// Whether new requests must go to other runners. When the time of avoidance is over, a single
+    /// request tries the runner before others follow.
     pub fn is_avoided(&self, in_flight: u32, now_us: u64) -> bool {
         now_us < self.avoided_until_us || (self.is_suspected() && in_flight > 0)
     }
--- a/crates/serving/src/topology.rs
+++ b/crates/serving/src/topology.rs
@@ -1,24 +1,24 @@
-//! Where nodes and runners are: zones, and the regions that zones belong to.
+//! Location of nodes and runners: zones, and the regions to which zones belong.
 //!
-//! Regions are told by the node's settings. A zone that nobody has told of is a region of its own:
-//! nothing is known of what is near it.
+//! The node's settings assign zones to regions. A zone without an assignment is a region of its
+//! own, since nothing is known about what is near it.
 
 use crate::ids::{RegionId, ZoneId};
 use std::collections::BTreeMap;
 
-/// The regions of the zones that a node was told of.
+/// The regions of the zones that the settings name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Topology {
     regions: BTreeMap<ZoneId, RegionId>,
 }
 
 impl Topology {
-    /// The zones with their regions.
+    /// Builds the topology from zones and their regions.
     pub fn new(regions: impl IntoIterator<Item = (ZoneId, RegionId)>) -> Self {
         Self { regions: regions.into_iter().collect() }
     }
 
-    /// The region of a zone; one that nobody has told of is a region of its own.
+    /// Region of a zone; a zone without an assignment is a region of its own.
     pub fn region_of(&self, zone: &ZoneId) -> RegionId {
         self.regions.get(zone).cloned().unwrap_or_else(|| RegionId::new(zone.as_str()))
     }
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Whether two zones belong to one region.
+    /// Whether two zones belong to the same region.
     pub fn is_same_region(&self, one: &ZoneId, other: &ZoneId) -> bool {
         one == other || self.is_in(other, &self.region_of(one))
     }
 
-    /// The zones that were told of, with their regions.
+    /// The zones that the settings name, with their regions.
     pub fn zones(&self) -> impl Iterator<Item = (&ZoneId, &RegionId)> {
         self.regions.iter()
     }
--- a/crates/serving/src/urgency.rs
+++ b/crates/serving/src/urgency.rs
@@ -1,25 +1,26 @@
-//! What goes ahead of what at a runner.
+//! The order in which a runner processes requests.
 //!
-//! A runner reads the prompts of one rank in the order in which they came. When more is asked
-//! for than can be read, all of them wait for longer than their target, and nothing is in
-//! time though the runner never rests. So a prompt that has to wait for too long to be in time
-//! is put behind all that can still be, and is read when these are done. What is too long to be
-//! in time even at an idle runner keeps its place: it is not the queue that makes it late.
+//! A runner prefills the prompts of one rank in the order of their arrival. Under overload all of
+//! them wait for longer than their target, and none is in time although the runner is never idle. A
+//! prompt that the queue would make overdue is therefore deferred behind all prompts that can still
+//! be in time, and is prefilled after them. A prompt that is too long to be in time even at an idle
+//! runner keeps its place, since it is not the queue that makes it late.
 
 use crate::placement::{Choice, ReadingPlan};
 
-/// A prompt is put behind if it is expected to take so many times what is left of its target:
-/// expectations err to both sides, and who is put behind without need is late for sure.
+/// A prompt is deferred if its expected time exceeds what is left of its target by this factor.
+/// Estimates err in both directions, and a prompt that is deferred without need is certain to be
+/// late.
 const OVERDUE_FACTOR: f64 = 1.4;
 const MICROS_PER_MILLI: f64 = 1_000.0;
-/// Lowest rank among the route's priorities; lower ones share it.
+/// Largest priority value with a rank of its own; routes with larger values share it.
 const LOWEST_PRIORITY: u8 = 2;
-/// First rank of what is put behind. Ranks go from 0 to 9.
+/// First rank of deferred prompts. Ranks range from 0 to 9.
 const FIRST_DEFERRED_RANK: u8 = 7;
-/// Times that a reading takes, in targets, above which it is held to be longer.
+/// Prefill times, as fractions of the target, above which a prompt falls into the next size class.
 const PREFILL_SIZE_BOUNDS: [f64; 2] = [0.15, 0.6];
 
-/// Puts a prompt behind those that can still be in time, if waiting makes it late.
+/// Defers a prompt behind those that can still be in time, if waiting makes it overdue.
 pub fn defer_if_overdue(plan: ReadingPlan, target_ms: f64, elapsed_ms: f64) -> ReadingPlan {
     let limit_ms = (target_ms - elapsed_ms).max(0.0) * OVERDUE_FACTOR;
     let is_overdue = |choice: &Choice| {
@@ -36,8 +37,8 @@
     }
 }
 
-/// Rank of a request at a runner, 0 first: the route's priority, and among equals the shorter
-/// reading, which holds up fewer others; what was put behind comes last.
+/// Rank of a request at a runner, 0 first: by the route's priority, then by the prefill time, since
+/// a shorter prefill delays fewer other requests. Deferred prompts come last.
 pub fn rank(priority: u8, choice: &Choice, target_ms: f64) -> u8 {
     let priority = priority.min(LOWEST_PRIORITY);
     if choice.demand.late_tokens > 0 {
