--- a/crates/serving/tests/event_stream.rs
+++ b/crates/serving/tests/event_stream.rs
@@ -4,14 +4,14 @@
 use pitchstall_serving::event_stream::{EventAction, EventDeduplicator, EventSplitter};
 use proptest::prelude::*;
 
-fn text(id: u64) -> String {
+fn event_text(id: u64) -> String {
     format!("id: {id}\ndata: {}\n\n", "x".repeat(id as usize % 7))
 }
 
 proptest! {
     #[test]
-    fn events_are_whole_however_the_bytes_come(count in 0_u64..20, piece in 1_usize..30) {
-        let all: String = (0..count).map(text).collect();
+    fn events_are_complete_however_the_bytes_are_split(count in 0_u64..20, piece in 1_usize..30) {
+        let all: String = (0..count).map(event_text).collect();
         let mut splitter = EventSplitter::default();
         let events: Vec<_> =
             all.as_bytes().chunks(piece).flat_map(|bytes| splitter.push(bytes)).collect();
@@ -24,8 +24,8 @@
 
     /// A run breaks off anywhere, and another goes on after the last whole event.
     #[test]
-    fn two_runs_join_without_gap_or_double(count in 1_u64..20, cut in 0_usize..400, overlap in 0_u64..4) {
-        let all: String = (0..count).map(text).collect();
+    fn two_runs_merge_without_gaps_or_duplicates(count in 1_u64..20, cut in 0_usize..400, overlap in 0_u64..4) {
+        let all: String = (0..count).map(event_text).collect();
         let mut deduplicator = EventDeduplicator::default();
         let mut forwarded = Vec::new();
         let mut forward = |bytes: &[u8], deduplicator: &mut EventDeduplicator| {
@@ -37,7 +37,7 @@
         };
         forward(&all.as_bytes()[..cut.min(all.len())], &mut deduplicator);
         let next = deduplicator.last_id().map_or(0, |id| id + 1);
-        let second: String = (next.saturating_sub(overlap)..count).map(text).collect();
+        let second: String = (next.saturating_sub(overlap)..count).map(event_text).collect();
         forward(second.as_bytes(), &mut deduplicator);
         prop_assert_eq!(forwarded, all.into_bytes());
     }
--- a/crates/serving/tests/freshness.rs
+++ b/crates/serving/tests/freshness.rs
@@ -6,8 +6,8 @@
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 use proptest::prelude::*;
 
-const SECOND: u64 = 1_000_000;
-const HOLDS: u64 = 2 * SECOND;
+const SECOND_US: u64 = 1_000_000;
+const CONFIRMATION_TTL_US: u64 = 2 * SECOND_US;
 
 fn at(number: u64) -> StoreRevision {
     StoreRevision::without_era(number)
@@ -34,25 +34,31 @@
 }
 
 #[test]
-fn the_stores_answer_confirms_for_a_while() {
+fn a_response_of_the_store_confirms_for_a_limited_time() {
     let replica = replica_known_to(5);
-    assert_eq!(replica.assess(HOLDS - 1, HOLDS), Freshness::Fresh);
-    assert_eq!(replica.assess(HOLDS, HOLDS), Freshness::Unconfirmed);
-    assert_eq!(ReplicaFreshness::default().assess(0, HOLDS), Freshness::Unconfirmed);
+    assert_eq!(replica.assess(CONFIRMATION_TTL_US - 1, CONFIRMATION_TTL_US), Freshness::Fresh);
+    assert_eq!(replica.assess(CONFIRMATION_TTL_US, CONFIRMATION_TTL_US), Freshness::Unconfirmed);
+    assert_eq!(ReplicaFreshness::default().assess(0, CONFIRMATION_TTL_US), Freshness::Unconfirmed);
 }
 
 #[test]
-fn another_nodes_word_confirms_by_its_age() {
+fn another_nodes_report_confirms_according_to_its_age() {
     let mut replica = replica_known_to(5);
-    replica.on_report(report(5, 500), &StoreEras::default(), HOLDS);
-    assert_eq!(replica.assess(HOLDS + SECOND, HOLDS), Freshness::Fresh);
-    assert_eq!(replica.assess(HOLDS + 3 * SECOND / 2, HOLDS), Freshness::Unconfirmed);
+    replica.on_report(report(5, 500), &StoreEras::default(), CONFIRMATION_TTL_US);
+    assert_eq!(
+        replica.assess(CONFIRMATION_TTL_US + SECOND_US, CONFIRMATION_TTL_US),
+        Freshness::Fresh
+    );
+    assert_eq!(
+        replica.assess(CONFIRMATION_TTL_US + 3 * SECOND_US / 2, CONFIRMATION_TTL_US),
+        Freshness::Unconfirmed
+    );
 }
 
 /// On a day of 295 nodes a copy whose own watch was cut off from the store was confirmed for
 /// seconds by nodes that had seen a change through another node and did not tell of it.
 #[test]
-fn a_node_that_was_handed_a_change_confirms_only_replicas_that_have_it() {
+fn a_follower_confirms_only_replicas_that_include_its_changes() {
     let entry =
         StoreEntry { key: "servers/i-1".to_owned(), document: None, revision: RevisionNumber(7) };
     let update = StoreUpdate {
@@ -62,80 +68,94 @@
         entries: vec![entry],
     };
     let mut follower = replica_known_to(5);
-    follower.on_peer_update(&update, Some(100), SECOND);
-    assert_eq!(follower.report(SECOND).changed_at(&StoreEras::default()), at(7));
+    follower.on_peer_update(&update, Some(100), SECOND_US);
+    assert_eq!(follower.report(SECOND_US).changed_at(&StoreEras::default()), at(7));
     let mut lagging = replica_known_to(5);
-    lagging.on_report(follower.report(SECOND), &StoreEras::default(), SECOND);
-    assert_eq!(lagging.assess(2 * SECOND, 9 * SECOND), Freshness::Behind);
+    lagging.on_report(follower.report(SECOND_US), &StoreEras::default(), SECOND_US);
+    assert_eq!(lagging.assess(2 * SECOND_US, 9 * SECOND_US), Freshness::Behind);
     let mut exact = replica_known_to(7);
-    exact.on_report(follower.report(SECOND), &StoreEras::default(), SECOND);
-    assert_eq!(exact.assess(2 * SECOND, 9 * SECOND), Freshness::Fresh);
+    exact.on_report(follower.report(SECOND_US), &StoreEras::default(), SECOND_US);
+    assert_eq!(exact.assess(2 * SECOND_US, 9 * SECOND_US), Freshness::Fresh);
 }
 
 #[test]
-fn a_node_that_lags_was_confirmed_before_the_change_and_so_adds_nothing() {
+fn a_lagging_nodes_report_does_not_extend_a_confirmation() {
     let mut replica = replica_known_to(5);
-    replica.on_store_response(at(5), SECOND);
-    replica.on_report(report(4, 1_500), &StoreEras::default(), 2 * SECOND);
-    assert_eq!(replica.assess(SECOND + HOLDS - 1, HOLDS), Freshness::Fresh);
-    assert_eq!(replica.assess(SECOND + HOLDS, HOLDS), Freshness::Unconfirmed);
+    replica.on_store_response(at(5), SECOND_US);
+    replica.on_report(report(4, 1_500), &StoreEras::default(), 2 * SECOND_US);
+    assert_eq!(
+        replica.assess(SECOND_US + CONFIRMATION_TTL_US - 1, CONFIRMATION_TTL_US),
+        Freshness::Fresh
+    );
+    assert_eq!(
+        replica.assess(SECOND_US + CONFIRMATION_TTL_US, CONFIRMATION_TTL_US),
+        Freshness::Unconfirmed
+    );
 }
 
 #[test]
-fn a_node_that_has_read_everything_does_not_hide_what_was_removed_before() {
+fn a_read_of_all_entries_does_not_hide_earlier_removals() {
     // Revision 8 removed an entry. The reader saw only entries up to 5; the other node's watch
     // went silent at 6.
     let mut reader = ReplicaFreshness::default();
     reader.on_full_read(&empty_snapshot_at(9), 0);
     let mut other = replica_known_to(6);
     other.on_report(reader.report(0), &StoreEras::default(), 0);
-    assert_eq!(other.assess(HOLDS, HOLDS), Freshness::Unconfirmed, "nothing is reported at first");
-    other.on_report(reader.report(2 * SECOND), &StoreEras::default(), 2 * SECOND);
-    assert_eq!(other.assess(3 * SECOND, HOLDS), Freshness::Behind);
+    assert_eq!(
+        other.assess(CONFIRMATION_TTL_US, CONFIRMATION_TTL_US),
+        Freshness::Unconfirmed,
+        "nothing is reported at first"
+    );
+    other.on_report(reader.report(2 * SECOND_US), &StoreEras::default(), 2 * SECOND_US);
+    assert_eq!(other.assess(3 * SECOND_US, CONFIRMATION_TTL_US), Freshness::Behind);
 }
 
 #[test]
-fn a_node_that_has_read_everything_learns_from_another_which_change_was_the_last() {
+fn a_node_that_read_all_entries_learns_the_last_change_from_another() {
     let mut reader = ReplicaFreshness::default();
     reader.on_full_read(&empty_snapshot_at(9), 0);
     let mut other = replica_known_to(6);
-    other.on_store_response(at(9), SECOND);
-    reader.on_report(other.report(SECOND), &StoreEras::default(), SECOND + 1);
+    other.on_store_response(at(9), SECOND_US);
+    reader.on_report(other.report(SECOND_US), &StoreEras::default(), SECOND_US + 1);
     // Its word confirms the other's copy now, instead of making it ask.
-    reader.on_store_response(at(9), 3 * SECOND);
-    other.on_report(reader.report(3 * SECOND), &StoreEras::default(), 3 * SECOND);
-    assert_eq!(other.assess(3 * SECOND, HOLDS), Freshness::Fresh);
+    reader.on_store_response(at(9), 3 * SECOND_US);
+    other.on_report(reader.report(3 * SECOND_US), &StoreEras::default(), 3 * SECOND_US);
+    assert_eq!(other.assess(3 * SECOND_US, CONFIRMATION_TTL_US), Freshness::Fresh);
 }
 
 #[test]
-fn a_change_that_another_node_has_seen_and_the_watch_does_not_tell_makes_the_copy_old() {
+fn a_change_that_the_watch_does_not_deliver_makes_the_replica_behind() {
     let mut replica = replica_known_to(5);
-    replica.on_report(report(6, 0), &StoreEras::default(), SECOND);
-    assert_eq!(replica.assess(SECOND, HOLDS), Freshness::Fresh, "the watch may be about to tell");
-    replica.on_report(report(6, 0), &StoreEras::default(), SECOND + 200_000);
-    assert_eq!(replica.assess(SECOND + 400_000, HOLDS), Freshness::Behind);
-    replica.on_store_response(at(6), SECOND + 400_000);
-    assert_eq!(replica.assess(SECOND + 400_000, HOLDS), Freshness::Fresh);
+    replica.on_report(report(6, 0), &StoreEras::default(), SECOND_US);
+    assert_eq!(
+        replica.assess(SECOND_US, CONFIRMATION_TTL_US),
+        Freshness::Fresh,
+        "the watch may be about to tell"
+    );
+    replica.on_report(report(6, 0), &StoreEras::default(), SECOND_US + 200_000);
+    assert_eq!(replica.assess(SECOND_US + 400_000, CONFIRMATION_TTL_US), Freshness::Behind);
+    replica.on_store_response(at(6), SECOND_US + 400_000);
+    assert_eq!(replica.assess(SECOND_US + 400_000, CONFIRMATION_TTL_US), Freshness::Fresh);
 }
 
 #[test]
-fn a_node_that_cannot_catch_up_asks_at_intervals() {
+fn a_node_that_cannot_catch_up_queries_at_intervals() {
     let mut replica = replica_known_to(5);
     replica.on_report(report(9, 0), &StoreEras::default(), 0);
-    assert_eq!(replica.assess(SECOND, HOLDS), Freshness::Behind);
-    replica.on_store_queried(SECOND);
-    assert_eq!(replica.assess(SECOND + 1, HOLDS), Freshness::Fresh);
-    assert_eq!(replica.assess(2 * SECOND, HOLDS), Freshness::Behind);
+    assert_eq!(replica.assess(SECOND_US, CONFIRMATION_TTL_US), Freshness::Behind);
+    replica.on_store_queried(SECOND_US);
+    assert_eq!(replica.assess(SECOND_US + 1, CONFIRMATION_TTL_US), Freshness::Fresh);
+    assert_eq!(replica.assess(2 * SECOND_US, CONFIRMATION_TTL_US), Freshness::Behind);
 }
 
 #[test]
-fn a_copy_is_behind_from_the_first_word_of_a_change_until_it_has_that_change() {
+fn a_replica_is_behind_from_the_first_report_of_a_change_until_it_has_it() {
     let mut replica = replica_known_to(5);
-    assert_eq!(replica.behind_for_us(SECOND), None);
-    replica.on_report(report(6, 0), &StoreEras::default(), SECOND);
-    replica.on_report(report(8, 0), &StoreEras::default(), 2 * SECOND);
-    replica.on_store_queried(2 * SECOND);
-    assert_eq!(replica.behind_for_us(3 * SECOND), Some(2 * SECOND));
+    assert_eq!(replica.behind_for_us(SECOND_US), None);
+    replica.on_report(report(6, 0), &StoreEras::default(), SECOND_US);
+    replica.on_report(report(8, 0), &StoreEras::default(), 2 * SECOND_US);
+    replica.on_store_queried(2 * SECOND_US);
+    assert_eq!(replica.behind_for_us(3 * SECOND_US), Some(2 * SECOND_US));
     let entry =
         StoreEntry { key: "op/config".to_owned(), document: None, revision: RevisionNumber(6) };
     let update = StoreUpdate {
@@ -144,43 +164,43 @@
         is_snapshot: false,
         entries: vec![entry],
     };
-    replica.on_peer_update(&update, Some(0), 3 * SECOND);
+    replica.on_peer_update(&update, Some(0), 3 * SECOND_US);
     assert_eq!(
-        replica.behind_for_us(3 * SECOND),
-        Some(SECOND),
+        replica.behind_for_us(3 * SECOND_US),
+        Some(SECOND_US),
         "the later change is still missing"
     );
 }
 
 /// Whoever tells of the last change of a storm has seen the first one too.
 #[test]
-fn a_word_of_a_later_change_keeps_that_of_an_earlier_one_alive() {
+fn a_report_of_a_later_change_renews_that_of_an_earlier_one() {
     let mut replica = replica_known_to(5);
     replica.on_report(report(6, 0), &StoreEras::default(), 0);
     for second in 1..20 {
-        replica.on_report(report(6 + second, 0), &StoreEras::default(), second * SECOND);
+        replica.on_report(report(6 + second, 0), &StoreEras::default(), second * SECOND_US);
     }
-    assert_eq!(replica.behind_for_us(20 * SECOND), Some(20 * SECOND));
+    assert_eq!(replica.behind_for_us(20 * SECOND_US), Some(20 * SECOND_US));
 }
 
 /// A node whose settings name another store tells of revisions that this one's store never had: the store's
 /// own answer, or silence, ends that.
 #[test]
-fn words_of_another_stores_revisions_are_not_believed_for_long() {
+fn reports_of_another_stores_revisions_expire() {
     let mut replica = replica_known_to(5);
-    replica.on_report(report(50_000, 0), &StoreEras::default(), SECOND);
-    assert!(replica.behind_for_us(2 * SECOND).is_some());
-    replica.on_store_response(at(5), 2 * SECOND);
-    assert_eq!(replica.behind_for_us(2 * SECOND), None);
-    replica.on_report(report(50_000, 0), &StoreEras::default(), 3 * SECOND);
-    assert_eq!(replica.behind_for_us(9 * SECOND), None, "nobody has repeated it");
+    replica.on_report(report(50_000, 0), &StoreEras::default(), SECOND_US);
+    assert!(replica.behind_for_us(2 * SECOND_US).is_some());
+    replica.on_store_response(at(5), 2 * SECOND_US);
+    assert_eq!(replica.behind_for_us(2 * SECOND_US), None);
+    replica.on_report(report(50_000, 0), &StoreEras::default(), 3 * SECOND_US);
+    assert_eq!(replica.behind_for_us(9 * SECOND_US), None, "nobody has repeated it");
 }
 
 /// A configuration is one entry, so that a node that has it knows which change was the last.
 /// Otherwise a node that starts just before the store goes away would make nodes look outdated that have all
 /// there is, until the store is back.
 #[test]
-fn a_node_that_has_got_the_only_entry_whole_makes_nobody_look_behind() {
+fn a_node_that_has_the_only_entry_makes_no_other_look_behind() {
     let entry =
         StoreEntry { key: "op/config".to_owned(), document: None, revision: RevisionNumber(5) };
     let snapshot = StoreUpdate {
@@ -193,11 +213,11 @@
     reader.on_full_read(&snapshot, 0);
     let mut follower = ReplicaFreshness::for_single_entry();
     follower.on_peer_update(&snapshot, Some(0), 0);
-    for report in [reader.report(0), reader.report(3 * SECOND), follower.report(3 * SECOND)] {
+    for report in [reader.report(0), reader.report(3 * SECOND_US), follower.report(3 * SECOND_US)] {
         assert_eq!(report.changed_at(&StoreEras::default()), at(5));
         let mut other = replica_known_to(6);
         other.on_report(report, &StoreEras::default(), 0);
-        assert_eq!(other.behind_for_us(SECOND), None);
+        assert_eq!(other.behind_for_us(SECOND_US), None);
     }
 }
 
@@ -205,18 +225,18 @@
     /// Nodes that only talk to each other stop believing in time: no circle of words keeps a
     /// confirmation alive that the store does not give.
     #[test]
-    fn words_in_a_circle_grow_old(delays_ms in prop::collection::vec((0_usize..4, 0_usize..4, 1_u64..300), 50..200)) {
+    fn confirmations_do_not_circulate_forever(delays_ms in prop::collection::vec((0_usize..4, 0_usize..4, 1_u64..300), 50..200)) {
         let mut replicas = vec![replica_known_to(5); 4];
         let mut now_us = 0;
-        for (from, to, held_ms) in delays_ms {
-            now_us += held_ms * 1_000;
+        for (from, to, delay_ms) in delays_ms {
+            now_us += delay_ms * 1_000;
             let report = replicas[from].report(now_us);
             // The word travels for up to the time that is added for each hop.
             replicas[to].on_report(report, &StoreEras::default(), now_us + 20_000);
         }
-        let late = now_us.max(HOLDS) + 20_000;
+        let end_us = now_us.max(CONFIRMATION_TTL_US) + 20_000;
         for replica in &replicas {
-            prop_assert_ne!(replica.assess(late, HOLDS), Freshness::Fresh);
+            prop_assert_ne!(replica.assess(end_us, CONFIRMATION_TTL_US), Freshness::Fresh);
         }
     }
 }
--- a/crates/serving/tests/lapsed_entries.rs
+++ b/crates/serving/tests/lapsed_entries.rs
@@ -13,7 +13,7 @@
 use support::{at, runner_record};
 
 const SECOND_US: u64 = 1_000_000;
-const UNTIL_US: u64 = 2 * SECOND_US;
+const GRACE_UNTIL_US: u64 = 2 * SECOND_US;
 
 fn record(id: &str, draining: bool, revision: u64) -> RunnerRecord {
     RunnerRecord { draining, revision: at(revision), ..runner_record(RunnerId::new(id)) }
@@ -24,38 +24,38 @@
 }
 
 #[test]
-fn an_entry_that_may_have_lapsed_is_served_on_until_it_is_back() {
+fn a_runner_with_a_lapsed_entry_stays_until_it_is_written_again() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, 1));
-    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(UNTIL_US)), FleetChange::Lapsed);
+    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(GRACE_UNTIL_US)), FleetChange::Lapsed);
     assert!(takes_work(&fleet, "a"));
     assert_eq!(fleet.put(record("a", false, 4)), FleetChange::None, "older than its lapse");
     fleet.put(record("a", false, 6));
-    assert!(fleet.remove_lapsed(UNTIL_US).is_empty());
+    assert!(fleet.remove_lapsed(GRACE_UNTIL_US).is_empty());
     assert!(takes_work(&fleet, "a"));
 }
 
 #[test]
-fn one_that_is_not_back_in_time_is_gone() {
+fn an_entry_not_written_again_in_time_is_removed() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, 1));
-    assert!(fleet.replace_all(Vec::new(), at(5), Some(UNTIL_US)).is_empty());
-    assert!(fleet.remove_lapsed(UNTIL_US - 1).is_empty());
+    assert!(fleet.replace_all(Vec::new(), at(5), Some(GRACE_UNTIL_US)).is_empty());
+    assert!(fleet.remove_lapsed(GRACE_UNTIL_US - 1).is_empty());
     // A second list without it gives it no more time.
-    assert!(fleet.replace_all(Vec::new(), at(6), Some(2 * UNTIL_US)).is_empty());
-    assert_eq!(fleet.remove_lapsed(UNTIL_US), [RunnerId::new("a")]);
+    assert!(fleet.replace_all(Vec::new(), at(6), Some(2 * GRACE_UNTIL_US)).is_empty());
+    assert_eq!(fleet.remove_lapsed(GRACE_UNTIL_US), [RunnerId::new("a")]);
     assert!(fleet.get(&RunnerId::new("a")).is_none());
 }
 
 #[test]
-fn one_that_was_about_to_leave_is_gone_at_once() {
+fn a_draining_runner_is_removed_at_once() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", true, 1));
-    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(UNTIL_US)), FleetChange::Left);
+    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(GRACE_UNTIL_US)), FleetChange::Left);
 }
 
 #[test]
-fn entries_lapse_only_while_the_store_is_away_and_soon_after_its_return() {
+fn entries_lapse_only_while_the_store_is_unavailable_and_shortly_after() {
     let mut copy = ReplicaFreshness::default();
     copy.on_full_read(
         &StoreUpdate {
--- a/crates/serving/tests/membership.rs
+++ b/crates/serving/tests/membership.rs
@@ -38,7 +38,7 @@
 #[test_case(66, 3, 6)]
 #[test_case(295, 5, 10)]
 #[test_case(330, 31, 62)]
-fn two_nodes_of_each_zone_read_the_store(nodes: usize, zones: usize, expected: usize) {
+fn each_zone_has_two_store_readers(nodes: usize, zones: usize, expected: usize) {
     let all = fleet(nodes, zones);
     let views: Vec<Membership> = (0..nodes).map(|number| view_of(number, &all)).collect();
     assert_eq!(views.iter().filter(|view| view.is_store_reader()).count(), expected);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn strong_nodes_read_the_store() {
+fn store_readers_are_the_strong_nodes() {
     let all = fleet(295, 5);
     for number in 0..all.len() {
         let view = view_of(number, &all);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_node_follows_its_own_zone_first_and_then_the_others() {
+fn a_node_prefers_the_store_readers_of_its_own_zone() {
     let all = fleet(295, 5);
     let view = view_of(293, &all);
     let sources = view.sources();
@@ -73,18 +73,19 @@
 
 /// Otherwise one node's link would carry the configuration to its whole zone.
 #[test]
-fn followers_spread_over_the_nodes_that_read_the_store() {
+fn followers_spread_over_the_store_readers() {
     let all = fleet(295, 5);
     let of_zone = (0..all.len()).filter(|number| number % 5 == 2);
     let followers =
         of_zone.map(|number| view_of(number, &all)).filter(|view| !view.is_store_reader());
     let first: Vec<SocketAddr> = followers.map(|view| view.sources()[0]).collect();
-    let most = first.iter().map(|it| first.iter().filter(|other| *other == it).count()).max();
-    assert!(most.unwrap() * 10 < first.len() * 8, "{most:?} of {}", first.len());
+    let max_followers =
+        first.iter().map(|it| first.iter().filter(|other| *other == it).count()).max();
+    assert!(max_followers.unwrap() * 10 < first.len() * 8, "{max_followers:?} of {}", first.len());
 }
 
 #[test]
-fn a_node_that_knows_nobody_reads_the_store_itself() {
+fn a_node_without_peers_reads_the_store() {
     let all = fleet(1, 1);
     let view = view_of(0, &all);
     assert!(view.is_store_reader());
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn nodes_that_are_forgotten_are_followed_no_more() {
+fn removed_nodes_are_not_followed() {
     let all = fleet(66, 3);
     let mut view = view_of(0, &all);
     view.retain(|_| false);
--- a/crates/serving/tests/model_checking.rs
+++ b/crates/serving/tests/model_checking.rs
@@ -22,42 +22,42 @@
     (seen, false)
 }
 
-fn search_authority(initial: authority::State, guards: authority::Safeguards) -> (usize, bool) {
-    let reached = bfs_reach(initial, |state| state.next(guards));
+fn search_authority(initial: authority::State, safeguards: authority::Safeguards) -> (usize, bool) {
+    let reached = bfs_reach(initial, |state| state.next(safeguards));
     count(reached, |state| state.violated)
 }
 
-fn search_regional_authority(guards: regional_authority::Safeguards) -> (usize, bool) {
+fn search_regional_authority(safeguards: regional_authority::Safeguards) -> (usize, bool) {
     let initial = regional_authority::State::default();
-    count(bfs_reach(initial, |state| state.next(guards)), |state| state.violated)
+    count(bfs_reach(initial, |state| state.next(safeguards)), |state| state.violated)
 }
 
-fn search_adoption(guards: adoption::Safeguards) -> (usize, bool) {
-    let reached = bfs_reach(adoption::State::default(), |state| state.next(guards));
+fn search_adoption(safeguards: adoption::Safeguards) -> (usize, bool) {
+    let reached = bfs_reach(adoption::State::default(), |state| state.next(safeguards));
     count(reached, |state| state.violated)
 }
 
-fn search_resuming(guards: resuming::Safeguards) -> (usize, bool) {
+fn search_resuming(safeguards: resuming::Safeguards) -> (usize, bool) {
     let search = |resumable| {
         let initial = resuming::State::initial(resumable);
-        count(bfs_reach(initial, |state| state.next(guards)), |state| state.violated)
+        count(bfs_reach(initial, |state| state.next(safeguards)), |state| state.violated)
     };
     let (resumable, single) = (search(true), search(false));
     (resumable.0 + single.0, resumable.1 || single.1)
 }
 
-fn search_retry_budget(guards: retry_budget::Safeguards) -> (usize, bool) {
-    let reached = bfs_reach(retry_budget::State::default(), |state| state.next(guards));
+fn search_retry_budget(safeguards: retry_budget::Safeguards) -> (usize, bool) {
+    let reached = bfs_reach(retry_budget::State::default(), |state| state.next(safeguards));
     count(reached, retry_budget::State::is_violated)
 }
 
-fn search_usage(guards: usage::Safeguards) -> (usize, bool) {
-    let reached = bfs_reach(usage::State::default(), |state| state.next(guards));
+fn search_usage(safeguards: usage::Safeguards) -> (usize, bool) {
+    let reached = bfs_reach(usage::State::default(), |state| state.next(safeguards));
     count(reached, |state| state.violated)
 }
 
-fn search_quota(guards: quota::Safeguards) -> (usize, bool) {
-    let reached = bfs_reach(quota::State::default(), |state| state.next(guards));
+fn search_quota(safeguards: quota::Safeguards) -> (usize, bool) {
+    let reached = bfs_reach(quota::State::default(), |state| state.next(safeguards));
     count(reached, quota::State::is_violated)
 }
 
@@ -80,8 +80,8 @@
 #[test_case(quota::Safeguards { room_since_grant: false, ..quota::Safeguards::ALL }; "room since grant")]
 #[test_case(quota::Safeguards { shared_room: false, ..quota::Safeguards::ALL }; "shared room")]
 #[test_case(quota::Safeguards { cut_at_once: false, ..quota::Safeguards::ALL }; "cut at once")]
-fn a_slot_without_a_safeguard_breaks_the_bound(guards: quota::Safeguards) {
-    assert!(search_quota(guards).1);
+fn a_slot_without_a_safeguard_breaks_the_bound(safeguards: quota::Safeguards) {
+    assert!(search_quota(safeguards).1);
 }
 
 #[test]
@@ -95,8 +95,8 @@
 #[test_case(usage::Safeguards { fix_if_absent: false, ..usage::Safeguards::ALL }; "fix if absent")]
 #[test_case(usage::Safeguards { send_after_answer: false, ..usage::Safeguards::ALL }; "send after answer")]
 #[test_case(usage::Safeguards { adopt_fixed: false, ..usage::Safeguards::ALL }; "adopt fixed")]
-fn usage_reports_without_a_safeguard_differ(guards: usage::Safeguards) {
-    assert!(search_usage(guards).1);
+fn usage_reports_without_a_safeguard_differ(safeguards: usage::Safeguards) {
+    assert!(search_usage(safeguards).1);
 }
 
 #[test]
@@ -110,8 +110,8 @@
 #[test_case(retry_budget::Safeguards { pay_before_sending: false, ..retry_budget::Safeguards::ALL }; "pay before sending")]
 #[test_case(retry_budget::Safeguards { limited_bucket: false, ..retry_budget::Safeguards::ALL }; "limited bucket")]
 #[test_case(retry_budget::Safeguards { empty_start: false, ..retry_budget::Safeguards::ALL }; "empty start")]
-fn the_retry_budget_without_a_safeguard_is_unsafe(guards: retry_budget::Safeguards) {
-    assert!(search_retry_budget(guards).1);
+fn the_retry_budget_without_a_safeguard_is_unsafe(safeguards: retry_budget::Safeguards) {
+    assert!(search_retry_budget(safeguards).1);
 }
 
 #[test_case(authority::State::default(); "before a store that loses nothing")]
@@ -134,8 +134,8 @@
 #[test_case(regional_authority::Safeguards { own_runners: false, ..regional_authority::Safeguards::ALL }; "own runners")]
 #[test_case(regional_authority::Safeguards { take_if_absent: false, ..regional_authority::Safeguards::ALL }; "take if absent")]
 #[test_case(regional_authority::Safeguards { one_sequence: false, ..regional_authority::Safeguards::ALL }; "one sequence")]
-fn authority_by_region_without_a_safeguard_is_unsafe(guards: regional_authority::Safeguards) {
-    assert!(search_regional_authority(guards).1);
+fn authority_by_region_without_a_safeguard_is_unsafe(safeguards: regional_authority::Safeguards) {
+    assert!(search_regional_authority(safeguards).1);
 }
 
 #[test]
@@ -160,22 +160,22 @@
 #[test_case(authority::Safeguards { expected_orders: false, ..authority::Safeguards::ALL }; "expected orders")]
 #[test_case(authority::Safeguards { named_instance: false, ..authority::Safeguards::ALL }; "named instance")]
 #[test_case(authority::Safeguards { renewed_by_store: false, ..authority::Safeguards::ALL }; "renewed by store")]
-fn authority_without_a_safeguard_is_unsafe(guards: authority::Safeguards) {
-    assert!(search_authority(authority::State::default(), guards).1);
+fn authority_without_a_safeguard_is_unsafe(safeguards: authority::Safeguards) {
+    assert!(search_authority(authority::State::default(), safeguards).1);
 }
 
 #[test_case(authority::Safeguards { fence_counts_eras: false, ..authority::Safeguards::ALL }; "fence counts eras")]
 #[test_case(authority::Safeguards { lease_of_its_era: false, ..authority::Safeguards::ALL }; "lease of its era")]
 #[test_case(authority::Safeguards { wait_for_earlier_era: false, ..authority::Safeguards::ALL }; "wait for earlier era")]
-fn authority_across_eras_without_a_safeguard_is_unsafe(guards: authority::Safeguards) {
-    assert!(search_authority(authority::State::with_return(), guards).1);
+fn authority_across_eras_without_a_safeguard_is_unsafe(safeguards: authority::Safeguards) {
+    assert!(search_authority(authority::State::with_return(), safeguards).1);
 }
 
 #[test_case(adoption::Safeguards { only_higher: false, ..adoption::Safeguards::ALL }; "only higher")]
-#[test_case(adoption::Safeguards { read_when_history_is_gone: false, ..adoption::Safeguards::ALL }; "read when history is gone")]
-#[test_case(adoption::Safeguards { watch_from_the_read: false, ..adoption::Safeguards::ALL }; "watch from the read")]
-fn adoption_without_a_safeguard_is_unsafe(guards: adoption::Safeguards) {
-    assert!(search_adoption(guards).1);
+#[test_case(adoption::Safeguards { reread_when_history_is_gone: false, ..adoption::Safeguards::ALL }; "read when history is gone")]
+#[test_case(adoption::Safeguards { watch_from_read_revision: false, ..adoption::Safeguards::ALL }; "watch from the read")]
+fn adoption_without_a_safeguard_is_unsafe(safeguards: adoption::Safeguards) {
+    assert!(search_adoption(safeguards).1);
 }
 
 #[test_case(resuming::Safeguards { whole_events: false, ..resuming::Safeguards::ALL }; "whole events")]
@@ -183,6 +183,6 @@
 #[test_case(resuming::Safeguards { stop_first: false, ..resuming::Safeguards::ALL }; "stop first")]
 #[test_case(resuming::Safeguards { only_resumable: false, ..resuming::Safeguards::ALL }; "only resumable")]
 #[test_case(resuming::Safeguards { own_end: false, ..resuming::Safeguards::ALL }; "own end")]
-fn resuming_without_a_safeguard_is_unsafe(guards: resuming::Safeguards) {
-    assert!(search_resuming(guards).1);
+fn resuming_without_a_safeguard_is_unsafe(safeguards: resuming::Safeguards) {
+    assert!(search_resuming(safeguards).1);
 }
--- a/crates/serving/tests/specification/adoption.rs
+++ b/crates/serving/tests/specification/adoption.rs
@@ -13,14 +13,17 @@
     /// Only a higher version replaces the one in force.
     pub only_higher: bool,
     /// When history is gone everything is read anew.
-    pub read_when_history_is_gone: bool,
+    pub reread_when_history_is_gone: bool,
     /// The first read is linearizable, and the watch goes on from its revision.
-    pub watch_from_the_read: bool,
+    pub watch_from_read_revision: bool,
 }
 
 impl Safeguards {
-    pub const ALL: Self =
-        Self { only_higher: true, read_when_history_is_gone: true, watch_from_the_read: true };
+    pub const ALL: Self = Self {
+        only_higher: true,
+        reread_when_history_is_gone: true,
+        watch_from_read_revision: true,
+    };
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -31,18 +34,18 @@
     history_from: u8,
     in_force: u8,
     /// The revision up to which the node believes to know everything.
-    known_to: Option<u8>,
+    synced_to: Option<u8>,
     peer: u8,
     in_transit: BTreeSet<u8>,
     pub violated: bool,
 }
 
 impl State {
-    pub fn next(&self, guards: Safeguards) -> Vec<Self> {
+    pub fn next(&self, safeguards: Safeguards) -> Vec<Self> {
         let mut states = Vec::new();
         self.store_steps(&mut states);
-        self.peer_steps(guards, &mut states);
-        self.node_steps(guards, &mut states);
+        self.peer_steps(safeguards, &mut states);
+        self.node_steps(safeguards, &mut states);
         states
     }
 
@@ -53,7 +56,7 @@
         states.push(Self { history_from: self.stored, ..self.clone() });
     }
 
-    fn peer_steps(&self, guards: Safeguards, states: &mut Vec<Self>) {
+    fn peer_steps(&self, safeguards: Safeguards, states: &mut Vec<Self>) {
         states.push(Self { peer: self.stored, ..self.clone() });
         let mut sent = self.clone();
         sent.in_transit.insert(self.peer);
@@ -61,47 +64,47 @@
         for version in &self.in_transit {
             let mut received = self.clone();
             received.in_transit.remove(version);
-            received.adopt(*version, guards);
+            received.adopt(*version, safeguards);
             states.push(received);
         }
     }
 
-    fn node_steps(&self, guards: Safeguards, states: &mut Vec<Self>) {
+    fn node_steps(&self, safeguards: Safeguards, states: &mut Vec<Self>) {
         let mut restarted = self.clone();
         restarted.in_force = 0;
-        restarted.known_to = None;
+        restarted.synced_to = None;
         states.push(restarted);
-        let Some(known_to) = self.known_to else {
-            return self.first_read(guards, states);
+        let Some(synced_to) = self.synced_to else {
+            return self.first_read(safeguards, states);
         };
-        if known_to < self.history_from {
+        if synced_to < self.history_from {
             let mut gone = self.clone();
-            gone.known_to = (!guards.read_when_history_is_gone).then_some(self.stored);
+            gone.synced_to = (!safeguards.reread_when_history_is_gone).then_some(self.stored);
             gone.check();
             states.push(gone);
-        } else if known_to < self.stored {
+        } else if synced_to < self.stored {
             let mut event = self.clone();
-            event.adopt(known_to + 1, guards);
-            event.known_to = Some(known_to + 1);
+            event.adopt(synced_to + 1, safeguards);
+            event.synced_to = Some(synced_to + 1);
             event.check();
             states.push(event);
         }
     }
 
-    fn first_read(&self, guards: Safeguards, states: &mut Vec<Self>) {
-        let oldest = if guards.watch_from_the_read { self.stored } else { 0 };
+    fn first_read(&self, safeguards: Safeguards, states: &mut Vec<Self>) {
+        let oldest = if safeguards.watch_from_read_revision { self.stored } else { 0 };
         for seen in oldest..=self.stored {
             let mut read = self.clone();
-            read.adopt(seen, guards);
+            read.adopt(seen, safeguards);
             // Without the safeguard the read is stale and the watch starts from now.
-            read.known_to = Some(self.stored);
+            read.synced_to = Some(self.stored);
             read.check();
             states.push(read);
         }
     }
 
-    fn adopt(&mut self, version: u8, guards: Safeguards) {
-        if version > self.in_force || !guards.only_higher {
+    fn adopt(&mut self, version: u8, safeguards: Safeguards) {
+        if version > self.in_force || !safeguards.only_higher {
             self.violated |= version < self.in_force;
             self.in_force = version;
         }
@@ -109,6 +112,6 @@
 
     /// A node that believes to know everything up to a revision has that version in force.
     fn check(&mut self) {
-        self.violated |= self.known_to.is_some_and(|known_to| self.in_force < known_to);
+        self.violated |= self.synced_to.is_some_and(|synced_to| self.in_force < synced_to);
     }
 }
--- a/crates/serving/tests/specification/resuming.rs
+++ b/crates/serving/tests/specification/resuming.rs
@@ -58,18 +58,18 @@
         Self { resumable, runs: [Some(first), None], ..Self::default() }
     }
 
-    pub fn next(&self, guards: Safeguards) -> Vec<Self> {
+    pub fn next(&self, safeguards: Safeguards) -> Vec<Self> {
         let mut states = Vec::new();
         if !self.complete && !self.cut {
             for runner in 0..RUNNERS {
-                self.run_steps(runner, guards, &mut states);
+                self.run_steps(runner, safeguards, &mut states);
             }
-            self.next_run(guards, &mut states);
+            self.next_run(safeguards, &mut states);
         }
         states
     }
 
-    fn run_steps(&self, runner: usize, guards: Safeguards, states: &mut Vec<Self>) {
+    fn run_steps(&self, runner: usize, safeguards: Safeguards, states: &mut Vec<Self>) {
         let Some(run) = self.runs[runner].clone().filter(|run| run.is_running && run.is_followed)
         else {
             return;
@@ -83,14 +83,14 @@
             for keeps_running in [false, true] {
                 let mut broken = self.clone();
                 broken.run(runner).is_followed = false;
-                broken.run(runner).is_running = keeps_running && !guards.stop_first;
-                if !guards.whole_events {
+                broken.run(runner).is_running = keeps_running && !safeguards.stop_first;
+                if !safeguards.whole_events {
                     broken.client.push(TRUNCATED_EVENT);
                 }
                 states.push(broken);
             }
         }
-        if run.made == EVENTS || !guards.own_end {
+        if run.made == EVENTS || !safeguards.own_end {
             let mut ended = self.clone();
             ended.complete = true;
             ended.violated |= ended.client != (1..=EVENTS).collect::<Vec<u8>>();
@@ -98,7 +98,7 @@
         }
     }
 
-    fn next_run(&self, guards: Safeguards, states: &mut Vec<Self>) {
+    fn next_run(&self, safeguards: Safeguards, states: &mut Vec<Self>) {
         let [Some(first), None] = &self.runs else { return };
         if first.is_followed {
             return;
@@ -106,10 +106,10 @@
         let mut cut = self.clone();
         cut.cut = true;
         states.push(cut);
-        if self.resumable || !guards.only_resumable {
+        if self.resumable || !safeguards.only_resumable {
             let mut resumed = self.clone();
             let last = self.client.len() as u8;
-            let made = if guards.after_last_forwarded { last } else { 0 };
+            let made = if safeguards.after_last_forwarded { last } else { 0 };
             resumed.runs[1] = Some(Run { made, is_running: true, is_followed: true });
             resumed.violated |= !self.resumable || first.is_running;
             states.push(resumed);
--- a/crates/serving/tests/store_replica.rs
+++ b/crates/serving/tests/store_replica.rs
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn a_copy_that_has_read_nothing_has_nothing_to_say() {
+fn an_empty_replica_serves_no_update() {
     assert_eq!(StoreReplica::default().update_since(None), None);
 }
 
 #[test]
-fn a_copy_that_lags_has_nothing_to_say_to_one_that_is_ahead() {
+fn a_lagging_replica_serves_no_update_to_one_that_is_ahead() {
     let mut replica = StoreReplica::default();
     replica.apply(&update(5, true, vec![]));
     assert_eq!(replica.update_since(Some(at(6))), None);
@@ -45,7 +45,7 @@
 
 /// Otherwise nodes that follow this one would never hear of a store that has taken another's place.
 #[test]
-fn a_copy_that_was_forgotten_takes_in_lower_revisions() {
+fn a_reset_replica_accepts_lower_revisions() {
     let mut replica = StoreReplica::default();
     replica.apply(&update(50, true, vec![entry("a", Some("old"), 40)]));
     replica.reset();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_was_removed_before_a_whole_list_shows_by_the_whole_list_only() {
+fn removals_before_a_snapshot_require_a_snapshot() {
     let mut replica = StoreReplica::default();
     replica.apply(&update(5, true, vec![entry("a", Some("x"), 2)]));
     assert!(
@@ -101,7 +101,7 @@
     /// Whatever changes, and whenever copies follow: a node that follows another one's copy ends
     /// up with what the store holds.
     #[test]
-    fn a_node_that_follows_a_copy_has_what_the_store_has(
+    fn a_follower_ends_up_with_the_contents_of_the_store(
         changes in prop::collection::vec(change(), 1..120),
     ) {
         let mut store: BTreeMap<String, StoreEntry> = BTreeMap::new();
@@ -127,14 +127,14 @@
                     first.apply(&update(revision, true, store.values().cloned().collect()));
                 }
                 Change::Follow => {
-                    let answer = first.update_since(known_to).unwrap();
-                    apply(&mut second, &answer);
-                    known_to = Some(answer.known_to());
+                    let reply = first.update_since(known_to).unwrap();
+                    apply(&mut second, &reply);
+                    known_to = Some(reply.known_to());
                 }
             }
         }
         let document = |entry: &StoreEntry| (entry.key.clone(), entry.document.clone().unwrap());
-        let held: BTreeMap<String, String> = store.values().map(document).collect();
-        prop_assert_eq!(second, held);
+        let stored: BTreeMap<String, String> = store.values().map(document).collect();
+        prop_assert_eq!(second, stored);
     }
 }
--- a/crates/serving/tests/store_revision.rs
+++ b/crates/serving/tests/store_revision.rs
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn whatever_is_of_a_later_era_is_later() {
+fn revisions_of_a_later_era_are_later() {
     assert!(at(2, 1) > at(1, 900));
     assert!(at(1, 2) > at(1, 1));
     assert!(at(0, 1) > StoreRevision::without_era(900), "the first era is told as 0");
 }
 
 #[test]
-fn an_era_is_never_taken_back() {
+fn the_current_era_never_goes_back() {
     let mut eras = StoreEras::default();
     assert_eq!(eras.on_response(StoreEra::UNKNOWN, 0), EraChange::Unchanged);
     assert_eq!(eras.on_response(era(0), 1), EraChange::First);
@@ -53,7 +53,7 @@
 
 /// A store that was set up anew counts its eras from the beginning.
 #[test]
-fn a_store_whose_answers_are_of_earlier_eras_alone_is_another_one() {
+fn a_store_that_responds_only_in_earlier_eras_has_been_replaced() {
     let mut eras = eras_from(3);
     assert_eq!(eras.on_response(era(1), SECOND), EraChange::Superseded);
     assert_eq!(eras.on_response(era(3), 10 * SECOND), EraChange::Unchanged);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn entries_of_another_store_are_believed_whatever_their_revisions() {
+fn entries_of_another_store_are_accepted_under_any_revision() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, at(3, 50)));
     fleet.on_other_store();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_word_without_an_era_is_of_the_first_one_that_was_heard_of() {
+fn a_report_without_an_era_is_of_the_first_observed_era() {
     let mut eras = eras_from(4);
     assert_eq!(eras.resolve_reported(StoreEra::UNKNOWN), era(4));
     eras.on_response(era(5), 1);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_word_of_an_era_that_is_over_confirms_nothing() {
+fn a_report_of_an_earlier_era_confirms_nothing() {
     let mut replica = ReplicaFreshness::default();
     let everything = StoreUpdate {
         era: era(2),
@@ -106,7 +106,7 @@
 
 /// Nobody can tell what was lost between two eras.
 #[test]
-fn a_copy_goes_into_a_later_era_by_a_whole_list_alone() {
+fn only_a_snapshot_leads_a_replica_into_a_later_era() {
     let update = |in_era, known_to, is_snapshot| StoreUpdate {
         era: era(in_era),
         known_to: RevisionNumber(known_to),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_entry_that_is_written_again_under_a_lower_revision_is_believed() {
+fn an_entry_written_again_under_a_lower_revision_is_accepted() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, at(1, 50)));
     assert_eq!(fleet.put(record("a", true, at(2, 7))), FleetChange::Draining);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_runner_that_leaves_goes_on_leaving_whatever_an_older_copy_says() {
+fn a_draining_runner_stays_draining_after_a_restore_of_the_store() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", true, at(1, 50)));
     fleet.replace_all(vec![record("a", false, at(2, 7))], at(2, 40), Some(SECOND));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_runner_that_had_left_does_not_come_back_with_an_older_copy() {
+fn a_removed_runner_does_not_return_with_a_restore_of_the_store() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, at(1, 50)));
     fleet.remove(&RunnerId::new("a"), at(1, 60), None);
@@ -167,23 +167,24 @@
 }
 
 #[test]
-fn a_life_that_ended_does_not_come_back_with_an_older_copy() {
+fn an_ended_incarnation_does_not_return_with_a_restore_of_the_store() {
     let name = RunnerName::new("a");
-    let life = |born_ms| RunnerId::of_incarnation(&name, Some(born_ms));
-    let record = |born_ms, revision| RunnerRecord { revision, ..runner_record(life(born_ms)) };
+    let incarnation = |born_ms| RunnerId::of_incarnation(&name, Some(born_ms));
+    let record =
+        |born_ms, revision| RunnerRecord { revision, ..runner_record(incarnation(born_ms)) };
     let mut fleet = Fleet::default();
     fleet.put(record(100, at(1, 50)));
     fleet.put(record(200, at(1, 60)));
     fleet.replace_all(vec![record(100, at(2, 50))], at(2, 55), Some(SECOND));
-    assert_eq!(fleet.life_of(&name), Some(&life(200)));
+    assert_eq!(fleet.life_of(&name), Some(&incarnation(200)));
 }
 
 #[test_case(false; "the store is not known to have been away")]
 #[test_case(true; "the store has been away")]
-fn entries_that_an_older_copy_lacks_may_be_written_again(was_away: bool) {
+fn entries_missing_after_a_restore_may_be_written_again(was_unavailable: bool) {
     let mut replica = ReplicaFreshness::default();
-    let answered_us = if was_away { 0 } else { 4 * SECOND };
-    replica.on_store_response(at(1, 50), answered_us);
+    let confirmed_at_us = if was_unavailable { 0 } else { 4 * SECOND };
+    replica.on_store_response(at(1, 50), confirmed_at_us);
     replica.on_later_era(4 * SECOND + 50_000);
     assert!(replica.lapse_grace_until_us(4 * SECOND + 60_000).is_some());
 }
@@ -194,7 +195,7 @@
     Remove(u8),
     /// The store comes back from its last copy.
     Restore,
-    BackUp,
+    Backup,
     /// The reader asks the store.
     Read,
     /// A follower asks the reader.
@@ -206,7 +207,7 @@
         5 => (0_u8..5).prop_map(Step::Write),
         2 => (0_u8..5).prop_map(Step::Remove),
         1 => Just(Step::Restore),
-        1 => Just(Step::BackUp),
+        1 => Just(Step::Backup),
         3 => Just(Step::Read),
         3 => Just(Step::Follow),
     ]
@@ -248,7 +249,7 @@
 proptest! {
     /// A reader that reads everything in a later era, and whoever follows it, end up with what the store holds.
     #[test]
-    fn copies_hold_what_the_store_holds_across_its_returns(
+    fn replicas_match_the_store_across_restores(
         steps in prop::collection::vec(step(), 1..150),
     ) {
         let (mut store, mut backup, mut in_era, mut writes) = (Store::default(), Store::default(), 0, 0);
@@ -267,14 +268,14 @@
                     store.entries.remove(&key.to_string());
                     store.changes.push((store.revision, key.to_string(), None));
                 }
-                Step::BackUp => backup = store.clone(),
+                Step::Backup => backup = store.clone(),
                 Step::Restore => {
                     store = backup.clone();
                     in_era += 1;
                 }
                 Step::Read => {
-                    let at_of_this_era = reader.known_to().filter(|at| at.era() == era(in_era));
-                    let update = at_of_this_era
+                    let revision_of_this_era = reader.known_to().filter(|at| at.era() == era(in_era));
+                    let update = revision_of_this_era
                         .map_or_else(|| store.snapshot(in_era), |at| store.changes_since(in_era, at.number().0));
                     reader.apply(&update);
                 }
@@ -285,13 +286,13 @@
                 }
             }
         }
-        let held: BTreeMap<String, String> =
+        let stored: BTreeMap<String, String> =
             store.entries.iter().map(|(key, (_, write))| (key.clone(), write.to_string())).collect();
         for replica in [reader, follower] {
             let entries = replica.update_since(None).unwrap().entries;
-            let copied: BTreeMap<String, String> =
+            let replicated: BTreeMap<String, String> =
                 entries.into_iter().map(|it| (it.key, it.document.unwrap())).collect();
-            prop_assert_eq!(&copied, &held);
+            prop_assert_eq!(&replicated, &stored);
         }
     }
 }
--- a/crates/serving/tests/suspicion.rs
+++ b/crates/serving/tests/suspicion.rs
@@ -4,8 +4,8 @@
 use pitchstall_serving::suspicion::Suspicion;
 use proptest::prelude::*;
 
-const MILLI: u64 = 1_000;
-const SECOND: u64 = 1_000_000;
+const MILLI_US: u64 = 1_000;
+const SECOND_US: u64 = 1_000_000;
 
 /// A look that a doubt asked for has found the runner, or has not.
 fn probe(runner: &mut Suspicion, since_us: u64, reachable: Option<bool>, now_us: u64) {
@@ -16,11 +16,11 @@
 #[test]
 fn a_busy_runner_is_not_suspected_however_long_one_request_waits() {
     let mut runner = Suspicion::default();
-    runner.on_progress(900 * MILLI);
-    runner.on_attempt_timeout(0, SECOND);
+    runner.on_progress(900 * MILLI_US);
+    runner.on_attempt_timeout(0, SECOND_US);
     assert!(!runner.is_suspected(), "it has answered others since that request was sent");
-    probe(&mut runner, SECOND, Some(true), SECOND + 3 * MILLI);
-    runner.on_attempt_timeout(SECOND, 2 * SECOND);
+    probe(&mut runner, SECOND_US, Some(true), SECOND_US + 3 * MILLI_US);
+    runner.on_attempt_timeout(SECOND_US, 2 * SECOND_US);
     assert!(!runner.is_suspected(), "it took a connection");
 }
 
@@ -29,20 +29,20 @@
 #[test]
 fn a_short_silence_proves_nothing() {
     let mut runner = Suspicion::default();
-    runner.on_attempt_timeout(SECOND, SECOND + 99 * MILLI);
+    runner.on_attempt_timeout(SECOND_US, SECOND_US + 99 * MILLI_US);
     assert!(!runner.is_suspected());
 }
 
 #[test]
-fn a_dark_runner_is_suspected_when_it_takes_no_connection() {
+fn a_runner_that_accepts_no_connection_is_suspected() {
     let mut runner = Suspicion::default();
-    probe(&mut runner, 0, Some(false), 200 * MILLI);
-    assert!(runner.is_avoided(0, 300 * MILLI));
-    assert!(!runner.begin_probe(300 * MILLI), "nothing is left to find out");
+    probe(&mut runner, 0, Some(false), 200 * MILLI_US);
+    assert!(runner.is_avoided(0, 300 * MILLI_US));
+    assert!(!runner.begin_probe(300 * MILLI_US), "nothing is left to find out");
 }
 
 #[test]
-fn one_look_at_a_time_is_enough() {
+fn only_one_probe_runs_at_a_time() {
     let mut runner = Suspicion::default();
     assert!(runner.begin_probe(0));
     assert!(!runner.begin_probe(10));
@@ -52,51 +52,51 @@
 }
 
 #[test]
-fn a_runner_that_takes_connections_and_answers_nobody_is_suspected_in_the_end() {
+fn a_runner_that_accepts_connections_but_never_responds_is_suspected() {
     let mut runner = Suspicion::default();
-    probe(&mut runner, 0, Some(true), 100 * MILLI);
-    runner.on_attempt_timeout(200 * MILLI, SECOND);
+    probe(&mut runner, 0, Some(true), 100 * MILLI_US);
+    runner.on_attempt_timeout(200 * MILLI_US, SECOND_US);
     assert!(runner.is_suspected(), "health that says otherwise does not count");
 }
 
 #[test]
-fn a_runner_cut_off_one_way_is_suspected_though_its_events_come() {
+fn a_runner_cut_off_in_one_direction_is_suspected_although_its_events_arrive() {
     let mut runner = Suspicion::default();
-    runner.on_progress(100 * MILLI);
-    probe(&mut runner, 150 * MILLI, Some(false), 350 * MILLI);
+    runner.on_progress(100 * MILLI_US);
+    probe(&mut runner, 150 * MILLI_US, Some(false), 350 * MILLI_US);
     assert!(runner.is_suspected());
-    runner.on_progress(400 * MILLI);
+    runner.on_progress(400 * MILLI_US);
     assert!(!runner.is_suspected(), "evidence of life takes it back");
 }
 
 #[test]
-fn a_node_that_stood_still_condemns_nobody() {
+fn a_suspended_node_suspects_no_runner() {
     let mut runner = Suspicion::default();
-    probe(&mut runner, 0, None, 8 * SECOND);
+    probe(&mut runner, 0, None, 8 * SECOND_US);
     assert!(!runner.is_suspected());
-    assert!(runner.begin_probe(8 * SECOND), "it looks again");
+    assert!(runner.begin_probe(8 * SECOND_US), "it looks again");
 }
 
 #[test]
-fn a_flapping_runner_is_avoided_for_longer_each_time_until_it_answers() {
+fn a_flapping_runner_is_avoided_for_longer_each_time_until_it_responds() {
     let mut runner = Suspicion::default();
     runner.on_unreachable(0);
-    assert!(runner.is_avoided(0, 499 * MILLI));
-    assert!(!runner.is_avoided(0, 501 * MILLI));
-    assert!(runner.is_avoided(1, 501 * MILLI), "one request tries it first");
-    runner.on_unreachable(501 * MILLI);
-    assert!(runner.is_avoided(0, 1_400 * MILLI));
-    runner.on_progress(1_450 * MILLI);
-    assert!(!runner.is_avoided(1, 1_460 * MILLI));
-    runner.on_unreachable(2 * SECOND);
-    assert!(!runner.is_avoided(0, 2_600 * MILLI), "it begins anew");
+    assert!(runner.is_avoided(0, 499 * MILLI_US));
+    assert!(!runner.is_avoided(0, 501 * MILLI_US));
+    assert!(runner.is_avoided(1, 501 * MILLI_US), "one request tries it first");
+    runner.on_unreachable(501 * MILLI_US);
+    assert!(runner.is_avoided(0, 1_400 * MILLI_US));
+    runner.on_progress(1_450 * MILLI_US);
+    assert!(!runner.is_avoided(1, 1_460 * MILLI_US));
+    runner.on_unreachable(2 * SECOND_US);
+    assert!(!runner.is_avoided(0, 2_600 * MILLI_US), "it begins anew");
 }
 
 #[test]
-fn failures_that_come_together_count_once() {
+fn simultaneous_failures_count_once() {
     let mut runner = Suspicion::default();
     (0..50).for_each(|at| runner.on_unreachable(at));
-    assert!(!runner.is_avoided(0, 600 * MILLI));
+    assert!(!runner.is_avoided(0, 600 * MILLI_US));
 }
 
 proptest! {
@@ -104,8 +104,8 @@
     /// while an attempt waits, the attempt's silence proves nothing.
     #[test]
     fn a_slow_runner_that_makes_progress_is_never_suspected(
-        pauses in proptest::collection::vec(1_u64..500 * MILLI, 1..60),
-        limit_us in 500 * MILLI..2 * SECOND,
+        pauses in proptest::collection::vec(1_u64..500 * MILLI_US, 1..60),
+        limit_us in 500 * MILLI_US..2 * SECOND_US,
     ) {
         let mut runner = Suspicion::default();
         let mut now_us = 0;
--- a/crates/serving/tests/urgency.rs
+++ b/crates/serving/tests/urgency.rs
@@ -37,17 +37,17 @@
 }
 
 #[test]
-fn what_was_put_behind_is_still_counted_and_comes_after_all_others() {
-    let behind = choice(900.0, 30.0).put_behind();
-    assert_eq!(behind.tokens_to_read(), 1_000);
-    assert_eq!(behind.demand.unread_tokens, 0, "it holds nobody up");
+fn deferred_prompts_still_count_and_rank_last() {
+    let deferred = choice(900.0, 30.0).put_behind();
+    assert_eq!(deferred.tokens_to_read(), 1_000);
+    assert_eq!(deferred.demand.unread_tokens, 0, "it holds nobody up");
     let last_in_time = rank(u8::MAX, &choice(0.0, 190.0), TARGET_MS);
-    assert!(rank(0, &behind, TARGET_MS) > last_in_time);
-    assert!(rank(1, &behind, TARGET_MS) > rank(0, &behind, TARGET_MS));
+    assert!(rank(0, &deferred, TARGET_MS) > last_in_time);
+    assert!(rank(1, &deferred, TARGET_MS) > rank(0, &deferred, TARGET_MS));
 }
 
 #[test]
-fn among_equals_the_shorter_reading_goes_ahead() {
+fn shorter_prefills_go_first_within_a_priority() {
     let ranks: Vec<u8> =
         [10.0, 60.0, 150.0].iter().map(|ms| rank(0, &choice(0.0, *ms), TARGET_MS)).collect();
     assert_eq!(ranks, [0, 1, 2]);
@@ -57,7 +57,7 @@
 /// Engines ten times as fast or as slow, with targets to match, are ordered alike.
 #[test_case(0.1)]
 #[test_case(10.0)]
-fn order_follows_the_measure_of_the_target(scale: f64) {
+fn order_scales_with_the_target(scale: f64) {
     for (wait_ms, reading_ms) in [(0.0, 20.0), (150.0, 40.0), (300.0, 40.0), (0.0, 150.0)] {
         let ranked = |scale: f64| {
             let plan = ReadingPlan::Split(choice(wait_ms * scale, reading_ms * scale));
