--- a/crates/policy/tests/programs.rs
+++ b/crates/policy/tests/programs.rs
@@ -1,4 +1,4 @@
-//! Policy programs narrow, and those that misbehave are refused.
+//! Policy programs restrict the choice of zones, and programs that misbehave are rejected.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_policy::{PolicyDecision, PolicyEngine, PolicyError, PolicyInput};
--- a/crates/serving/tests/event_stream.rs
+++ b/crates/serving/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Cutting of streams into events, and joining of runs.
+//! Splitting of streams into events, and merging of runs.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::event_stream::{EventAction, EventDeduplicator, EventSplitter};
@@ -22,7 +22,7 @@
         prop_assert!(splitter.pending().is_empty());
     }
 
-    /// A run breaks off anywhere, and another goes on after the last whole event.
+    /// A run breaks off at any byte, and another one continues after the last complete event.
     #[test]
     fn two_runs_merge_without_gaps_or_duplicates(count in 1_u64..20, cut in 0_usize..400, overlap in 0_u64..4) {
         let all: String = (0..count).map(event_text).collect();
--- a/crates/serving/tests/freshness.rs
+++ b/crates/serving/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Confirmations that nodes hand to each other never make a copy look fresher than it is.
+//! Confirmations that nodes pass to each other never make a replica look fresher than it is.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::freshness::{Freshness, FreshnessReport, ReplicaFreshness};
@@ -55,8 +55,9 @@
     );
 }
 
-/// On a day of 295 nodes a copy whose own watch was cut off from the store was confirmed for
-/// seconds by nodes that had seen a change through another node and did not tell of it.
+/// Guards against a fault of a run with 295 nodes: a replica whose own watch was cut off from the
+/// store was confirmed for seconds by nodes that had received a change through another node and did
+/// not report it.
 #[test]
 fn a_follower_confirms_only_replicas_that_include_its_changes() {
     let entry =
@@ -95,8 +96,8 @@
 
 #[test]
 fn a_read_of_all_entries_does_not_hide_earlier_removals() {
-    // Revision 8 removed an entry. The reader saw only entries up to 5; the other node's watch
-    // went silent at 6.
+    // Revision 8 removed an entry. The reader saw only entries up to 5; the other node's watch went
+    // silent at 6.
     let mut reader = ReplicaFreshness::default();
     reader.on_full_read(&empty_snapshot_at(9), 0);
     let mut other = replica_known_to(6);
@@ -104,7 +105,7 @@
     assert_eq!(
         other.assess(CONFIRMATION_TTL_US, CONFIRMATION_TTL_US),
         Freshness::Unconfirmed,
-        "nothing is reported at first"
+        "no change is reported at first"
     );
     other.on_report(reader.report(2 * SECOND_US), &StoreEras::default(), 2 * SECOND_US);
     assert_eq!(other.assess(3 * SECOND_US, CONFIRMATION_TTL_US), Freshness::Behind);
@@ -117,7 +118,7 @@
     let mut other = replica_known_to(6);
     other.on_store_response(at(9), SECOND_US);
     reader.on_report(other.report(SECOND_US), &StoreEras::default(), SECOND_US + 1);
-    // Its word confirms the other's copy now, instead of making it ask.
+    // The report now confirms the other node's replica instead of making that node query the store.
     reader.on_store_response(at(9), 3 * SECOND_US);
     other.on_report(reader.report(3 * SECOND_US), &StoreEras::default(), 3 * SECOND_US);
     assert_eq!(other.assess(3 * SECOND_US, CONFIRMATION_TTL_US), Freshness::Fresh);
@@ -130,7 +131,7 @@
     assert_eq!(
         replica.assess(SECOND_US, CONFIRMATION_TTL_US),
         Freshness::Fresh,
-        "the watch may be about to tell"
+        "the watch may still deliver the change"
     );
     replica.on_report(report(6, 0), &StoreEras::default(), SECOND_US + 200_000);
     assert_eq!(replica.assess(SECOND_US + 400_000, CONFIRMATION_TTL_US), Freshness::Behind);
@@ -172,7 +173,7 @@
     );
 }
 
-/// Whoever tells of the last change of a storm has seen the first one too.
+/// A node that reports the last of many changes has also seen the first one.
 #[test]
 fn a_report_of_a_later_change_renews_that_of_an_earlier_one() {
     let mut replica = replica_known_to(5);
@@ -183,8 +184,8 @@
     assert_eq!(replica.behind_for_us(20 * SECOND_US), Some(20 * SECOND_US));
 }
 
-/// A node whose settings name another store tells of revisions that this one's store never had: the store's
-/// own answer, or silence, ends that.
+/// A node whose settings name another store reports revisions that this node's store never had. A
+/// response of the store, or the end of the reports, clears them.
 #[test]
 fn reports_of_another_stores_revisions_expire() {
     let mut replica = replica_known_to(5);
@@ -193,12 +194,12 @@
     replica.on_store_response(at(5), 2 * SECOND_US);
     assert_eq!(replica.behind_for_us(2 * SECOND_US), None);
     replica.on_report(report(50_000, 0), &StoreEras::default(), 3 * SECOND_US);
-    assert_eq!(replica.behind_for_us(9 * SECOND_US), None, "nobody has repeated it");
+    assert_eq!(replica.behind_for_us(9 * SECOND_US), None, "no node has repeated the report");
 }
 
-/// A configuration is one entry, so that a node that has it knows which change was the last.
-/// Otherwise a node that starts just before the store goes away would make nodes look outdated that have all
-/// there is, until the store is back.
+/// A configuration is a single entry, so a node that has it knows the last change. Otherwise a node
+/// that starts just before the store becomes unavailable would make nodes look outdated that are up
+/// to date, until the store is back.
 #[test]
 fn a_node_that_has_the_only_entry_makes_no_other_look_behind() {
     let entry =
@@ -222,8 +223,8 @@
 }
 
 proptest! {
-    /// Nodes that only talk to each other stop believing in time: no circle of words keeps a
-    /// confirmation alive that the store does not give.
+    /// Nodes that only exchange reports with each other stop relying on them in time: no cycle of
+    /// reports prolongs a confirmation that the store does not renew.
     #[test]
     fn confirmations_do_not_circulate_forever(delays_ms in prop::collection::vec((0_usize..4, 0_usize..4, 1_u64..300), 50..200)) {
         let mut replicas = vec![replica_known_to(5); 4];
@@ -231,7 +232,7 @@
         for (from, to, delay_ms) in delays_ms {
             now_us += delay_ms * 1_000;
             let report = replicas[from].report(now_us);
-            // The word travels for up to the time that is added for each hop.
+            // The report is under way for up to the time that is added for each hop.
             replicas[to].on_report(report, &StoreEras::default(), now_us + 20_000);
         }
         let end_us = now_us.max(CONFIRMATION_TTL_US) + 20_000;
--- a/crates/serving/tests/lapsed_entries.rs
+++ b/crates/serving/tests/lapsed_entries.rs
@@ -1,5 +1,5 @@
-//! Entries that lapse while the store is away: their runners serve on, and are gone if the entries
-//! are not back soon after its return.
+//! Entries that lapse while the store is unavailable: their runners continue to serve, and are
+//! removed if the entries are not written again soon after its return.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -29,7 +29,7 @@
     fleet.put(record("a", false, 1));
     assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(GRACE_UNTIL_US)), FleetChange::Lapsed);
     assert!(takes_work(&fleet, "a"));
-    assert_eq!(fleet.put(record("a", false, 4)), FleetChange::None, "older than its lapse");
+    assert_eq!(fleet.put(record("a", false, 4)), FleetChange::None, "older than the removal");
     fleet.put(record("a", false, 6));
     assert!(fleet.remove_lapsed(GRACE_UNTIL_US).is_empty());
     assert!(takes_work(&fleet, "a"));
@@ -41,7 +41,7 @@
     fleet.put(record("a", false, 1));
     assert!(fleet.replace_all(Vec::new(), at(5), Some(GRACE_UNTIL_US)).is_empty());
     assert!(fleet.remove_lapsed(GRACE_UNTIL_US - 1).is_empty());
-    // A second list without it gives it no more time.
+    // A second snapshot without the entry does not extend the time.
     assert!(fleet.replace_all(Vec::new(), at(6), Some(2 * GRACE_UNTIL_US)).is_empty());
     assert_eq!(fleet.remove_lapsed(GRACE_UNTIL_US), [RunnerId::new("a")]);
     assert!(fleet.get(&RunnerId::new("a")).is_none());
@@ -66,12 +66,16 @@
         },
         0,
     );
-    assert_eq!(copy.lapse_grace_until_us(SECOND_US), None, "heard of lately");
-    assert!(copy.lapse_grace_until_us(4 * SECOND_US).is_some(), "not heard of for seconds");
+    assert_eq!(copy.lapse_grace_until_us(SECOND_US), None, "the store responded recently");
+    assert!(copy.lapse_grace_until_us(4 * SECOND_US).is_some(), "no response for seconds");
     copy.on_store_response(at(2), 5 * SECOND_US);
     let until_us = copy.lapse_grace_until_us(5 * SECOND_US).unwrap();
     assert!((SECOND_US..=2 * SECOND_US).contains(&(until_us - 5 * SECOND_US)));
     copy.on_store_response(at(3), 6 * SECOND_US);
     copy.on_store_response(at(4), 8 * SECOND_US);
-    assert_eq!(copy.lapse_grace_until_us(8 * SECOND_US), None, "it has been back for seconds");
+    assert_eq!(
+        copy.lapse_grace_until_us(8 * SECOND_US),
+        None,
+        "the store has been back for seconds"
+    );
 }
--- a/crates/serving/tests/membership.rs
+++ b/crates/serving/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which nodes read the store, and whom the others follow.
+//! Which nodes read the store, and which of them the others follow.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::{NodeId, RegionId, ZoneId};
@@ -14,7 +14,7 @@
     SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7_000))
 }
 
-/// Nodes in turn over the zones; every twentieth is strong.
+/// Nodes spread over the zones in turn; of every twenty, the first `zones` nodes are strong.
 fn fleet(nodes: usize, zones: usize) -> Vec<(NodeId, Member)> {
     let member = |number: usize| Member {
         address: address(number),
@@ -24,7 +24,7 @@
     (0..nodes).map(|number| (NodeId::new(format!("node-{number}")), member(number))).collect()
 }
 
-/// The zones of the nodes are near each other.
+/// The view of one node; all zones belong to one region.
 fn view_of(number: usize, all: &[(NodeId, Member)]) -> Membership {
     let zones = all.iter().map(|(_, member)| (member.zone.clone(), RegionId::new("coast")));
     let topology = Topology::new(zones);
--- a/crates/serving/tests/model_checking.rs
+++ b/crates/serving/tests/model_checking.rs
@@ -1,5 +1,5 @@
-//! Exhaustive search of the specification: no violation as built, and one for each safeguard
-//! that is dropped.
+//! Exhaustive search of the specification: no violation with all safeguards, and at least one
+//! without any one of them.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod specification;
@@ -10,7 +10,7 @@
 };
 use test_case::test_case;
 
-/// States up to the first violation, and whether there was one.
+/// Number of states up to the first violation, and whether there was one.
 fn count<S>(states: impl Iterator<Item = S>, is_violated: impl Fn(&S) -> bool) -> (usize, bool) {
     let mut seen = 0;
     for state in states {
--- a/crates/serving/tests/specification/adoption.rs
+++ b/crates/serving/tests/specification/adoption.rs
@@ -1,20 +1,21 @@
-//! Adoption of configurations: one store, one node that watches it, one peer.
+//! Adoption of configurations: one store, one node that watches it, and one peer.
 //!
-//! The node reads the store (now, or a stale copy), watches it from a revision, and hears from
-//! the peer what that has in force. The store may forget its history; watches may be cut.
+//! The node reads the store (its current state or a stale one), watches it from a revision, and
+//! receives from the peer the version that the peer has in force. The store may discard its
+//! history, and watches may be cut.
 
 use std::collections::BTreeSet;
 
 const MAX_VERSIONS: u8 = 3;
 
-/// The switches. All on: the protocol as built.
+/// Switches of the safeguards; with all of them on, the protocol is as implemented.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
     /// Only a higher version replaces the one in force.
     pub only_higher: bool,
-    /// When history is gone everything is read anew.
+    /// When the history is gone, the node reads everything again.
     pub reread_when_history_is_gone: bool,
-    /// The first read is linearizable, and the watch goes on from its revision.
+    /// The first read is linearizable, and the watch continues from its revision.
     pub watch_from_read_revision: bool,
 }
 
@@ -28,12 +29,12 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The store's newest version; versions are also its revisions.
+    /// The store's latest version; versions are also its revisions.
     stored: u8,
-    /// Oldest revision from which a watch may go on.
+    /// Oldest revision from which a watch may continue.
     history_from: u8,
     in_force: u8,
-    /// The revision up to which the node believes to know everything.
+    /// Revision up to which the node assumes that it knows everything.
     synced_to: Option<u8>,
     peer: u8,
     in_transit: BTreeSet<u8>,
@@ -96,7 +97,8 @@
         for seen in oldest..=self.stored {
             let mut read = self.clone();
             read.adopt(seen, safeguards);
-            // Without the safeguard the read is stale and the watch starts from now.
+            // Without the safeguard the read is stale and the watch starts from the current
+            // revision.
             read.synced_to = Some(self.stored);
             read.check();
             states.push(read);
@@ -110,7 +112,7 @@
         }
     }
 
-    /// A node that believes to know everything up to a revision has that version in force.
+    /// A node that assumes that it knows everything up to a revision has that version in force.
     fn check(&mut self) {
         self.violated |= self.synced_to.is_some_and(|synced_to| self.in_force < synced_to);
     }
--- a/crates/serving/tests/specification/mod.rs
+++ b/crates/serving/tests/specification/mod.rs
@@ -1,8 +1,8 @@
-//! A small specification of the protocols between nodes, store and runners, for exhaustive
-//! search. Messages may be lost, late and overtaken; nodes pause (they take no step for a
-//! while: every interleaving is searched), crash and start anew. Time is abstract.
+//! A small specification of the protocols between nodes, store and runners, for exhaustive search.
+//! Messages may be lost, delayed and reordered; nodes pause (they take no step for a while, as
+//! every interleaving is searched), crash and restart. Time is abstract.
 //!
-//! Each safeguard has a switch; the search must find a violation when any one is off.
+//! Each safeguard has a switch; the search must find a violation when any one of them is off.
 
 pub mod adoption;
 pub mod authority;
--- a/crates/serving/tests/specification/resuming.rs
+++ b/crates/serving/tests/specification/resuming.rs
@@ -1,25 +1,25 @@
-//! A stream that goes on at another runner: one node, two runners, one client.
+//! A stream that continues at another runner: one node, two runners, one client.
 //!
-//! Runners make events 1 to [`EVENTS`] and may break off, also in the middle of an event. The
-//! node forwards what comes and, if the route allows it, has another runner go on.
+//! Runners produce events 1 to [`EVENTS`] and may break off, also in the middle of an event. The
+//! node forwards what arrives and, if the route allows it, has another runner continue.
 
 const EVENTS: u8 = 2;
 const RUNNERS: usize = 2;
-/// A part of an event that never became whole.
+/// Part of an event that was never completed.
 const TRUNCATED_EVENT: u8 = 99;
 
-/// The switches. All on: the protocol as built.
+/// Switches of the safeguards; with all of them on, the protocol is as implemented.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
-    /// Only whole events are forwarded.
+    /// Only complete events are forwarded.
     pub whole_events: bool,
     /// The next runner begins after the last event that was forwarded.
     pub after_last_forwarded: bool,
-    /// A run that is left is stopped before the next one begins.
+    /// An abandoned run is stopped before the next one begins.
     pub stop_first: bool,
-    /// Only streams that may be resumed go on.
+    /// Only resumable streams continue.
     pub only_resumable: bool,
-    /// The answer ends as complete only with the runner's own end.
+    /// The response ends as complete only when the runner itself ended it.
     pub own_end: bool,
 }
 
@@ -35,10 +35,10 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Run {
-    /// Events made so far, with those before its start.
+    /// Events produced so far, including those before the start of this run.
     made: u8,
     is_running: bool,
-    /// The node still listens to it.
+    /// Whether the node still reads the run's events.
     is_followed: bool,
 }
 
@@ -79,7 +79,8 @@
             made.run(runner).made += 1;
             made.client.push(run.made + 1);
             states.push(made);
-            // It breaks off in the middle of the next event; it may also only seem to.
+            // The run breaks off in the middle of the next event, or only appears to the node to do
+            // so.
             for keeps_running in [false, true] {
                 let mut broken = self.clone();
                 broken.run(runner).is_followed = false;
--- a/crates/serving/tests/store_replica.rs
+++ b/crates/serving/tests/store_replica.rs
@@ -1,4 +1,4 @@
-//! Copies of the store that nodes hand to each other.
+//! Replicas of the store and the updates that nodes send to each other.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::store_replica::{StoreEntry, StoreReplica, StoreUpdate};
@@ -43,7 +43,8 @@
     assert_eq!(replica.update_since(None).unwrap().entries, vec![entry("a", Some("new"), 5)]);
 }
 
-/// Otherwise nodes that follow this one would never hear of a store that has taken another's place.
+/// Without the reset, nodes that follow this one would never learn of a store that took another's
+/// place.
 #[test]
 fn a_reset_replica_accepts_lower_revisions() {
     let mut replica = StoreReplica::default();
@@ -69,9 +70,9 @@
 enum Change {
     Put(u8),
     Remove(u8),
-    /// The first copy reads the whole store anew.
+    /// The first replica reads the whole store again.
     Read,
-    /// The second copy follows the first.
+    /// The second replica follows the first.
     Follow,
 }
 
@@ -84,7 +85,7 @@
     ]
 }
 
-/// Takes an update in as a node does.
+/// Applies an update to the entries, as a node does.
 fn apply(view: &mut BTreeMap<String, String>, update: &StoreUpdate) {
     if update.is_snapshot {
         view.clear();
@@ -98,8 +99,8 @@
 }
 
 proptest! {
-    /// Whatever changes, and whenever copies follow: a node that follows another one's copy ends
-    /// up with what the store holds.
+    /// For any sequence of changes, and whenever it queries, a node that follows another one's
+    /// replica ends up with the contents of the store.
     #[test]
     fn a_follower_ends_up_with_the_contents_of_the_store(
         changes in prop::collection::vec(change(), 1..120),
--- a/crates/serving/tests/store_revision.rs
+++ b/crates/serving/tests/store_revision.rs
@@ -1,4 +1,4 @@
-//! Points in the history of a store that comes back from older copies of itself.
+//! Revisions of a store that is restored from backups.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -36,7 +36,7 @@
 fn revisions_of_a_later_era_are_later() {
     assert!(at(2, 1) > at(1, 900));
     assert!(at(1, 2) > at(1, 1));
-    assert!(at(0, 1) > StoreRevision::without_era(900), "the first era is told as 0");
+    assert!(at(0, 1) > StoreRevision::without_era(900), "the first era is reported as 0");
 }
 
 #[test]
@@ -60,7 +60,7 @@
     assert_eq!(
         eras.on_response(era(1), 20 * SECOND),
         EraChange::Superseded,
-        "late ones, one by one"
+        "single delayed responses"
     );
     assert_eq!(eras.on_response(era(1), 40 * SECOND), EraChange::Replaced { before: era(3) });
     assert_eq!((eras.current(), eras.resolve_reported(StoreEra::UNKNOWN)), (era(1), era(1)));
@@ -97,14 +97,14 @@
     replica.on_report(FreshnessReport::new(at(1, 4), Some(0)), &eras, 3 * SECOND);
     assert_eq!(replica.assess(3 * SECOND, SECOND), Freshness::Unconfirmed);
     replica.on_report(FreshnessReport::new(at(1, 900), Some(0)), &eras, 3 * SECOND);
-    assert_eq!(replica.behind_for_us(4 * SECOND), None, "nothing there is later");
+    assert_eq!(replica.behind_for_us(4 * SECOND), None, "an earlier era has no later change");
     replica.on_report(FreshnessReport::new(at(2, 9), Some(0)), &eras, 4 * SECOND);
     assert_eq!(replica.assess(4 * SECOND, SECOND), Freshness::Fresh);
     replica.on_report(FreshnessReport::new(at(3, 1), Some(0)), &eras, 4 * SECOND);
     assert_eq!(replica.assess(5 * SECOND, SECOND), Freshness::Behind);
 }
 
-/// Nobody can tell what was lost between two eras.
+/// Changes that were lost between two eras are unknown.
 #[test]
 fn only_a_snapshot_leads_a_replica_into_a_later_era() {
     let update = |in_era, known_to, is_snapshot| StoreUpdate {
@@ -121,7 +121,7 @@
     replica.apply(&update(2, 40, true));
     assert_eq!(replica.known_to(), Some(at(2, 40)));
     replica.apply(&update(1, 90, true));
-    assert_eq!(replica.known_to(), Some(at(2, 40)), "an era that is over");
+    assert_eq!(replica.known_to(), Some(at(2, 40)), "an update of an earlier era");
     assert!(replica.update_since(Some(at(1, 90))).unwrap().is_snapshot);
     assert!(!replica.update_since(Some(at(2, 40))).unwrap().is_snapshot);
 }
@@ -149,7 +149,7 @@
     fleet.put(record("a", true, at(1, 50)));
     fleet.replace_all(vec![record("a", false, at(2, 7))], at(2, 40), Some(SECOND));
     assert!(!takes_work(&fleet, "a"));
-    // Its entry is not in the copy at all, and comes back as it was before.
+    // The entry is missing from the backup altogether, and is written again as it was before.
     fleet.replace_all(Vec::new(), at(3, 5), Some(SECOND));
     fleet.put(record("a", false, at(3, 9)));
     assert!(!takes_work(&fleet, "a"));
@@ -163,7 +163,7 @@
     fleet.replace_all(vec![record("a", false, at(2, 50))], at(2, 55), None);
     assert!(fleet.get(&RunnerId::new("a")).is_none());
     fleet.put(record("a", false, at(2, 56)));
-    assert!(takes_work(&fleet, "a"), "it has written its entry again");
+    assert!(takes_work(&fleet, "a"), "the runner has written its entry again");
 }
 
 #[test]
@@ -179,8 +179,8 @@
     assert_eq!(fleet.life_of(&name), Some(&incarnation(200)));
 }
 
-#[test_case(false; "the store is not known to have been away")]
-#[test_case(true; "the store has been away")]
+#[test_case(false; "the store is not known to have been unavailable")]
+#[test_case(true; "the store has been unavailable")]
 fn entries_missing_after_a_restore_may_be_written_again(was_unavailable: bool) {
     let mut replica = ReplicaFreshness::default();
     let confirmed_at_us = if was_unavailable { 0 } else { 4 * SECOND };
@@ -193,12 +193,12 @@
 enum Step {
     Write(u8),
     Remove(u8),
-    /// The store comes back from its last copy.
+    /// The store is restored from its last backup.
     Restore,
     Backup,
-    /// The reader asks the store.
+    /// The reader queries the store.
     Read,
-    /// A follower asks the reader.
+    /// A follower queries the reader.
     Follow,
 }
 
@@ -213,7 +213,7 @@
     ]
 }
 
-/// A store in which each write has a number of its own, whatever its revision.
+/// A store that gives each write a number of its own, whatever its revision.
 #[derive(Clone, Default)]
 struct Store {
     entries: BTreeMap<String, (u64, u64)>,
@@ -233,7 +233,7 @@
         StoreUpdate { era: era(in_era), known_to, is_snapshot: true, entries }
     }
 
-    /// What a watch from a revision of this era tells.
+    /// What a watch from a revision of this era delivers.
     fn changes_since(&self, in_era: u64, after: u64) -> StoreUpdate {
         let entry = |(revision, key, write): &(u64, String, Option<u64>)| StoreEntry {
             key: key.clone(),
@@ -247,7 +247,8 @@
 }
 
 proptest! {
-    /// A reader that reads everything in a later era, and whoever follows it, end up with what the store holds.
+    /// A reader that reads all entries in a later era, and a node that follows it, end up with the
+    /// contents of the store.
     #[test]
     fn replicas_match_the_store_across_restores(
         steps in prop::collection::vec(step(), 1..150),
--- a/crates/serving/tests/suspicion.rs
+++ b/crates/serving/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! What makes a runner suspect, and what does not.
+//! What makes a runner suspected, and what does not.
 #![allow(missing_docs)]
 
 use pitchstall_serving::suspicion::Suspicion;
@@ -7,9 +7,9 @@
 const MILLI_US: u64 = 1_000;
 const SECOND_US: u64 = 1_000_000;
 
-/// A look that a doubt asked for has found the runner, or has not.
+/// A probe that a doubt requested has reached the runner, or has not.
 fn probe(runner: &mut Suspicion, since_us: u64, reachable: Option<bool>, now_us: u64) {
-    assert!(runner.begin_probe(since_us), "a look is due");
+    assert!(runner.begin_probe(since_us), "a probe is due");
     runner.on_probe_result(reachable, now_us);
 }
 
@@ -18,14 +18,14 @@
     let mut runner = Suspicion::default();
     runner.on_progress(900 * MILLI_US);
     runner.on_attempt_timeout(0, SECOND_US);
-    assert!(!runner.is_suspected(), "it has answered others since that request was sent");
+    assert!(!runner.is_suspected(), "the runner responded to others since that request was sent");
     probe(&mut runner, SECOND_US, Some(true), SECOND_US + 3 * MILLI_US);
     runner.on_attempt_timeout(SECOND_US, 2 * SECOND_US);
-    assert!(!runner.is_suspected(), "it took a connection");
+    assert!(!runner.is_suspected(), "the runner accepted a connection");
 }
 
-/// Once the attempts that had only 99 ms left condemned a busy runner in overload, and all
-/// readings there were left.
+/// Guards against a fault under overload: attempts that had only 99 ms left marked a busy runner as
+/// unreachable, and all prefills that were under way there were abandoned.
 #[test]
 fn a_short_silence_proves_nothing() {
     let mut runner = Suspicion::default();
@@ -38,7 +38,7 @@
     let mut runner = Suspicion::default();
     probe(&mut runner, 0, Some(false), 200 * MILLI_US);
     assert!(runner.is_avoided(0, 300 * MILLI_US));
-    assert!(!runner.begin_probe(300 * MILLI_US), "nothing is left to find out");
+    assert!(!runner.begin_probe(300 * MILLI_US), "the runner is already suspected");
 }
 
 #[test]
@@ -47,7 +47,7 @@
     assert!(runner.begin_probe(0));
     assert!(!runner.begin_probe(10));
     runner.on_probe_result(Some(true), 20);
-    assert!(!runner.begin_probe(10), "it was found after that");
+    assert!(!runner.begin_probe(10), "the runner was reached after that time");
     assert!(runner.begin_probe(30));
 }
 
@@ -56,7 +56,7 @@
     let mut runner = Suspicion::default();
     probe(&mut runner, 0, Some(true), 100 * MILLI_US);
     runner.on_attempt_timeout(200 * MILLI_US, SECOND_US);
-    assert!(runner.is_suspected(), "health that says otherwise does not count");
+    assert!(runner.is_suspected(), "a successful probe before the attempt does not count");
 }
 
 #[test]
@@ -66,7 +66,7 @@
     probe(&mut runner, 150 * MILLI_US, Some(false), 350 * MILLI_US);
     assert!(runner.is_suspected());
     runner.on_progress(400 * MILLI_US);
-    assert!(!runner.is_suspected(), "evidence of life takes it back");
+    assert!(!runner.is_suspected(), "progress clears the suspicion");
 }
 
 #[test]
@@ -74,7 +74,7 @@
     let mut runner = Suspicion::default();
     probe(&mut runner, 0, None, 8 * SECOND_US);
     assert!(!runner.is_suspected());
-    assert!(runner.begin_probe(8 * SECOND_US), "it looks again");
+    assert!(runner.begin_probe(8 * SECOND_US), "another probe is due");
 }
 
 #[test]
@@ -83,13 +83,13 @@
     runner.on_unreachable(0);
     assert!(runner.is_avoided(0, 499 * MILLI_US));
     assert!(!runner.is_avoided(0, 501 * MILLI_US));
-    assert!(runner.is_avoided(1, 501 * MILLI_US), "one request tries it first");
+    assert!(runner.is_avoided(1, 501 * MILLI_US), "one request tries the runner first");
     runner.on_unreachable(501 * MILLI_US);
     assert!(runner.is_avoided(0, 1_400 * MILLI_US));
     runner.on_progress(1_450 * MILLI_US);
     assert!(!runner.is_avoided(1, 1_460 * MILLI_US));
     runner.on_unreachable(2 * SECOND_US);
-    assert!(!runner.is_avoided(0, 2_600 * MILLI_US), "it begins anew");
+    assert!(!runner.is_avoided(0, 2_600 * MILLI_US), "the back-off starts again at its minimum");
 }
 
 #[test]
@@ -100,7 +100,7 @@
 }
 
 proptest! {
-    /// A slow runner answers each request after its time; as long as something comes from it
+    /// A slow runner responds to each request only after its time. As long as it sends something
     /// while an attempt waits, the attempt's silence proves nothing.
     #[test]
     fn a_slow_runner_that_makes_progress_is_never_suspected(
--- a/crates/serving/tests/urgency.rs
+++ b/crates/serving/tests/urgency.rs
@@ -1,4 +1,4 @@
-//! What goes ahead of what at a runner.
+//! The order in which a runner processes requests.
 #![allow(missing_docs)]
 
 use pitchstall_serving::ids::RunnerId;
@@ -22,7 +22,9 @@
 fn is_deferred(wait_ms: f64, reading_ms: f64, elapsed_ms: f64) -> bool {
     let plan = ReadingPlan::Split(choice(wait_ms, reading_ms));
     let planned = defer_if_overdue(plan, TARGET_MS, elapsed_ms);
-    let ReadingPlan::Split(choice) = planned else { unreachable!("the way of reading stays") };
+    let ReadingPlan::Split(choice) = planned else {
+        unreachable!("the kind of plan stays the same")
+    };
     choice.demand.late_tokens > 0
 }
 
@@ -31,7 +33,7 @@
 #[test_case(300.0, 30.0, 0.0, true; "a long queue")]
 #[test_case(100.0, 30.0, 150.0, true; "most of the time has passed")]
 #[test_case(0.0, 900.0, 0.0, false; "too long at any runner")]
-#[test_case(0.0, 30.0, 400.0, true; "late already")]
+#[test_case(0.0, 30.0, 400.0, true; "already late")]
 fn waiting_defers_a_prompt(wait_ms: f64, reading_ms: f64, elapsed_ms: f64, expected: bool) {
     assert_eq!(is_deferred(wait_ms, reading_ms, elapsed_ms), expected);
 }
@@ -40,7 +42,7 @@
 fn deferred_prompts_still_count_and_rank_last() {
     let deferred = choice(900.0, 30.0).put_behind();
     assert_eq!(deferred.tokens_to_read(), 1_000);
-    assert_eq!(deferred.demand.unread_tokens, 0, "it holds nobody up");
+    assert_eq!(deferred.demand.unread_tokens, 0, "a deferred prompt delays no other");
     let last_in_time = rank(u8::MAX, &choice(0.0, 190.0), TARGET_MS);
     assert!(rank(0, &deferred, TARGET_MS) > last_in_time);
     assert!(rank(1, &deferred, TARGET_MS) > rank(0, &deferred, TARGET_MS));
@@ -54,7 +56,7 @@
     assert!(rank(1, &choice(0.0, 10.0), TARGET_MS) > rank(0, &choice(0.0, 60.0), TARGET_MS));
 }
 
-/// Engines ten times as fast or as slow, with targets to match, are ordered alike.
+/// Engines that are ten times as fast or as slow, with targets to match, get the same order.
 #[test_case(0.1)]
 #[test_case(10.0)]
 fn order_scales_with_the_target(scale: f64) {
@@ -62,7 +64,9 @@
         let ranked = |scale: f64| {
             let plan = ReadingPlan::Split(choice(wait_ms * scale, reading_ms * scale));
             let planned = defer_if_overdue(plan, TARGET_MS * scale, 0.0);
-            let ReadingPlan::Split(choice) = planned else { unreachable!("the way stays") };
+            let ReadingPlan::Split(choice) = planned else {
+                unreachable!("the kind of plan stays the same")
+            };
             rank(1, &choice, TARGET_MS * scale)
         };
         assert_eq!(ranked(scale), ranked(1.0));
--- a/examples/stay-in-zone.rhai
+++ b/examples/stay-in-zone.rhai
@@ -1,4 +1,4 @@
-// Requests of this host stay in the zone in which they came in.
+// Keeps requests of this host in the zone in which they arrived.
 if host.ends_with("booking.example") {
     #{ zones: zones.filter(|other| other == zone) }
 }
