--- a/crates/serving/tests/lapsed_entries.rs
+++ b/crates/serving/tests/lapsed_entries.rs
@@ -56,8 +56,8 @@
 
 #[test]
 fn entries_lapse_only_while_the_store_is_unavailable_and_shortly_after() {
-    let mut copy = ReplicaFreshness::default();
-    copy.on_full_read(
+    let mut replica = ReplicaFreshness::default();
+    replica.on_full_read(
         &StoreUpdate {
             era: StoreEra::UNKNOWN,
             known_to: RevisionNumber(1),
@@ -66,15 +66,15 @@
         },
         0,
     );
-    assert_eq!(copy.lapse_grace_until_us(SECOND_US), None, "the store responded recently");
-    assert!(copy.lapse_grace_until_us(4 * SECOND_US).is_some(), "no response for seconds");
-    copy.on_store_response(at(2), 5 * SECOND_US);
-    let until_us = copy.lapse_grace_until_us(5 * SECOND_US).unwrap();
+    assert_eq!(replica.lapse_grace_until_us(SECOND_US), None, "the store responded recently");
+    assert!(replica.lapse_grace_until_us(4 * SECOND_US).is_some(), "no response for seconds");
+    replica.on_store_response(at(2), 5 * SECOND_US);
+    let until_us = replica.lapse_grace_until_us(5 * SECOND_US).unwrap();
     assert!((SECOND_US..=2 * SECOND_US).contains(&(until_us - 5 * SECOND_US)));
-    copy.on_store_response(at(3), 6 * SECOND_US);
-    copy.on_store_response(at(4), 8 * SECOND_US);
+    replica.on_store_response(at(3), 6 * SECOND_US);
+    replica.on_store_response(at(4), 8 * SECOND_US);
     assert_eq!(
-        copy.lapse_grace_until_us(8 * SECOND_US),
+        replica.lapse_grace_until_us(8 * SECOND_US),
         None,
         "the store has been back for seconds"
     );
--- a/crates/serving/tests/specification/resuming.rs
+++ b/crates/serving/tests/specification/resuming.rs
@@ -36,10 +36,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Run {
     /// Events produced so far, including those before the start of this run.
-    made: u8,
+    produced: u8,
     is_running: bool,
     /// Whether the node still reads the run's events.
-    is_followed: bool,
+    is_read: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -54,7 +54,7 @@
 
 impl State {
     pub fn initial(resumable: bool) -> Self {
-        let first = Run { made: 0, is_running: true, is_followed: true };
+        let first = Run { produced: 0, is_running: true, is_read: true };
         Self { resumable, runs: [Some(first), None], ..Self::default() }
     }
 
@@ -70,20 +70,20 @@
     }
 
     fn run_steps(&self, runner: usize, safeguards: Safeguards, states: &mut Vec<Self>) {
-        let Some(run) = self.runs[runner].clone().filter(|run| run.is_running && run.is_followed)
+        let Some(run) = self.runs[runner].clone().filter(|run| run.is_running && run.is_read)
         else {
             return;
         };
-        if run.made < EVENTS {
-            let mut made = self.clone();
-            made.run(runner).made += 1;
-            made.client.push(run.made + 1);
-            states.push(made);
+        if run.produced < EVENTS {
+            let mut produced = self.clone();
+            produced.run(runner).produced += 1;
+            produced.client.push(run.produced + 1);
+            states.push(produced);
             // The run breaks off in the middle of the next event, or only appears to the node to do
             // so.
             for keeps_running in [false, true] {
                 let mut broken = self.clone();
-                broken.run(runner).is_followed = false;
+                broken.run(runner).is_read = false;
                 broken.run(runner).is_running = keeps_running && !safeguards.stop_first;
                 if !safeguards.whole_events {
                     broken.client.push(TRUNCATED_EVENT);
@@ -91,7 +91,7 @@
                 states.push(broken);
             }
         }
-        if run.made == EVENTS || !safeguards.own_end {
+        if run.produced == EVENTS || !safeguards.own_end {
             let mut ended = self.clone();
             ended.complete = true;
             ended.violated |= ended.client != (1..=EVENTS).collect::<Vec<u8>>();
@@ -101,7 +101,7 @@
 
     fn next_run(&self, safeguards: Safeguards, states: &mut Vec<Self>) {
         let [Some(first), None] = &self.runs else { return };
-        if first.is_followed {
+        if first.is_read {
             return;
         }
         let mut cut = self.clone();
@@ -110,8 +110,8 @@
         if self.resumable || !safeguards.only_resumable {
             let mut resumed = self.clone();
             let last = self.client.len() as u8;
-            let made = if safeguards.after_last_forwarded { last } else { 0 };
-            resumed.runs[1] = Some(Run { made, is_running: true, is_followed: true });
+            let produced = if safeguards.after_last_forwarded { last } else { 0 };
+            resumed.runs[1] = Some(Run { produced, is_running: true, is_read: true });
             resumed.violated |= !self.resumable || first.is_running;
             states.push(resumed);
         }
--- a/crates/serving/tests/store_revision.rs
+++ b/crates/serving/tests/store_revision.rs
@@ -16,7 +16,7 @@
 use support::runner_record;
 use test_case::test_case;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 fn era(number: u64) -> StoreEra {
     StoreEra::from_reported(number).unwrap()
@@ -55,14 +55,14 @@
 #[test]
 fn a_store_that_responds_only_in_earlier_eras_has_been_replaced() {
     let mut eras = eras_from(3);
-    assert_eq!(eras.on_response(era(1), SECOND), EraChange::Superseded);
-    assert_eq!(eras.on_response(era(3), 10 * SECOND), EraChange::Unchanged);
+    assert_eq!(eras.on_response(era(1), SECOND_US), EraChange::Superseded);
+    assert_eq!(eras.on_response(era(3), 10 * SECOND_US), EraChange::Unchanged);
     assert_eq!(
-        eras.on_response(era(1), 20 * SECOND),
+        eras.on_response(era(1), 20 * SECOND_US),
         EraChange::Superseded,
         "single delayed responses"
     );
-    assert_eq!(eras.on_response(era(1), 40 * SECOND), EraChange::Replaced { before: era(3) });
+    assert_eq!(eras.on_response(era(1), 40 * SECOND_US), EraChange::Replaced { before: era(3) });
     assert_eq!((eras.current(), eras.resolve_reported(StoreEra::UNKNOWN)), (era(1), era(1)));
 }
 
@@ -94,14 +94,14 @@
     };
     replica.on_full_read(&everything, 0);
     let eras = eras_from(2);
-    replica.on_report(FreshnessReport::new(at(1, 4), Some(0)), &eras, 3 * SECOND);
-    assert_eq!(replica.assess(3 * SECOND, SECOND), Freshness::Unconfirmed);
-    replica.on_report(FreshnessReport::new(at(1, 900), Some(0)), &eras, 3 * SECOND);
-    assert_eq!(replica.behind_for_us(4 * SECOND), None, "an earlier era has no later change");
-    replica.on_report(FreshnessReport::new(at(2, 9), Some(0)), &eras, 4 * SECOND);
-    assert_eq!(replica.assess(4 * SECOND, SECOND), Freshness::Fresh);
-    replica.on_report(FreshnessReport::new(at(3, 1), Some(0)), &eras, 4 * SECOND);
-    assert_eq!(replica.assess(5 * SECOND, SECOND), Freshness::Behind);
+    replica.on_report(FreshnessReport::new(at(1, 4), Some(0)), &eras, 3 * SECOND_US);
+    assert_eq!(replica.assess(3 * SECOND_US, SECOND_US), Freshness::Unconfirmed);
+    replica.on_report(FreshnessReport::new(at(1, 900), Some(0)), &eras, 3 * SECOND_US);
+    assert_eq!(replica.behind_for_us(4 * SECOND_US), None, "an earlier era has no later change");
+    replica.on_report(FreshnessReport::new(at(2, 9), Some(0)), &eras, 4 * SECOND_US);
+    assert_eq!(replica.assess(4 * SECOND_US, SECOND_US), Freshness::Fresh);
+    replica.on_report(FreshnessReport::new(at(3, 1), Some(0)), &eras, 4 * SECOND_US);
+    assert_eq!(replica.assess(5 * SECOND_US, SECOND_US), Freshness::Behind);
 }
 
 /// Changes that were lost between two eras are unknown.
@@ -147,10 +147,10 @@
 fn a_draining_runner_stays_draining_after_a_restore_of_the_store() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", true, at(1, 50)));
-    fleet.replace_all(vec![record("a", false, at(2, 7))], at(2, 40), Some(SECOND));
+    fleet.replace_all(vec![record("a", false, at(2, 7))], at(2, 40), Some(SECOND_US));
     assert!(!takes_work(&fleet, "a"));
     // The entry is missing from the backup altogether, and is written again as it was before.
-    fleet.replace_all(Vec::new(), at(3, 5), Some(SECOND));
+    fleet.replace_all(Vec::new(), at(3, 5), Some(SECOND_US));
     fleet.put(record("a", false, at(3, 9)));
     assert!(!takes_work(&fleet, "a"));
 }
@@ -175,7 +175,7 @@
     let mut fleet = Fleet::default();
     fleet.put(record(100, at(1, 50)));
     fleet.put(record(200, at(1, 60)));
-    fleet.replace_all(vec![record(100, at(2, 50))], at(2, 55), Some(SECOND));
+    fleet.replace_all(vec![record(100, at(2, 50))], at(2, 55), Some(SECOND_US));
     assert_eq!(fleet.life_of(&name), Some(&incarnation(200)));
 }
 
@@ -183,10 +183,10 @@
 #[test_case(true; "the store has been unavailable")]
 fn entries_missing_after_a_restore_may_be_written_again(was_unavailable: bool) {
     let mut replica = ReplicaFreshness::default();
-    let confirmed_at_us = if was_unavailable { 0 } else { 4 * SECOND };
+    let confirmed_at_us = if was_unavailable { 0 } else { 4 * SECOND_US };
     replica.on_store_response(at(1, 50), confirmed_at_us);
-    replica.on_later_era(4 * SECOND + 50_000);
-    assert!(replica.lapse_grace_until_us(4 * SECOND + 60_000).is_some());
+    replica.on_later_era(4 * SECOND_US + 50_000);
+    assert!(replica.lapse_grace_until_us(4 * SECOND_US + 60_000).is_some());
 }
 
 #[derive(Clone, Debug)]
