--- a/crates/serving/src/topology.rs
+++ b/crates/serving/src/topology.rs
@@ -26,7 +26,7 @@
     /// Whether a zone belongs to a region.
     pub fn is_in(&self, zone: &ZoneId, region: &RegionId) -> bool {
         match self.regions.get(zone) {
-            Some(told) => told == region,
+            Some(assigned) => assigned == region,
             None => zone.as_str() == region.as_str(),
         }
     }
