--- a/crates/gateway/tests/compression.rs
+++ b/crates/gateway/tests/compression.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_gateway::compression::{compress, decompress, CompressedUpdate};
-use pitchstall_serving::store_copy::{StoreEntry, StoreUpdate};
+use pitchstall_serving::store_replica::{StoreEntry, StoreUpdate};
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra};
 use proptest::prelude::*;
 
@@ -13,7 +13,12 @@
         revision: RevisionNumber(number as u64),
     };
     let entries = documents.iter().enumerate().map(entry).collect();
-    StoreUpdate { era: StoreEra::UNTOLD, known_to: RevisionNumber(known_to), whole: true, entries }
+    StoreUpdate {
+        era: StoreEra::UNKNOWN,
+        known_to: RevisionNumber(known_to),
+        is_snapshot: true,
+        entries,
+    }
 }
 
 #[test]
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,64 +1,64 @@
-//! Operators' policy programs: short Rhai scripts that narrow where a request may run and
-//! set its priority.
+//! Operators' policy programs: short Rhai scripts that restrict where a request may run and set its
+//! priority.
 //!
-//! A program sees `host` (which the caller named), `service`, `prompt_tokens`, `max_tokens`,
-//! `zone` (where the request came in), `zones` (where runners of the service are) and
-//! `priority` (the route's, 0 is the most urgent), and returns a map with any of `zones` (a
-//! list of names) and `priority` (a whole number), or nothing. Zones it returns
-//! are intersected with those of the service: a program can narrow, never widen. Programs
-//! have no modules, no `eval`, no clock, and a limit on operations.
+//! A program reads `host` (as named by the client), `service`, `prompt_tokens`, `max_tokens`,
+//! `zone` (in which the request arrived), `zones` (in which the service has runners) and `priority`
+//! (of the route; 0 is the most urgent). It returns nothing, or a map with `zones` (a list of
+//! names), `priority` (an integer) or both. The zones must be among those of the service: a program
+//! can restrict the choice, never widen it. Programs have no modules, no `eval` and no clock, and
+//! their number of operations is limited.
 
 use pitchstall_serving::ids::{ServiceName, ZoneId};
 use rhai::{Array, Dynamic, Engine, Map, Scope, AST};
 use std::collections::BTreeSet;
 
-/// Most operations of one run. A program of ten lines takes about a hundred.
-pub const OPERATION_LIMIT: u64 = 20_000;
-const EXPRESSION_DEPTH_LIMIT: usize = 32;
-const COLLECTION_LIMIT: usize = 1_024;
-const STRING_LIMIT: usize = 4_096;
+/// Maximum number of operations of one run. A program of ten lines takes about a hundred.
+pub const MAX_OPERATIONS: u64 = 20_000;
+const MAX_EXPRESSION_DEPTH: usize = 32;
+const MAX_COLLECTION_ITEMS: usize = 1_024;
+const MAX_STRING_BYTES: usize = 4_096;
 
-/// What a program sees of a request.
+/// What a program can read about a request.
 #[derive(Clone, Debug)]
 pub struct PolicyInput<'a> {
-    /// The host that the caller named.
+    /// The host that the client named.
     pub host: &'a str,
-    /// The service.
+    /// The service that the request is for.
     pub service: &'a ServiceName,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub max_tokens: u64,
-    /// The zone in which the request came in.
+    /// The zone in which the request arrived.
     pub zone: &'a ZoneId,
-    /// Zones in which the service has runners.
+    /// The zones in which the service has runners.
     pub zones: &'a BTreeSet<ZoneId>,
-    /// The route's priority; 0 is the most urgent.
+    /// Priority of the route; 0 is the most urgent.
     pub priority: u32,
 }
 
 /// What a program decided.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PolicyDecision {
-    /// Zones left; `None`: not narrowed. May be empty.
+    /// The zones that remain, possibly none; `None`: no restriction.
     pub zones: Option<BTreeSet<ZoneId>>,
     /// The priority; `None`: the route's.
     pub priority: Option<u32>,
 }
 
-/// What is wrong with a program.
+/// Why a program was rejected or failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyError {
-    /// It does not parse.
+    /// The program does not parse.
     #[error("the policy program does not parse: {0}")]
     Syntax(String),
-    /// It failed or used up its operations.
+    /// The program failed, or exceeded its limit of operations.
     #[error("the policy program failed: {0}")]
     Run(String),
-    /// It returned something else than a map or nothing.
+    /// The program returned something other than nothing or a map with the expected fields.
     #[error("the policy program returned {0}; expected a map with `zones` or `priority`")]
-    Shape(String),
-    /// It named a zone that the service may not use.
+    UnexpectedResult(String),
+    /// The program named a zone that is not among the service's.
     #[error("the policy program named zone `{0}`, which the service may not use")]
     ForbiddenZone(ZoneId),
 }
@@ -84,26 +84,26 @@
     /// An engine with all limits set.
     pub fn new() -> Self {
         let mut engine = Engine::new();
-        engine.set_max_operations(OPERATION_LIMIT);
-        engine.set_max_expr_depths(EXPRESSION_DEPTH_LIMIT, EXPRESSION_DEPTH_LIMIT);
-        engine.set_max_array_size(COLLECTION_LIMIT);
-        engine.set_max_map_size(COLLECTION_LIMIT);
-        engine.set_max_string_size(STRING_LIMIT);
+        engine.set_max_operations(MAX_OPERATIONS);
+        engine.set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH);
+        engine.set_max_array_size(MAX_COLLECTION_ITEMS);
+        engine.set_max_map_size(MAX_COLLECTION_ITEMS);
+        engine.set_max_string_size(MAX_STRING_BYTES);
         engine.disable_symbol("eval");
         engine.on_print(|_| {});
         engine.on_debug(|_, _, _| {});
         Self { engine }
     }
 
-    /// Compiles a program.
+    /// Compiles a program; fails if it does not parse.
     pub fn compile(&self, source: &str) -> Result<Policy, PolicyError> {
         let program =
             self.engine.compile(source).map_err(|error| PolicyError::Syntax(error.to_string()))?;
         Ok(Policy { program })
     }
 
-    /// Runs a program. A zone outside the service's is an error here, so that the operator
-    /// hears of it; callers of this function refuse the request then.
+    /// Runs a program. A zone outside the service's is an error, so that the operator learns of the
+    /// mistake; the caller must then refuse the request.
     pub fn run(
         &self,
         policy: &Policy,
@@ -118,8 +118,8 @@
             return Ok(PolicyDecision::default());
         }
         let type_name = result.type_name().to_owned();
-        let map = result.try_cast::<Map>().ok_or(PolicyError::Shape(type_name))?;
-        read_decision(map, input.zones)
+        let map = result.try_cast::<Map>().ok_or(PolicyError::UnexpectedResult(type_name))?;
+        parse_decision(map, input.zones)
     }
 }
 
@@ -129,41 +129,45 @@
     let mut scope = Scope::new();
     scope.push("host", input.host.to_owned());
     scope.push("service", input.service.as_str().to_owned());
-    scope.push("prompt_tokens", whole_number(input.prompt_tokens));
-    scope.push("max_tokens", whole_number(input.max_tokens));
+    scope.push("prompt_tokens", saturating_i64(input.prompt_tokens));
+    scope.push("max_tokens", saturating_i64(input.max_tokens));
     scope.push("priority", i64::from(input.priority));
     scope.push("zone", input.zone.as_str().to_owned());
     scope.push("zones", zones);
     scope
 }
 
-fn whole_number(tokens: u64) -> i64 {
+fn saturating_i64(tokens: u64) -> i64 {
     i64::try_from(tokens).unwrap_or(i64::MAX)
 }
 
-fn read_decision(map: Map, allowed: &BTreeSet<ZoneId>) -> Result<PolicyDecision, PolicyError> {
+fn parse_decision(map: Map, allowed: &BTreeSet<ZoneId>) -> Result<PolicyDecision, PolicyError> {
     let mut decision = PolicyDecision::default();
     for (key, value) in map {
         match key.as_str() {
-            "zones" => decision.zones = Some(read_zones(value, allowed)?),
+            "zones" => decision.zones = Some(parse_zones(value, allowed)?),
             "priority" => {
                 let type_name = value.type_name().to_owned();
-                let priority = value.as_int().map_err(|_| PolicyError::Shape(type_name))?;
+                let priority =
+                    value.as_int().map_err(|_| PolicyError::UnexpectedResult(type_name))?;
                 decision.priority = u32::try_from(priority.max(0)).ok();
             }
-            other => return Err(PolicyError::Shape(format!("a map with `{other}`"))),
+            other => return Err(PolicyError::UnexpectedResult(format!("a map with `{other}`"))),
         }
     }
     Ok(decision)
 }
 
-fn read_zones(value: Dynamic, allowed: &BTreeSet<ZoneId>) -> Result<BTreeSet<ZoneId>, PolicyError> {
+fn parse_zones(
+    value: Dynamic,
+    allowed: &BTreeSet<ZoneId>,
+) -> Result<BTreeSet<ZoneId>, PolicyError> {
     let type_name = value.type_name().to_owned();
-    let array = value.try_cast::<Array>().ok_or(PolicyError::Shape(type_name))?;
+    let array = value.try_cast::<Array>().ok_or(PolicyError::UnexpectedResult(type_name))?;
     let mut zones = BTreeSet::new();
     for item in array {
         let type_name = item.type_name().to_owned();
-        let name = item.into_string().map_err(|_| PolicyError::Shape(type_name))?;
+        let name = item.into_string().map_err(|_| PolicyError::UnexpectedResult(type_name))?;
         let zone = ZoneId::new(name);
         if !allowed.contains(&zone) {
             return Err(PolicyError::ForbiddenZone(zone));
--- a/crates/serving/src/authority.rs
+++ b/crates/serving/src/authority.rs
@@ -73,7 +73,7 @@
     /// The token as it is sent to runners and duties, higher for each later term. Up to about 8,000
     /// eras it is an integer that JSON represents exactly.
     pub fn number(self) -> u64 {
-        let era = self.acquired_at.era().told_number().unwrap_or_default();
+        let era = self.acquired_at.era().reported_number().unwrap_or_default();
         (era << REVISION_BITS) | self.acquired_at.number().0
     }
 
--- a/crates/serving/src/distance.rs
+++ b/crates/serving/src/distance.rs
@@ -101,7 +101,7 @@
 fn default_ms(topology: &Topology, from: &ZoneId, to: &ZoneId) -> f64 {
     if from == to {
         SAME_ZONE_RTT_MS
-    } else if topology.is_one_region(from, to) {
+    } else if topology.is_same_region(from, to) {
         CROSS_ZONE_RTT_MS
     } else {
         CROSS_REGION_RTT_MS
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -3,7 +3,7 @@
 //! an unknown incarnation are ignored, except what is kept for entries that may come back.
 
 use super::Fleet;
-use crate::digest::ChangingRunner;
+use crate::digest::RoleTransition;
 use crate::ids::RunnerId;
 use crate::prefix::PromptPart;
 use crate::runner::{AttemptDemand, Load, LoadReport, ReportedLoad, Runner, Stage};
@@ -200,20 +200,20 @@
     }
 
     /// Applies another node's report of runners that are changing their roles.
-    pub fn on_role_changes_reported(&mut self, changes: &[ChangingRunner], now_us: u64) {
+    pub fn on_role_changes_reported(&mut self, changes: &[RoleTransition], now_us: u64) {
         for change in changes {
-            let until_us = now_us + change.left_ms * MICROS_PER_MILLI;
+            let until_us = now_us + change.remaining_ms * MICROS_PER_MILLI;
             self.on_role_change_ordered(&change.runner, change.stage, until_us);
         }
     }
 
     /// The runners that are changing their roles, with the time left for it.
-    pub fn role_changes(&self, now_us: u64) -> Vec<ChangingRunner> {
+    pub fn role_changes(&self, now_us: u64) -> Vec<RoleTransition> {
         let changing = self.runners.values().filter(|runner| runner.is_changing_role(now_us));
         let role_change = |runner: &Runner| {
             let (stage, until_us) = runner.role_change?;
-            let left_ms = until_us.saturating_sub(now_us) / MICROS_PER_MILLI;
-            Some(ChangingRunner { runner: runner.record.id.clone(), stage, left_ms })
+            let remaining_ms = until_us.saturating_sub(now_us) / MICROS_PER_MILLI;
+            Some(RoleTransition { runner: runner.record.id.clone(), stage, remaining_ms })
         };
         changing.filter_map(role_change).collect()
     }
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -12,7 +12,7 @@
 use crate::scheduling::{
     CrossRegionReason, PlacementQuery, RemoteRegion, Shard, WireChoice, WirePlan,
 };
-use crate::urgency::put_behind_if_late;
+use crate::urgency::defer_if_overdue;
 
 /// Minimum wait, as a share of the target, from which a request is forwarded to another shard.
 /// Below it, the extra hop and the older information about the other shard cost more than they
@@ -67,7 +67,7 @@
         regions.find_map(|region| choose_within(fleet, pace, demand, region))
     };
     let Some(placed) = of_shard.or_else(of_regions) else { return PlacementDecision::default() };
-    let prefill = placed.prefill.map(|it| put_behind_if_late(it, due.target_ms, due.elapsed_ms));
+    let prefill = placed.prefill.map(|it| defer_if_overdue(it, due.target_ms, due.elapsed_ms));
     PlacementDecision { prefill, ..placed }
 }
 
--- a/crates/serving/tests/lapsed_entries.rs
+++ b/crates/serving/tests/lapsed_entries.rs
@@ -1,19 +1,19 @@
-//! Entries that lapse while the store is away: their runners serve on, and are gone if the entries
-//! are not back soon after its return.
+//! Entries that lapse while the store is unavailable: their runners continue to serve, and are
+//! removed if the entries are not written again soon after its return.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
 
 use pitchstall_serving::fleet::{Fleet, FleetChange};
-use pitchstall_serving::freshness::CopyFreshness;
+use pitchstall_serving::freshness::ReplicaFreshness;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::runner::RunnerRecord;
-use pitchstall_serving::store_copy::StoreUpdate;
+use pitchstall_serving::store_replica::StoreUpdate;
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra};
 use support::{at, runner_record};
 
 const SECOND_US: u64 = 1_000_000;
-const UNTIL_US: u64 = 2 * SECOND_US;
+const GRACE_UNTIL_US: u64 = 2 * SECOND_US;
 
 fn record(id: &str, draining: bool, revision: u64) -> RunnerRecord {
     RunnerRecord { draining, revision: at(revision), ..runner_record(RunnerId::new(id)) }
@@ -24,54 +24,61 @@
 }
 
 #[test]
-fn an_entry_that_may_have_lapsed_is_served_on_until_it_is_back() {
+fn a_runner_with_a_lapsed_entry_stays_until_it_is_written_again() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, 1));
-    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(UNTIL_US)), FleetChange::Lapsed);
+    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(GRACE_UNTIL_US)), FleetChange::Lapsed);
     assert!(accepts_work(&fleet, "a"));
-    assert_eq!(fleet.put(record("a", false, 4)), FleetChange::Unchanged, "older than its lapse");
+    assert_eq!(fleet.put(record("a", false, 4)), FleetChange::Unchanged, "older than the removal");
     fleet.put(record("a", false, 6));
-    assert!(fleet.remove_lapsed(UNTIL_US).is_empty());
+    assert!(fleet.remove_lapsed(GRACE_UNTIL_US).is_empty());
     assert!(accepts_work(&fleet, "a"));
 }
 
 #[test]
-fn one_that_is_not_back_in_time_is_gone() {
+fn an_entry_not_written_again_in_time_is_removed() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", false, 1));
-    assert!(fleet.replace_all(Vec::new(), at(5), Some(UNTIL_US)).is_empty());
-    assert!(fleet.remove_lapsed(UNTIL_US - 1).is_empty());
-    // A second list without it gives it no more time.
-    assert!(fleet.replace_all(Vec::new(), at(6), Some(2 * UNTIL_US)).is_empty());
-    assert_eq!(fleet.remove_lapsed(UNTIL_US), [RunnerId::new("a")]);
+    assert!(fleet.replace_all(Vec::new(), at(5), Some(GRACE_UNTIL_US)).is_empty());
+    assert!(fleet.remove_lapsed(GRACE_UNTIL_US - 1).is_empty());
+    // A second snapshot without the entry does not extend the time.
+    assert!(fleet.replace_all(Vec::new(), at(6), Some(2 * GRACE_UNTIL_US)).is_empty());
+    assert_eq!(fleet.remove_lapsed(GRACE_UNTIL_US), [RunnerId::new("a")]);
     assert!(fleet.get(&RunnerId::new("a")).is_none());
 }
 
 #[test]
-fn one_that_was_about_to_leave_is_gone_at_once() {
+fn a_draining_runner_is_removed_at_once() {
     let mut fleet = Fleet::default();
     fleet.put(record("a", true, 1));
-    assert_eq!(fleet.remove(&RunnerId::new("a"), at(5), Some(UNTIL_US)), FleetChange::Removed);
+    assert_eq!(
+        fleet.remove(&RunnerId::new("a"), at(5), Some(GRACE_UNTIL_US)),
+        FleetChange::Removed
+    );
 }
 
 #[test]
-fn entries_lapse_only_while_the_store_is_away_and_soon_after_its_return() {
-    let mut copy = CopyFreshness::default();
-    copy.on_read(
+fn entries_lapse_only_while_the_store_is_unavailable_and_shortly_after() {
+    let mut replica = ReplicaFreshness::default();
+    replica.on_full_read(
         &StoreUpdate {
-            era: StoreEra::UNTOLD,
+            era: StoreEra::UNKNOWN,
             known_to: RevisionNumber(1),
-            whole: true,
+            is_snapshot: true,
             entries: Vec::new(),
         },
         0,
     );
-    assert_eq!(copy.lapses_until_us(SECOND_US), None, "heard of lately");
-    assert!(copy.lapses_until_us(4 * SECOND_US).is_some(), "not heard of for seconds");
-    copy.on_store_answer(at(2), 5 * SECOND_US);
-    let until_us = copy.lapses_until_us(5 * SECOND_US).unwrap();
+    assert_eq!(replica.lapse_grace_until_us(SECOND_US), None, "the store responded recently");
+    assert!(replica.lapse_grace_until_us(4 * SECOND_US).is_some(), "no response for seconds");
+    replica.on_store_response(at(2), 5 * SECOND_US);
+    let until_us = replica.lapse_grace_until_us(5 * SECOND_US).unwrap();
     assert!((SECOND_US..=2 * SECOND_US).contains(&(until_us - 5 * SECOND_US)));
-    copy.on_store_answer(at(3), 6 * SECOND_US);
-    copy.on_store_answer(at(4), 8 * SECOND_US);
-    assert_eq!(copy.lapses_until_us(8 * SECOND_US), None, "it has been back for seconds");
+    replica.on_store_response(at(3), 6 * SECOND_US);
+    replica.on_store_response(at(4), 8 * SECOND_US);
+    assert_eq!(
+        replica.lapse_grace_until_us(8 * SECOND_US),
+        None,
+        "the store has been back for seconds"
+    );
 }
--- a/crates/serving/tests/limit_keeper.rs
+++ b/crates/serving/tests/limit_keeper.rs
@@ -217,19 +217,19 @@
     let member = |number: u32| Member {
         address: SocketAddr::from(([127, 0, 0, 1], number as u16)),
         zone: ZoneId::new("north"),
-        processor: 500 + number % 3 * 100,
+        millicpus: 500 + number % 3 * 100,
     };
     let mut members = Membership::new(node(0), member(0), Topology::default());
-    (1..40).for_each(|number| members.learn(&node(number), &member(number)));
+    (1..40).for_each(|number| members.upsert(&node(number), &member(number)));
     let shard = Shard { region: members.own_region(), number: 0, of: 1 };
-    let order = members.schedulers_in_order(&shard);
+    let order = members.schedulers_by_rank(&shard);
     assert_eq!(order.len(), 40);
     for (rank, (name, _)) in order.iter().enumerate() {
-        assert_eq!(members.place_of(name, &shard, |_| true), rank);
-        assert_eq!(members.place_of(name, &shard, |_| false), 0);
+        assert_eq!(members.scheduler_rank_of(name, &shard, |_| true), rank);
+        assert_eq!(members.scheduler_rank_of(name, &shard, |_| false), 0);
     }
     let is_not_second = |name: &NodeId| *name != *order[1].0;
-    assert_eq!(members.place_of(order[2].0, &shard, is_not_second), 1);
+    assert_eq!(members.scheduler_rank_of(order[2].0, &shard, is_not_second), 1);
 }
 
 /// Only the response to a request shows that a limit has been lifted, and the first keeper may be
--- a/crates/serving/tests/membership.rs
+++ b/crates/serving/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which nodes read the store, and whom the others follow.
+//! Which nodes read the store, and which of them the others follow.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::{NodeId, RegionId, ZoneId};
@@ -7,30 +7,30 @@
 use std::net::SocketAddr;
 use test_case::test_case;
 
-const STRONG: u32 = 500;
-const WEAK: u32 = 120;
+const STRONG_MILLICPUS: u32 = 500;
+const WEAK_MILLICPUS: u32 = 120;
 
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7_000))
 }
 
-/// Nodes in turn over the zones; every twentieth is strong.
+/// Nodes spread over the zones in turn; of every twenty, the first `zones` nodes are strong.
 fn fleet(nodes: usize, zones: usize) -> Vec<(NodeId, Member)> {
     let member = |number: usize| Member {
         address: address(number),
         zone: ZoneId::new(format!("zone-{}", number % zones)),
-        processor: if number % 20 < zones { STRONG } else { WEAK },
+        millicpus: if number % 20 < zones { STRONG_MILLICPUS } else { WEAK_MILLICPUS },
     };
     (0..nodes).map(|number| (NodeId::new(format!("node-{number}")), member(number))).collect()
 }
 
-/// The zones of the nodes are near each other.
-fn seen_by(number: usize, all: &[(NodeId, Member)]) -> Membership {
+/// The view of one node; all zones belong to one region.
+fn view_of(number: usize, all: &[(NodeId, Member)]) -> Membership {
     let zones = all.iter().map(|(_, member)| (member.zone.clone(), RegionId::new("coast")));
     let topology = Topology::new(zones);
     let (name, member) = &all[number];
     let mut membership = Membership::new(name.clone(), member.clone(), topology);
-    all.iter().for_each(|(name, member)| membership.learn(name, member));
+    all.iter().for_each(|(name, member)| membership.upsert(name, member));
     membership
 }
 
@@ -38,26 +38,29 @@
 #[test_case(66, 3, 6)]
 #[test_case(295, 5, 10)]
 #[test_case(330, 31, 62)]
-fn two_nodes_of_each_zone_read_the_store(nodes: usize, zones: usize, expected: usize) {
+fn each_zone_has_two_store_readers(nodes: usize, zones: usize, expected: usize) {
     let all = fleet(nodes, zones);
-    let views: Vec<Membership> = (0..nodes).map(|number| seen_by(number, &all)).collect();
-    assert_eq!(views.iter().filter(|view| view.is_mirror()).count(), expected);
-    assert!(views.iter().all(|view| view.mirror_count() == expected));
+    let views: Vec<Membership> = (0..nodes).map(|number| view_of(number, &all)).collect();
+    assert_eq!(views.iter().filter(|view| view.is_store_reader()).count(), expected);
+    assert!(views.iter().all(|view| view.store_reader_count() == expected));
 }
 
 #[test]
-fn strong_nodes_read_the_store() {
+fn store_readers_are_the_strong_nodes() {
     let all = fleet(295, 5);
     for number in 0..all.len() {
-        let view = seen_by(number, &all);
-        assert!(!view.is_mirror() || view.own().processor == STRONG, "node {number}");
+        let view = view_of(number, &all);
+        assert!(
+            !view.is_store_reader() || view.own().millicpus == STRONG_MILLICPUS,
+            "node {number}"
+        );
     }
 }
 
 #[test]
-fn a_node_follows_its_own_zone_first_and_then_the_others() {
+fn a_node_prefers_the_store_readers_of_its_own_zone() {
     let all = fleet(295, 5);
-    let view = seen_by(293, &all);
+    let view = view_of(293, &all);
     let sources = view.sources();
     assert_eq!(sources.len(), 10);
     let zone_of = |address: &SocketAddr| {
@@ -70,28 +73,30 @@
 
 /// Otherwise one node's link would carry the configuration to its whole zone.
 #[test]
-fn followers_spread_over_the_nodes_that_read_the_store() {
+fn followers_spread_over_the_store_readers() {
     let all = fleet(295, 5);
     let of_zone = (0..all.len()).filter(|number| number % 5 == 2);
-    let followers = of_zone.map(|number| seen_by(number, &all)).filter(|view| !view.is_mirror());
+    let followers =
+        of_zone.map(|number| view_of(number, &all)).filter(|view| !view.is_store_reader());
     let first: Vec<SocketAddr> = followers.map(|view| view.sources()[0]).collect();
-    let most = first.iter().map(|it| first.iter().filter(|other| *other == it).count()).max();
-    assert!(most.unwrap() * 10 < first.len() * 8, "{most:?} of {}", first.len());
+    let max_followers =
+        first.iter().map(|it| first.iter().filter(|other| *other == it).count()).max();
+    assert!(max_followers.unwrap() * 10 < first.len() * 8, "{max_followers:?} of {}", first.len());
 }
 
 #[test]
-fn a_node_that_knows_nobody_reads_the_store_itself() {
+fn a_node_without_peers_reads_the_store() {
     let all = fleet(1, 1);
-    let view = seen_by(0, &all);
-    assert!(view.is_mirror());
+    let view = view_of(0, &all);
+    assert!(view.is_store_reader());
     assert!(view.sources().is_empty());
 }
 
 #[test]
-fn nodes_that_are_forgotten_are_followed_no_more() {
+fn removed_nodes_are_not_followed() {
     let all = fleet(66, 3);
-    let mut view = seen_by(0, &all);
+    let mut view = view_of(0, &all);
     view.retain(|_| false);
     assert_eq!(view.len(), 1);
-    assert!(view.is_mirror());
+    assert!(view.is_store_reader());
 }
--- a/crates/serving/tests/specification/resuming.rs
+++ b/crates/serving/tests/specification/resuming.rs
@@ -1,32 +1,32 @@
-//! A stream that goes on at another runner: one node, two runners, one client.
+//! A stream that continues at another runner: one node, two runners, one client.
 //!
-//! Runners make events 1 to [`EVENTS`] and may break off, also in the middle of an event. The
-//! node forwards what comes and, if the route allows it, has another runner go on.
+//! Runners produce events 1 to [`EVENTS`] and may break off, also in the middle of an event. The
+//! node forwards what arrives and, if the route allows it, has another runner continue.
 
 const EVENTS: u8 = 2;
 const RUNNERS: usize = 2;
-/// A part of an event that never became whole.
-const TORN: u8 = 99;
+/// Part of an event that was never completed.
+const TRUNCATED_EVENT: u8 = 99;
 
-/// The switches. All on: the protocol as built.
+/// Switches of the safeguards; with all of them on, the protocol is as implemented.
 #[derive(Clone, Copy, Debug)]
 pub struct Safeguards {
-    /// Only whole events are forwarded.
+    /// Only complete events are forwarded.
     pub whole_events: bool,
     /// The next runner begins after the last event that was forwarded.
-    pub after_the_last: bool,
-    /// A run that is left is stopped before the next one begins.
+    pub after_last_forwarded: bool,
+    /// An abandoned run is stopped before the next one begins.
     pub stop_first: bool,
-    /// Only streams that may be resumed go on.
+    /// Only resumable streams continue.
     pub only_resumable: bool,
-    /// The answer ends as complete only with the runner's own end.
+    /// The response ends as complete only when the runner itself ended it.
     pub own_end: bool,
 }
 
 impl Safeguards {
     pub const ALL: Self = Self {
         whole_events: true,
-        after_the_last: true,
+        after_last_forwarded: true,
         stop_first: true,
         only_resumable: true,
         own_end: true,
@@ -35,11 +35,11 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Run {
-    /// Events made so far, with those before its start.
-    made: u8,
-    working: bool,
-    /// The node still listens to it.
-    heard: bool,
+    /// Events produced so far, including those before the start of this run.
+    produced: u8,
+    is_running: bool,
+    /// Whether the node still reads the run's events.
+    is_read: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -54,42 +54,44 @@
 
 impl State {
     pub fn initial(resumable: bool) -> Self {
-        let first = Run { made: 0, working: true, heard: true };
+        let first = Run { produced: 0, is_running: true, is_read: true };
         Self { resumable, runs: [Some(first), None], ..Self::default() }
     }
 
-    pub fn next(&self, guards: Safeguards) -> Vec<Self> {
+    pub fn next(&self, safeguards: Safeguards) -> Vec<Self> {
         let mut states = Vec::new();
         if !self.complete && !self.cut {
             for runner in 0..RUNNERS {
-                self.run_steps(runner, guards, &mut states);
+                self.run_steps(runner, safeguards, &mut states);
             }
-            self.next_run(guards, &mut states);
+            self.next_run(safeguards, &mut states);
         }
         states
     }
 
-    fn run_steps(&self, runner: usize, guards: Safeguards, states: &mut Vec<Self>) {
-        let Some(run) = self.runs[runner].clone().filter(|run| run.working && run.heard) else {
+    fn run_steps(&self, runner: usize, safeguards: Safeguards, states: &mut Vec<Self>) {
+        let Some(run) = self.runs[runner].clone().filter(|run| run.is_running && run.is_read)
+        else {
             return;
         };
-        if run.made < EVENTS {
-            let mut made = self.clone();
-            made.run(runner).made += 1;
-            made.client.push(run.made + 1);
-            states.push(made);
-            // It breaks off in the middle of the next event; it may also only seem to.
-            for stays_at_work in [false, true] {
+        if run.produced < EVENTS {
+            let mut produced = self.clone();
+            produced.run(runner).produced += 1;
+            produced.client.push(run.produced + 1);
+            states.push(produced);
+            // The run breaks off in the middle of the next event, or only appears to the node to do
+            // so.
+            for keeps_running in [false, true] {
                 let mut broken = self.clone();
-                broken.run(runner).heard = false;
-                broken.run(runner).working = stays_at_work && !guards.stop_first;
-                if !guards.whole_events {
-                    broken.client.push(TORN);
+                broken.run(runner).is_read = false;
+                broken.run(runner).is_running = keeps_running && !safeguards.stop_first;
+                if !safeguards.whole_events {
+                    broken.client.push(TRUNCATED_EVENT);
                 }
                 states.push(broken);
             }
         }
-        if run.made == EVENTS || !guards.own_end {
+        if run.produced == EVENTS || !safeguards.own_end {
             let mut ended = self.clone();
             ended.complete = true;
             ended.violated |= ended.client != (1..=EVENTS).collect::<Vec<u8>>();
@@ -97,20 +99,20 @@
         }
     }
 
-    fn next_run(&self, guards: Safeguards, states: &mut Vec<Self>) {
+    fn next_run(&self, safeguards: Safeguards, states: &mut Vec<Self>) {
         let [Some(first), None] = &self.runs else { return };
-        if first.heard {
+        if first.is_read {
             return;
         }
         let mut cut = self.clone();
         cut.cut = true;
         states.push(cut);
-        if self.resumable || !guards.only_resumable {
+        if self.resumable || !safeguards.only_resumable {
             let mut resumed = self.clone();
             let last = self.client.len() as u8;
-            let made = if guards.after_the_last { last } else { 0 };
-            resumed.runs[1] = Some(Run { made, working: true, heard: true });
-            resumed.violated |= !self.resumable || first.working;
+            let produced = if safeguards.after_last_forwarded { last } else { 0 };
+            resumed.runs[1] = Some(Run { produced, is_running: true, is_read: true });
+            resumed.violated |= !self.resumable || first.is_running;
             states.push(resumed);
         }
     }
