--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -6,7 +6,7 @@
 use crate::http::{AnswerHead, BodyDecoder, Header, ReadFailure, Upstream};
 use crate::intake::{ClientRequest, WholeAnswer};
 use crate::node::Node;
-use crate::verification::{becomes_suspect, doubt, CONNECT_LIMIT};
+use crate::runner_probe::{becomes_suspect, doubt, CONNECT_LIMIT};
 use pitchstall_platform_adapter::headers::{self, LeftOut};
 use pitchstall_serving::ids::{RunnerId, TenantName};
 use pitchstall_serving::placement::RunnerChoice;
--- a/crates/gateway/src/broken_attempt.rs
+++ b/crates/gateway/src/broken_attempt.rs
@@ -7,7 +7,7 @@
 use crate::http::ReadFailure;
 use crate::intake::ClientRequest;
 use crate::node::Node;
-use crate::verification::verify;
+use crate::runner_probe::verify;
 use pitchstall_serving::ids::{RunnerId, TenantName};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -4,10 +4,10 @@
 //! complete. A connection is closed between requests only while nothing of the next one has
 //! been read.
 
-use crate::answers::OwnAnswer;
 use crate::clock::Instant;
 use crate::http::{is_connection_header, Header};
 use crate::intake::{self, ClientRequest, RequestEnd};
+use crate::local_responses::OwnAnswer;
 use crate::node::{BodyReservation, Node, OpenConnection};
 use ntex::http::body::BodySize;
 use ntex::http::error::DecodeError;
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -9,12 +9,12 @@
 
 use self::admission::Admission;
 use self::planning::elapsed_ms;
-use crate::answers::OwnAnswer;
 use crate::attempt::{self, Answering, AttemptEnd, AttemptParams, NotPrepared};
 use crate::broken_attempt::{look_at_runner, on_broken, BrokenAttempt};
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
 use crate::intake::{ClientRequest, RequestEnd, WholeAnswer};
+use crate::local_responses::OwnAnswer;
 use crate::node::Node;
 use crate::policy::PlacementRules;
 use crate::quota::asking::{Payment, RunCost, Spent};
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -3,7 +3,7 @@
 use super::{Dispatch, EndReason};
 use crate::attempt::{self, NotPrepared};
 use crate::clock::Instant;
-use crate::reading::{self, ReadPrompt, ReadingDemand, ReadingEnd};
+use crate::prefill::{self, ReadPrompt, ReadingDemand, ReadingEnd};
 use crate::runner_limits::{self, SendPermit};
 use crate::scheduling::{self, FollowUp, Placement, PlacementDemand};
 use pitchstall_serving::configuration::EngineSpec;
@@ -256,7 +256,7 @@
             prompt: &self.prompt,
             choice: &reader,
         };
-        match reading::read_prompt(self.node, &demand, prepared, &params).await {
+        match prefill::read_prompt(self.node, &demand, prepared, &params).await {
             ReadingEnd::Read(prompt) => {
                 if cost == ArrivalCost::Deposit {
                     self.node.with_budget(&self.service, SharedRetryBudget::refund);
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -4,13 +4,13 @@
 //! orderly end of an answer without a length against a reset, and bytes that come after an
 //! answer. So connections are ntex's [`ntex::io::Io`] with a codec over `httparse`.
 
-pub mod answer_codec;
 pub mod pool;
 pub mod request;
+pub mod response_codec;
 pub mod upstream;
 
-pub use answer_codec::{AnswerFault, AnswerHead, BodyDecoder};
 pub use pool::{ConnectionPool, TrustedRest};
+pub use response_codec::{AnswerFault, AnswerHead, BodyDecoder};
 pub use upstream::{open_stream, ConnectFailure, ReadFailure, Upstream};
 
 /// A header: name in lower case, and value.
--- a/crates/gateway/src/http/upstream.rs
+++ b/crates/gateway/src/http/upstream.rs
@@ -1,6 +1,6 @@
 //! A connection to a runner or to the store.
 
-use super::answer_codec::{AnswerFault, AnswerHead, AnswerHeadDecoder, BodyDecoder, BodyItem};
+use super::response_codec::{AnswerFault, AnswerHead, AnswerHeadDecoder, BodyDecoder, BodyItem};
 use ntex::io::{Io, IoConfig};
 use ntex::util::{Bytes, Either};
 use ntex::SharedCfg;
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -1,10 +1,10 @@
 //! Takes a request in: refuses at once what can be refused, finds its route and service.
 
-use crate::answers::OwnAnswer;
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
 use crate::dispatch::Dispatch;
 use crate::http::{is_connection_header, named_by_connection, Header};
+use crate::local_responses::OwnAnswer;
 use crate::node::{BodyReservation, Node};
 use crate::policy;
 use ntex::http::Request;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,12 +11,12 @@
 //! | [`policy`] | runs the operators' program |
 //! | [`dispatch`] | plans and makes attempts until the request has its final answer |
 //! | [`scheduling`] | asks the scheduler of the runners where the request is to run |
-//! | [`reading`] | has a prompt read and keeps its handle |
+//! | [`prefill`] | has a prompt read and keeps its handle |
 //! | [`attempt`] | one attempt at one runner |
 //! | [`broken_attempt`] | what follows for the runner of an attempt that ended early |
-//! | [`verification`] | looks whether a silent runner can be reached |
+//! | [`runner_probe`] | looks whether a silent runner can be reached |
 //! | [`relay`] | forwards a stream, and goes on at another runner |
-//! | [`answers`] | the answers that the node makes itself |
+//! | [`local_responses`] | the answers that the node makes itself |
 //!
 //! Before a run is sent, [`quota`] has it paid for if its tenant has a limit.
 //!
@@ -28,7 +28,6 @@
 //! the requests that end runners there, [`node`] holds what the node believes, [`clock`] says how long ago
 //! something was, [`http`] speaks HTTP to runners and to the store.
 
-pub mod answers;
 pub mod attempt;
 pub mod authority;
 pub mod broken_attempt;
@@ -46,6 +45,7 @@
 pub mod intake;
 pub mod json_lines;
 pub mod listener;
+pub mod local_responses;
 pub mod logging;
 pub mod metrics;
 pub mod mirror;
@@ -55,13 +55,14 @@
 pub mod peers;
 pub mod platform_client;
 pub mod policy;
+pub mod prefill;
 pub mod quarantine;
 pub mod quota;
-pub mod reading;
 pub mod refused_entries;
 pub mod relay;
 pub mod roles;
 pub mod runner_limits;
+pub mod runner_probe;
 pub mod scaling;
 pub mod scheduling;
 pub mod settings;
@@ -71,5 +72,4 @@
 pub mod transfer;
 pub mod unknown_words;
 pub mod usage;
-pub mod verification;
 pub mod watcher;
--- a/crates/gateway/tests/answer_codec.rs
+++ b/crates/gateway/tests/response_codec.rs
@@ -3,7 +3,7 @@
 
 use ntex::codec::Decoder;
 use ntex::util::BytesMut;
-use pitchstall_gateway::http::answer_codec::{
+use pitchstall_gateway::http::response_codec::{
     AnswerFault, AnswerHeadDecoder, BodyDecoder, BodyItem, Framing,
 };
 use proptest::prelude::*;
