--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -2,11 +2,11 @@
 
 use crate::broken_attempt::{on_lost, on_under_way, BrokenAttempt, ConnectionUse};
 use crate::clock::Instant;
-use crate::http::request::request_bytes;
-use crate::http::{AnswerHead, BodyDecoder, Header, ReadFailure, Upstream};
-use crate::intake::{ClientRequest, WholeAnswer};
+use crate::http::request::encode_request;
+use crate::http::{BodyDecoder, Header, ReadError, ResponseHead, Upstream};
+use crate::intake::{BufferedResponse, ClientRequest};
 use crate::node::Node;
-use crate::runner_probe::{becomes_suspect, doubt, CONNECT_LIMIT};
+use crate::runner_probe::{probe_while_silent, wait_until_suspected, RUNNER_CONNECT_TIMEOUT};
 use pitchstall_platform_adapter::headers::{self, LeftOut};
 use pitchstall_serving::ids::{RunnerId, TenantName};
 use pitchstall_serving::placement::RunnerChoice;
@@ -89,7 +89,7 @@
 /// An answer whose head has come.
 pub struct Answering {
     /// The head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// The runner.
     pub record: RunnerRecord,
     /// Counts the attempt.
@@ -116,12 +116,12 @@
     }
     let flight = Flight::new(node, choice);
     if let Some(kept) = node.pool.take(&record.id) {
-        let rested = Some(kept.rested);
+        let rested = Some(kept.idle_for);
         return Ok(Prepared { connection: kept.connection, record, flight, rested });
     }
     node.metrics.connections.inc();
     let begun = Instant::now();
-    match Upstream::open(record.address, CONNECT_LIMIT).await {
+    match Upstream::open(record.address, RUNNER_CONNECT_TIMEOUT).await {
         Ok(connection) => {
             node.on_round_trip(&record.zone, begun.elapsed());
             // The runner may have begun to leave, or to rest, while the connection was being opened.
@@ -203,17 +203,17 @@
     let head = read_own_head(node, request, &prepared, sent_at_us);
     let answer = tokio::select! {
         answer = timeout(params.head_limit, head) => answer,
-        () = becomes_suspect(node, &runner), if params.leaves_suspects => {
-            log::info!(target: "attempt", request = request.facts.id.as_str(), runner = runner.as_str(); "left");
+        () = wait_until_suspected(node, &runner), if params.leaves_suspects => {
+            log::info!(target: "attempt", request = request.metadata.id.as_str(), runner = runner.as_str(); "left");
             on_under_way(node, broken);
             return AttemptEnd::Silent;
         }
-        () = doubt(node, &runner, params.doubt_after) => return AttemptEnd::Silent,
+        () = probe_while_silent(node, &runner, params.doubt_after) => return AttemptEnd::Silent,
     };
     match answer {
         Err(_) => {
             let limit_ms = u64::try_from(params.head_limit.as_millis()).unwrap_or(u64::MAX);
-            let id = request.facts.id.as_str();
+            let id = request.metadata.id.as_str();
             log::info!(target: "attempt", request = id, runner = runner.as_str(), limit_ms; "silent");
             node.on_silence(&runner, sent_at_us);
             on_under_way(node, broken);
@@ -252,7 +252,7 @@
     let mut all: Vec<Header> = forwarded.cloned().collect();
     let own = headers::attempt_headers(&order).into_iter();
     all.extend(own.map(|(name, value)| (name.to_owned(), value.into_bytes())));
-    request_bytes(&request.method, &request.target, &all, &request.body)
+    encode_request(&request.method, &request.target, &all, &request.body)
 }
 
 /// Reads heads until the one that answers this request. A surplus answer to an earlier
@@ -262,11 +262,11 @@
     request: &ClientRequest,
     prepared: &Prepared,
     sent_at_us: u64,
-) -> Result<(AnswerHead, ResponseMetadata), ReadFailure> {
+) -> Result<(ResponseHead, ResponseMetadata), ReadError> {
     for _ in 0..MOST_SURPLUS {
         let head = prepared.connection.read_head().await?;
         let facts = node.on_answer_head(&prepared.record.id, &head);
-        let is_other = facts.request_id.as_deref().is_some_and(|id| id != request.facts.id);
+        let is_other = facts.request_id.as_deref().is_some_and(|id| id != request.metadata.id);
         // When an earlier request was sent is not known here.
         let sent_at_us = if is_other { 0 } else { sent_at_us };
         node.on_limit_in_head(&prepared.record.id, &facts, sent_at_us);
@@ -274,11 +274,11 @@
             return Ok((head, facts));
         }
         let runner = prepared.record.id.as_str();
-        log::info!(target: "attempt", request = request.facts.id.as_str(), runner; "surplus answer");
+        log::info!(target: "attempt", request = request.metadata.id.as_str(), runner; "surplus answer");
         let decoder = BodyDecoder::new(head.framing);
         prepared.connection.read_whole_body(&decoder, MOST_SURPLUS_BYTES).await?;
     }
-    Err(ReadFailure::Closed)
+    Err(ReadError::Closed)
 }
 
 /// Decides what the head of an answer means.
@@ -287,11 +287,11 @@
     request: &ClientRequest,
     prepared: Prepared,
     params: &AttemptParams,
-    head: AnswerHead,
+    head: ResponseHead,
     facts: &ResponseMetadata,
 ) -> AttemptEnd {
     let runner = prepared.record.id.clone();
-    let id = request.facts.id.as_str();
+    let id = request.metadata.id.as_str();
     let status = head.status;
     if let Some(load) = facts.load {
         node.fleet.borrow_mut().on_load(&runner, load, node.now_us());
@@ -318,11 +318,11 @@
     AttemptEnd::Answering(Box::new(Answering { head, record, flight, connection, decoder }))
 }
 
-fn on_declined(node: &Rc<Node>, prepared: Prepared, head: AnswerHead, misdirected: bool) {
+fn on_declined(node: &Rc<Node>, prepared: Prepared, head: ResponseHead, misdirected: bool) {
     let runner = prepared.record.id.clone();
     if misdirected {
         node.fleet.borrow_mut().on_misdirected(&runner);
-        node.pool.forget(&runner);
+        node.pool.remove_runner(&runner);
         return;
     }
     node.fleet.borrow_mut().on_full(&runner, node.now_us());
@@ -332,9 +332,9 @@
         drop(flight);
         let decoder = BodyDecoder::new(head.framing);
         let whole = connection.read_whole_body(&decoder, MOST_SURPLUS_BYTES);
-        let read = timeout(CONNECT_LIMIT, whole).await;
+        let read = timeout(RUNNER_CONNECT_TIMEOUT, whole).await;
         if matches!(read, Ok(Ok(_))) && head.keep_alive {
-            node.pool.give_back(&runner, connection, head.idle_limit);
+            node.pool.put(&runner, connection, head.idle_timeout);
         }
     });
 }
@@ -345,7 +345,7 @@
         Work::Prefill => "read",
         Work::DecodeFrom(_) => "run from handle",
     };
-    let id = request.facts.id.as_str();
+    let id = request.metadata.id.as_str();
     let runner = prepared.record.id.as_str();
     let reused = prepared.rested.is_some();
     let revision = prepared.record.revision.to_string();
@@ -360,11 +360,11 @@
 fn log_head(
     request: &ClientRequest,
     runner: &RunnerId,
-    head: &AnswerHead,
+    head: &ResponseHead,
     facts: &ResponseMetadata,
     sent_at: Instant,
 ) {
-    let id = request.facts.id.as_str();
+    let id = request.metadata.id.as_str();
     let runner = runner.as_str();
     let status = head.status;
     let head_ms = u64::try_from(sent_at.elapsed().as_millis()).unwrap_or(u64::MAX);
@@ -382,16 +382,16 @@
 impl Answering {
     /// The headers of the answer that are for the client.
     pub fn client_headers(&self) -> Vec<Header> {
-        let named = crate::http::named_by_connection(&self.head.headers);
+        let named = crate::http::connection_options(&self.head.headers);
         let passes = |header: &&Header| {
             headers::is_for_client(&header.0)
-                && !crate::http::is_connection_header(&header.0, &named)
+                && !crate::http::is_hop_by_hop_header(&header.0, &named)
         };
         self.head.headers.iter().filter(passes).cloned().collect()
     }
 
     /// Reads the next bytes of the body; `None` at its end.
-    pub async fn read(&self) -> Result<Option<ntex::util::Bytes>, ReadFailure> {
+    pub async fn read(&self) -> Result<Option<ntex::util::Bytes>, ReadError> {
         self.connection.read_body(&self.decoder).await
     }
 
@@ -401,15 +401,15 @@
     }
 
     /// Reads the whole body.
-    pub async fn read_whole(&self) -> Result<WholeAnswer, ReadFailure> {
+    pub async fn read_whole(&self) -> Result<BufferedResponse, ReadError> {
         let body = self.connection.read_whole_body(&self.decoder, MOST_ANSWER_BYTES).await?;
-        Ok(WholeAnswer { status: self.head.status, headers: self.client_headers(), body })
+        Ok(BufferedResponse { status: self.head.status, headers: self.client_headers(), body })
     }
 
     /// The body was read to its end: the connection may serve another request.
     pub fn give_back(self, node: &Node) {
         if self.head.keep_alive {
-            node.pool.give_back(&self.record.id, self.connection, self.head.idle_limit);
+            node.pool.put(&self.record.id, self.connection, self.head.idle_timeout);
         }
     }
 }
--- a/crates/gateway/src/broken_attempt.rs
+++ b/crates/gateway/src/broken_attempt.rs
@@ -4,10 +4,10 @@
 //! there is remembered until that is known ([`pitchstall_serving::crash_evidence`]).
 
 use crate::clock::Instant;
-use crate::http::ReadFailure;
+use crate::http::ReadError;
 use crate::intake::ClientRequest;
 use crate::node::Node;
-use crate::runner_probe::verify;
+use crate::runner_probe::probe;
 use pitchstall_serving::ids::{RunnerId, TenantName};
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,13 +38,13 @@
 /// Finds out whether the runner of an attempt has ended.
 pub fn look_at_runner(node: &Rc<Node>, broken: BrokenAttempt<'_>) {
     on_under_way(node, broken);
-    verify(node, broken.runner, node.now_us());
+    probe(node, broken.runner, node.now_us());
 }
 
 /// A request was under way at a runner that may have ended.
 pub fn on_under_way(node: &Rc<Node>, broken: BrokenAttempt<'_>) {
     let identity = broken.request.identity(broken.tenant);
-    node.on_broken_attempt(broken.runner, broken.request.facts.id.as_str(), identity);
+    node.on_broken_attempt(broken.runner, broken.request.metadata.id.as_str(), identity);
 }
 
 /// How the connection of a lost attempt was used.
@@ -69,18 +69,18 @@
     node: &Rc<Node>,
     broken: BrokenAttempt<'_>,
     connection: ConnectionUse,
-    error: &ReadFailure,
+    error: &ReadError,
 ) {
     let error = error.to_string();
     let runner = broken.runner;
-    let id = broken.request.facts.id.as_str();
+    let id = broken.request.metadata.id.as_str();
     let found_dead = connection.found_dead();
     let rested_ms = found_dead.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
     log::info!(target: "attempt", request = id, runner = runner.as_str(), rested_ms, error; "lost");
     match found_dead {
         Some(rested) => {
-            node.pool.on_dead(rested);
-            node.pool.forget(runner);
+            node.pool.on_stale_connection(rested);
+            node.pool.remove_runner(runner);
             // It may also have ended just after it took the request.
             look_at_runner(node, broken);
         }
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -3,7 +3,7 @@
 //! A scheduler that has just started knows nothing of the caches of its runners, which may be
 //! warm. It asks the runners of its own shards only, one after the other.
 
-use crate::http::request::request_bytes;
+use crate::http::request::encode_request;
 use crate::http::{BodyDecoder, Upstream};
 use crate::node::Node;
 use crate::shard_scheduler::own_shards;
@@ -64,7 +64,7 @@
     const OK: u16 = 200;
     let connection = Upstream::open(address, LIST_LIMIT).await.ok()?;
     let headers = [("host".to_owned(), address.to_string().into_bytes())];
-    connection.send(request_bytes("GET", paths::LIST_CACHE, &headers, &[])).ok()?;
+    connection.send(encode_request("GET", paths::LIST_CACHE, &headers, &[])).ok()?;
     let head = timeout(LIST_LIMIT, connection.read_head()).await.ok()?.ok()?;
     let decoder = BodyDecoder::new(head.framing);
     let transfer = Transfer::default();
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -5,9 +5,9 @@
 //! been read.
 
 use crate::clock::Instant;
-use crate::http::{is_connection_header, Header};
-use crate::intake::{self, ClientRequest, RequestEnd};
-use crate::local_responses::OwnAnswer;
+use crate::http::{is_hop_by_hop_header, Header};
+use crate::intake::{self, ClientRequest, RequestOutcome};
+use crate::local_responses::LocalResponse;
 use crate::node::{BodyReservation, Node, OpenConnection};
 use ntex::http::body::BodySize;
 use ntex::http::error::DecodeError;
@@ -26,16 +26,16 @@
 
 /// Bytes that a client may send ahead before they are left in the socket.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-const READ_BUFFER_LOW_BYTES: usize = 4 * 1024;
-const BUFFER_CACHE: usize = 16;
+const READ_BUFFER_LOW_WATERMARK_BYTES: usize = 4 * 1024;
+const BUFFER_CACHE_SIZE: usize = 16;
 /// Added to the idle limit that clients are told, so that they always find it kept.
-const IDLE_MARGIN: Duration = Duration::from_millis(250);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
 /// Time for a client to take an answer that is written.
-const WRITE_LIMIT: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The client has gone; there is nobody to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClientGone;
+pub struct ClientDisconnected;
 
 /// The writing side of a client's connection.
 pub struct ClientConnection {
@@ -46,26 +46,26 @@
 
 /// What to do with the connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
+enum AfterRequest {
     KeepOpen,
     Close,
 }
 
 /// Why a request could not be read.
-enum ReadError {
+enum RequestReadError {
     /// The client has gone or rested too long: nothing to answer.
-    Nothing,
+    ConnectionEnded,
     /// Answer so and close.
-    Answer(OwnAnswer),
+    Respond(LocalResponse),
 }
 
 /// Shared configuration of a client's connection.
 pub fn client_config(limits: &ClientLimits) -> SharedCfg {
-    CLIENT_CONFIG.with(|kept| {
-        let mut kept = kept.borrow_mut();
-        match kept.as_ref() {
+    CLIENT_CONFIG.with(|cached| {
+        let mut cached = cached.borrow_mut();
+        match cached.as_ref() {
             Some((known, config)) if *known == limits.max_header_bytes => config.clone(),
-            _ => kept.insert((limits.max_header_bytes, new_client_config(limits))).1.clone(),
+            _ => cached.insert((limits.max_header_bytes, new_client_config(limits))).1.clone(),
         }
     })
 }
@@ -77,7 +77,11 @@
 }
 
 fn new_client_config(limits: &ClientLimits) -> SharedCfg {
-    let io = IoConfig::new().set_read_buf(READ_BUFFER_BYTES, READ_BUFFER_LOW_BYTES, BUFFER_CACHE);
+    let io = IoConfig::new().set_read_buf(
+        READ_BUFFER_BYTES,
+        READ_BUFFER_LOW_WATERMARK_BYTES,
+        BUFFER_CACHE_SIZE,
+    );
     let http = HttpServiceConfig::new().set_max_buf_size(limits.max_header_bytes);
     SharedCfg::new("client").add(io).add(http).into()
 }
@@ -87,65 +91,66 @@
 pub async fn serve(io: Io, config: SharedCfg, node: Rc<Node>, _open: OpenConnection) {
     let codec = Codec::new(0, config.get());
     let connection = ClientConnection { io, codec, node };
-    while connection.serve_one().await == Next::KeepOpen {}
+    while connection.serve_request().await == AfterRequest::KeepOpen {}
 }
 
 impl ClientConnection {
-    async fn serve_one(&self) -> Next {
+    async fn serve_request(&self) -> AfterRequest {
         let request = match self.read_request().await {
             Ok(request) => request,
-            Err(ReadError::Nothing) => return self.close(),
-            Err(ReadError::Answer(answer)) => {
-                self.node.metrics.on_request(answer.name());
-                log::info!(target: "request", outcome = answer.name(); "unreadable");
-                let _ = self.write_own(answer, true).await;
+            Err(RequestReadError::ConnectionEnded) => return self.close(),
+            Err(RequestReadError::Respond(response)) => {
+                self.node.metrics.on_request(response.name());
+                log::info!(target: "request", outcome = response.name(); "unreadable");
+                let _ = self.write_local(response, true).await;
                 return self.close();
             }
         };
         let open = self.node.open_request();
-        let end = tokio::select! {
-            end = intake::answer(&self.node, &request, self) => end,
-            () = self.gone() => RequestEnd::ClientGone,
+        let outcome = tokio::select! {
+            outcome = intake::handle(&self.node, &request, self) => outcome,
+            () = self.disconnected() => RequestOutcome::ClientDisconnected,
         };
         drop(open);
-        let next = self.finish(end, &request).await;
-        if next == Next::Close {
+        let next = self.finish(outcome, &request).await;
+        if next == AfterRequest::Close {
             return self.close();
         }
         next
     }
 
     /// Writes the answer, if it is not written yet.
-    async fn finish(&self, end: RequestEnd, request: &ClientRequest) -> Next {
+    async fn finish(&self, outcome: RequestOutcome, request: &ClientRequest) -> AfterRequest {
         let close = self.must_close();
-        let written = match end {
-            RequestEnd::Whole(answer) => {
-                self.write_whole(answer.status, &answer.headers, answer.body, close).await
+        let written = match outcome {
+            RequestOutcome::Buffered(response) => {
+                self.write_buffered(response.status, &response.headers, response.body, close).await
             }
-            RequestEnd::Own(answer) => self.write_own(answer, close).await,
-            RequestEnd::Streamed => Ok(()),
-            RequestEnd::Cut => {
+            RequestOutcome::Local(response) => self.write_local(response, close).await,
+            RequestOutcome::Streamed => Ok(()),
+            RequestOutcome::Truncated => {
                 // The whole events that were forwarded leave first; then nothing more.
                 let _ = self.flush(true).await;
                 self.io.terminate();
-                Err(ClientGone)
+                Err(ClientDisconnected)
             }
-            RequestEnd::ClientGone => {
+            RequestOutcome::ClientDisconnected => {
                 self.io.terminate();
-                Err(ClientGone)
+                Err(ClientDisconnected)
             }
         };
-        let waited_us = u64::try_from(request.received.elapsed().as_micros()).unwrap_or(u64::MAX);
-        log::debug!(target: "request", request = request.facts.id.as_str(), waited_us; "closed");
+        let waited_us =
+            u64::try_from(request.received_at.elapsed().as_micros()).unwrap_or(u64::MAX);
+        log::debug!(target: "request", request = request.metadata.id.as_str(), waited_us; "closed");
         match written {
-            Ok(()) if !close && self.codec.keepalive() => Next::KeepOpen,
-            _ => Next::Close,
+            Ok(()) if !close && self.codec.keepalive() => AfterRequest::KeepOpen,
+            _ => AfterRequest::Close,
         }
     }
 
-    fn close(&self) -> Next {
+    fn close(&self) -> AfterRequest {
         self.io.close();
-        Next::Close
+        AfterRequest::Close
     }
 
     fn must_close(&self) -> bool {
@@ -157,52 +162,55 @@
     }
 
     /// Ends when the client has gone.
-    async fn gone(&self) {
+    async fn disconnected(&self) {
         while let Ok(Some(())) = self.io.read_notify().await {}
     }
 
-    async fn read_request(&self) -> Result<ClientRequest, ReadError> {
+    async fn read_request(&self) -> Result<ClientRequest, RequestReadError> {
         self.wait_for_request().await?;
         let limits = self.limits();
         let received = Instant::now();
         let (head, payload) = self.read_head(&limits).await?;
         let (body, reservation) = self.read_body(&head, payload, &limits).await?;
         let request = ClientRequest::new(&head, body, received, reservation);
-        request.ok_or(ReadError::Answer(OwnAnswer::BadRequest))
+        request.ok_or(RequestReadError::Respond(LocalResponse::BadRequest))
     }
 
     /// Waits for the first byte of a request. A planned stop ends the wait.
-    async fn wait_for_request(&self) -> Result<(), ReadError> {
+    async fn wait_for_request(&self) -> Result<(), RequestReadError> {
         let has_bytes = || self.io.with_read_buf(|buffer| !buffer.is_empty());
         if has_bytes() {
             return Ok(());
         }
         if self.node.is_closing() {
-            return Err(ReadError::Nothing);
+            return Err(RequestReadError::ConnectionEnded);
         }
-        let idle = Duration::from_millis(self.limits().idle_timeout_ms) + IDLE_MARGIN;
+        let idle = Duration::from_millis(self.limits().idle_timeout_ms) + IDLE_TIMEOUT_MARGIN;
         tokio::select! {
             biased;
             ready = self.io.read_ready() => match ready {
                 Ok(Some(())) => Ok(()),
                 Ok(None) | Err(_) if has_bytes() => Ok(()),
-                Ok(None) | Err(_) => Err(ReadError::Nothing),
+                Ok(None) | Err(_) => Err(RequestReadError::ConnectionEnded),
             },
-            () = self.node.stopping.notified() => Err(ReadError::Nothing),
-            () = sleep(idle) => Err(ReadError::Nothing),
+            () = self.node.stopping.notified() => Err(RequestReadError::ConnectionEnded),
+            () = sleep(idle) => Err(RequestReadError::ConnectionEnded),
         }
     }
 
-    async fn read_head(&self, limits: &ClientLimits) -> Result<(Request, PayloadType), ReadError> {
+    async fn read_head(
+        &self,
+        limits: &ClientLimits,
+    ) -> Result<(Request, PayloadType), RequestReadError> {
         let limit = Duration::from_millis(limits.header_timeout_ms);
         match timeout(limit, self.io.recv(&self.codec)).await {
             Ok(Ok(Some(item))) => Ok(item),
-            Ok(Ok(None)) | Ok(Err(Either::Right(_))) => Err(ReadError::Nothing),
+            Ok(Ok(None)) | Ok(Err(Either::Right(_))) => Err(RequestReadError::ConnectionEnded),
             Ok(Err(Either::Left(DecodeError::TooLarge(_) | DecodeError::MaxHeaders))) => {
-                Err(ReadError::Answer(OwnAnswer::HeadTooLarge))
+                Err(RequestReadError::Respond(LocalResponse::HeadTooLarge))
             }
-            Ok(Err(Either::Left(_))) => Err(ReadError::Answer(OwnAnswer::BadRequest)),
-            Err(_) => Err(ReadError::Answer(OwnAnswer::TooSlow)),
+            Ok(Err(Either::Left(_))) => Err(RequestReadError::Respond(LocalResponse::BadRequest)),
+            Err(_) => Err(RequestReadError::Respond(LocalResponse::RequestTimeout)),
         }
     }
 
@@ -211,71 +219,79 @@
         head: &Request,
         payload: PayloadType,
         limits: &ClientLimits,
-    ) -> Result<(Vec<u8>, Option<BodyReservation>), ReadError> {
+    ) -> Result<(Vec<u8>, Option<BodyReservation>), RequestReadError> {
         let decoder = match payload {
             PayloadType::None => return Ok((Vec::new(), None)),
             PayloadType::Payload(decoder) => decoder,
             // An upgrade is asked for, which no route offers.
-            PayloadType::Stream(_) => return Err(ReadError::Answer(OwnAnswer::BadRequest)),
+            PayloadType::Stream(_) => {
+                return Err(RequestReadError::Respond(LocalResponse::BadRequest))
+            }
         };
         if head.head().expect() {
             const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-            self.io.encode_slice(CONTINUE).map_err(|_| ReadError::Nothing)?;
+            self.io.encode_slice(CONTINUE).map_err(|_| RequestReadError::ConnectionEnded)?;
         }
         let limit = Duration::from_millis(limits.idle_timeout_ms);
         timeout(limit, self.collect_body(&decoder, limits.max_body_bytes))
             .await
-            .map_err(|_| ReadError::Answer(OwnAnswer::TooSlow))?
+            .map_err(|_| RequestReadError::Respond(LocalResponse::RequestTimeout))?
     }
 
     async fn collect_body(
         &self,
         decoder: &PayloadDecoder,
-        most: usize,
-    ) -> Result<(Vec<u8>, Option<BodyReservation>), ReadError> {
+        max_bytes: usize,
+    ) -> Result<(Vec<u8>, Option<BodyReservation>), RequestReadError> {
         let mut body = Vec::new();
         let mut reservation = None;
         loop {
             let bytes = match self.io.recv(decoder).await {
                 Ok(Some(PayloadItem::Chunk(bytes))) => bytes,
                 Ok(Some(PayloadItem::Eof)) => return Ok((body, reservation)),
-                Ok(None) | Err(Either::Right(_)) => return Err(ReadError::Nothing),
-                Err(Either::Left(_)) => return Err(ReadError::Answer(OwnAnswer::BadRequest)),
+                Ok(None) | Err(Either::Right(_)) => return Err(RequestReadError::ConnectionEnded),
+                Err(Either::Left(_)) => {
+                    return Err(RequestReadError::Respond(LocalResponse::BadRequest))
+                }
             };
-            if body.len() + bytes.len() > most {
-                return Err(ReadError::Answer(OwnAnswer::BodyTooLarge));
+            if body.len() + bytes.len() > max_bytes {
+                return Err(RequestReadError::Respond(LocalResponse::BodyTooLarge));
             }
             body.extend_from_slice(&bytes);
             drop(reservation.take());
             let reserved = self.node.reserve_body(body.len());
-            reservation = Some(reserved.ok_or(ReadError::Answer(OwnAnswer::Refused))?);
+            reservation = Some(reserved.ok_or(RequestReadError::Respond(LocalResponse::Refused))?);
         }
     }
 
-    async fn write_own(&self, answer: OwnAnswer, close: bool) -> Result<(), ClientGone> {
+    async fn write_local(
+        &self,
+        response: LocalResponse,
+        close: bool,
+    ) -> Result<(), ClientDisconnected> {
         let mut headers = Vec::new();
-        if answer == OwnAnswer::Unauthorized {
+        if response == LocalResponse::Unauthorized {
             let (name, value) = KEY_CHALLENGE;
             headers.push((name.to_owned(), value.as_bytes().to_vec()));
         }
-        if let Some(seconds) = answer.retry_after_s() {
+        if let Some(seconds) = response.retry_after_s() {
             headers.push((RETRY_AFTER.as_str().to_owned(), seconds.to_string().into_bytes()));
         }
-        self.write_whole(answer.status().as_u16(), &headers, Vec::new(), close).await
+        self.write_buffered(response.status().as_u16(), &headers, Vec::new(), close).await
     }
 
-    async fn write_whole(
+    async fn write_buffered(
         &self,
         status: u16,
         headers: &[Header],
         body: Vec<u8>,
         close: bool,
-    ) -> Result<(), ClientGone> {
+    ) -> Result<(), ClientDisconnected> {
         let size = match body.len() {
             0 => BodySize::Empty,
             length => BodySize::Sized(length as u64),
         };
-        self.encode(Message::Item((response(status, headers, close), size)))?;
+        self.encode(Message::Item((response_head(status, headers, close), size)))?;
         if !body.is_empty() {
             self.encode(Message::Chunk(Some(Bytes::from(body))))?;
         }
@@ -284,43 +300,43 @@
     }
 
     /// Begins an answer of unknown length.
-    pub fn begin_stream(&self, status: u16, headers: &[Header]) -> Result<(), ClientGone> {
-        let response = response(status, headers, self.must_close());
+    pub fn begin_stream(&self, status: u16, headers: &[Header]) -> Result<(), ClientDisconnected> {
+        let response = response_head(status, headers, self.must_close());
         self.encode(Message::Item((response, BodySize::Stream)))
     }
 
     /// Writes a piece of a begun answer.
-    pub async fn write_chunk(&self, bytes: Vec<u8>) -> Result<(), ClientGone> {
+    pub async fn write_chunk(&self, bytes: Vec<u8>) -> Result<(), ClientDisconnected> {
         self.encode(Message::Chunk(Some(Bytes::from(bytes))))?;
         self.flush(false).await
     }
 
     /// Ends a begun answer as complete.
-    pub async fn end_stream(&self) -> Result<(), ClientGone> {
+    pub async fn end_stream(&self) -> Result<(), ClientDisconnected> {
         self.encode(Message::Chunk(None))?;
         self.flush(true).await
     }
 
-    fn encode(&self, message: Message<(Response<()>, BodySize)>) -> Result<(), ClientGone> {
+    fn encode(&self, message: Message<(Response<()>, BodySize)>) -> Result<(), ClientDisconnected> {
         if self.io.is_closed() {
-            return Err(ClientGone);
+            return Err(ClientDisconnected);
         }
-        self.io.encode(message, &self.codec).map_err(|_| ClientGone)
+        self.io.encode(message, &self.codec).map_err(|_| ClientDisconnected)
     }
 
-    async fn flush(&self, full: bool) -> Result<(), ClientGone> {
-        match timeout(WRITE_LIMIT, self.io.flush(full)).await {
+    async fn flush(&self, full: bool) -> Result<(), ClientDisconnected> {
+        match timeout(WRITE_TIMEOUT, self.io.flush(full)).await {
             Ok(Ok(())) => Ok(()),
-            _ => Err(ClientGone),
+            _ => Err(ClientDisconnected),
         }
     }
 }
 
-fn response(status: u16, headers: &[Header], close: bool) -> Response<()> {
+fn response_head(status: u16, headers: &[Header], close: bool) -> Response<()> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::with_body(status, ());
     for (name, value) in headers {
-        if is_connection_header(name, &[]) {
+        if is_hop_by_hop_header(name, &[]) {
             continue;
         }
         let name = HeaderName::from_bytes(name.as_bytes());
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -32,15 +32,15 @@
 use tokio::time::sleep;
 
 /// Between two looks at the signals.
-const SIGNAL_POLL: Duration = Duration::from_millis(50);
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Between two looks at the settings file.
-const FILE_POLL: Duration = Duration::from_millis(500);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Between two looks at idle connections.
-const PRUNE_EVERY: Duration = Duration::from_millis(1_000);
+const PRUNE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Part of the grace time in which new clients are still taken.
-const TAKING_SHARE: f64 = 0.3;
+const ACCEPTING_GRACE_SHARE: f64 = 0.3;
 /// Part of the grace time after which the process ends, whatever is open.
-const ENDING_SHARE: f64 = 0.96;
+const SHUTDOWN_GRACE_SHARE: f64 = 0.96;
 
 /// The daemon failed.
 #[derive(Debug, thiserror::Error)]
@@ -95,15 +95,15 @@
 
 /// Runs a node until it is asked to stop and has finished its work.
 pub async fn run(settings: Settings, path: PathBuf, signals: Signals) -> Result<(), DaemonError> {
-    let callers = bind(settings.listen.callers).await?;
-    let health = bind(settings.listen.health).await?;
-    let datagrams = bind_datagrams(settings.listen.peers).await?;
-    let followers = bind(settings.listen.peers).await?;
+    let client_listener = bind(settings.listen.callers).await?;
+    let health_listener = bind(settings.listen.health).await?;
+    let peer_socket = bind_datagrams(settings.listen.peers).await?;
+    let follower_listener = bind(settings.listen.peers).await?;
     let name = settings.node.name.clone();
     let zone = settings.node.zone.clone();
     log::info!(target: "process", name, zone; "started");
     let program = PolicyProgram::read(&settings.policy)?;
-    let socket = PeerSocket::new(Rc::new(datagrams));
+    let socket = PeerSocket::new(Rc::new(peer_socket));
     let node = Node::new(settings, socket.clone());
     node.adopt_policy_program(program);
     node.log_topology();
@@ -123,19 +123,19 @@
     ntex::rt::spawn(quota::slots::keep(node.clone()));
     ntex::rt::spawn(scaling::order_runners(node.clone()));
     ntex::rt::spawn(cache_listing::list_own_shards(node.clone()));
-    ntex::rt::spawn(mirror::accept_followers(followers, node.clone()));
-    ntex::rt::spawn(listener::accept_health(health, node.clone()));
-    ntex::rt::spawn(prune(node.clone()));
-    let taking = ntex::rt::spawn(listener::accept_clients(callers, node.clone()));
+    ntex::rt::spawn(mirror::accept_followers(follower_listener, node.clone()));
+    ntex::rt::spawn(listener::accept_health(health_listener, node.clone()));
+    ntex::rt::spawn(prune_connections(node.clone()));
+    let accept_task = ntex::rt::spawn(listener::accept_clients(client_listener, node.clone()));
     wait_for_stop(&node, &path, &signals).await;
-    let begun = Instant::now();
+    let stop_requested_at = Instant::now();
     node.begin_stop();
     log::info!(target: "process", open = node.open_requests(); "stopping");
     let grace = Duration::from_secs_f64(node.settings().bounds.grace_s);
-    sleep(grace.mul_f64(TAKING_SHARE)).await;
-    taking.cancel();
+    sleep(grace.mul_f64(ACCEPTING_GRACE_SHARE)).await;
+    accept_task.cancel();
     node.begin_closing();
-    wait_for_connections(&node, begun + grace.mul_f64(ENDING_SHARE)).await;
+    wait_for_connections(&node, stop_requested_at + grace.mul_f64(SHUTDOWN_GRACE_SHARE)).await;
     log::info!(target: "process", open = node.open_requests(); "stopped");
     Ok(())
 }
@@ -148,9 +148,9 @@
     UdpSocket::bind(address).await.map_err(|cause| DaemonError::Listen { address, cause })
 }
 
-async fn prune(node: Rc<Node>) {
+async fn prune_connections(node: Rc<Node>) {
     loop {
-        sleep(PRUNE_EVERY).await;
+        sleep(PRUNE_INTERVAL).await;
         node.pool.prune();
     }
 }
@@ -158,7 +158,7 @@
 async fn wait_for_stop(node: &Node, path: &Path, signals: &Signals) {
     let mut file = SettingsFile::new(path);
     while !signals.stop_requested() {
-        sleep(SIGNAL_POLL).await;
+        sleep(SIGNAL_POLL_INTERVAL).await;
         // The file may change without a signal.
         if signals.take_reload() || file.has_changed() {
             reload(node, path);
@@ -170,19 +170,19 @@
 struct SettingsFile<'a> {
     path: &'a Path,
     modified: Option<SystemTime>,
-    looked_at: Instant,
+    checked_at: Instant,
 }
 
 impl<'a> SettingsFile<'a> {
     fn new(path: &'a Path) -> Self {
-        Self { path, modified: modified(path), looked_at: Instant::now() }
+        Self { path, modified: modified(path), checked_at: Instant::now() }
     }
 
     fn has_changed(&mut self) -> bool {
-        if self.looked_at.elapsed() < FILE_POLL {
+        if self.checked_at.elapsed() < SETTINGS_POLL_INTERVAL {
             return false;
         }
-        self.looked_at = Instant::now();
+        self.checked_at = Instant::now();
         let before = std::mem::replace(&mut self.modified, modified(self.path));
         self.modified.is_some() && self.modified != before
     }
@@ -195,8 +195,8 @@
 /// Takes a changed settings file into force. A file that is not valid changes nothing; names
 /// and addresses of this node hold from the next start.
 fn reload(node: &Node, path: &Path) {
-    let known = node.settings();
-    let (mut settings, program) = match read_all(path) {
+    let current = node.settings();
+    let (mut settings, program) = match read_settings_and_program(path) {
         Ok(read) => read,
         Err(error) => {
             let error = error.to_string();
@@ -205,25 +205,28 @@
         }
     };
     node.adopt_policy_program(program);
-    let known_node = NodeSection { regions: settings.node.regions.clone(), ..known.node.clone() };
-    let needs_restart = settings.node != known_node || settings.listen != known.listen;
-    settings.node = known_node;
-    settings.listen = known.listen.clone();
-    let changed = settings != *known;
+    let current_node =
+        NodeSection { regions: settings.node.regions.clone(), ..current.node.clone() };
+    let needs_restart = settings.node != current_node || settings.listen != current.listen;
+    settings.node = current_node;
+    settings.listen = current.listen.clone();
+    let changed = settings != *current;
     node.adopt_settings(settings);
     log::info!(target: "process", changed, needs_restart; "reloaded");
 }
 
-fn read_all(path: &Path) -> Result<(Settings, Option<PolicyProgram>), SettingsError> {
+fn read_settings_and_program(
+    path: &Path,
+) -> Result<(Settings, Option<PolicyProgram>), SettingsError> {
     let settings = Settings::read(path)?;
     let program = PolicyProgram::read(&settings.policy)?;
     Ok((settings, program))
 }
 
 /// Not only for open requests: one may be being read just now.
-async fn wait_for_connections(node: &Node, latest: Instant) {
+async fn wait_for_connections(node: &Node, deadline: Instant) {
     const POLL: Duration = Duration::from_millis(10);
-    while node.open_connections() > 0 && Instant::now() < latest {
+    while node.open_connections() > 0 && Instant::now() < deadline {
         sleep(POLL).await;
     }
     // The last answers leave the socket buffers.
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -53,7 +53,7 @@
         if plan.permit.is_some_and(|permit| permit.is_usable(self.node.now_us())) {
             return true;
         }
-        let request = &self.request.facts.id;
+        let request = &self.request.metadata.id;
         runner_limits::permit(self.node, request, &plan.choice.runner).await.is_some()
     }
 
@@ -62,7 +62,7 @@
     pub(super) async fn payment_to_make(&self) -> Result<Option<Payment>, EndReason> {
         match &self.run_cost {
             Some(run) if self.payment.is_none() => {
-                let request = &self.request.facts.id;
+                let request = &self.request.metadata.id;
                 asking::pay(self.node, request, run).await.map(Some).map_err(reason_of)
             }
             _ => Ok(None),
@@ -79,7 +79,7 @@
         let lapsed = self.payment.take();
         let run = if lapsed.is_some() { &run.granted_before() } else { run };
         drop(lapsed);
-        let paid = asking::pay(self.node, &self.request.facts.id, run).await;
+        let paid = asking::pay(self.node, &self.request.metadata.id, run).await;
         self.payment = Some(paid.map_err(reason_of)?);
         Ok(())
     }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -13,12 +13,12 @@
 use crate::broken_attempt::{look_at_runner, on_broken, BrokenAttempt};
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
-use crate::intake::{ClientRequest, RequestEnd, WholeAnswer};
-use crate::local_responses::OwnAnswer;
+use crate::intake::{BufferedResponse, ClientRequest, RequestOutcome};
+use crate::local_responses::LocalResponse;
 use crate::node::Node;
 use crate::policy::PlacementRules;
 use crate::quota::asking::{Payment, RunCost, Spent};
-use crate::relay::{relay, RelayEnd, RelayLimits, StreamState};
+use crate::relay::{relay, RelayLimits, RelayOutcome, StreamState};
 use crate::usage::BeginMark;
 use pitchstall_serving::attempt::{final_response, EndReason, Execution};
 use pitchstall_serving::configuration::{Configuration, EngineSpec, RequestKind, Route};
@@ -82,13 +82,13 @@
     excluded: Vec<RunnerId>,
     unreachable: usize,
     /// A runner's own failure, for want of something better.
-    failure: Option<WholeAnswer>,
+    failure: Option<BufferedResponse>,
     stream: StreamState,
 }
 
 enum Step {
     Again,
-    Done(RequestEnd),
+    Done(RequestOutcome),
 }
 
 impl<'a> Dispatch<'a> {
@@ -109,7 +109,7 @@
             route,
             service,
             engine,
-            prompt: request.facts.prompt.clone().unwrap_or_default(),
+            prompt: request.metadata.prompt.clone().unwrap_or_default(),
             rules,
             tenant: None,
             has_tenants: !configuration.tenants.is_empty(),
@@ -125,19 +125,19 @@
             excluded: Vec::new(),
             unreachable: 0,
             failure: None,
-            stream: StreamState::new(request.facts.last_event_id),
+            stream: StreamState::new(request.metadata.last_event_id),
         }
     }
 
     /// The request runs for a tenant.
     pub fn for_tenant(self, tenant: Option<Rc<Tenant>>) -> Self {
-        let facts = &self.request.facts;
+        let facts = &self.request.metadata;
         let run_cost = RunCost::of(tenant.as_ref(), facts, self.rules.priority, self.version);
         Self { tenant, run_cost, ..self }
     }
 
     /// Makes attempts until there is a final answer.
-    pub async fn run(mut self, client: &ClientConnection) -> RequestEnd {
+    pub async fn run(mut self, client: &ClientConnection) -> RequestOutcome {
         loop {
             if let Step::Done(end) = self.step(client).await {
                 return end;
@@ -188,7 +188,7 @@
                 begin.on_answer();
                 self.is_counted = true;
                 if let Some(prompt) = &plan.prompt {
-                    prompt.on_taken();
+                    prompt.mark_transferred();
                 } else {
                     plan.tell(Progress::Prefilled(elapsed_ms(sent_at)));
                 }
@@ -254,8 +254,8 @@
 
     /// The event after which the node itself makes a stream go on.
     fn resume_point(&self) -> Option<u64> {
-        if self.stream.begun {
-            self.stream.join.last_id()
+        if self.stream.is_head_sent {
+            self.stream.deduplicator.last_id()
         } else {
             None
         }
@@ -310,7 +310,7 @@
     async fn deliver(&mut self, mut answering: Answering, client: &ClientConnection) -> Step {
         answering.flight.on_read();
         self.node.on_parts_held(&answering.record.id, self.prompt.shared_prefix());
-        let first_byte = self.request.received.elapsed().as_secs_f64();
+        let first_byte = self.request.received_at.elapsed().as_secs_f64();
         self.node.metrics.first_byte.observe(first_byte);
         let success = (200..300).contains(&answering.head.status);
         if success && self.route.kind == RequestKind::Streaming {
@@ -326,7 +326,7 @@
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
                 let error = error.to_string();
-                let id = self.request.facts.id.as_str();
+                let id = self.request.metadata.id.as_str();
                 log::info!(target: "attempt", request = id, runner = runner.as_str(), error; "broken off");
                 on_broken(self.node, self.broken(&runner));
                 return self.on_lost(runner);
@@ -340,7 +340,7 @@
             self.on_success(&runner, is_framed);
         }
         const FIRST_FAILURE: u16 = 500;
-        if answer.status < FIRST_FAILURE || self.stream.begun {
+        if answer.status < FIRST_FAILURE || self.stream.is_head_sent {
             return self.done_whole(answer);
         }
         self.execution = Execution::Ran;
@@ -363,33 +363,33 @@
         }
     }
 
-    fn done_whole(&self, answer: WholeAnswer) -> Step {
-        if self.stream.begun {
-            return Step::Done(RequestEnd::Cut);
+    fn done_whole(&self, answer: BufferedResponse) -> Step {
+        if self.stream.is_head_sent {
+            return Step::Done(RequestOutcome::Truncated);
         }
-        Step::Done(RequestEnd::Whole(answer))
+        Step::Done(RequestOutcome::Buffered(answer))
     }
 
     async fn deliver_stream(&mut self, answering: Answering, client: &ClientConnection) -> Step {
         let runner = answering.record.id.clone();
         let mut splitter = EventSplitter::default();
         let end = loop {
-            let limits = RelayLimits { deadline: self.deadline, pause: self.longest_pause() };
+            let limits = RelayLimits { deadline: self.deadline, max_pause: self.longest_pause() };
             let end = relay(&answering, client, &mut self.stream, &mut splitter, limits).await;
-            if end != RelayEnd::Silent || self.may_leave(&runner) {
+            if end != RelayOutcome::Stalled || self.may_leave(&runner) {
                 break end;
             }
         };
         match end {
-            RelayEnd::Complete => {
+            RelayOutcome::Complete => {
                 let is_framed = !answering.ends_with_connection();
                 answering.give_back(self.node);
                 self.on_success(&runner, is_framed);
-                Step::Done(RequestEnd::Streamed)
+                Step::Done(RequestOutcome::Streamed)
             }
-            RelayEnd::ClientGone => Step::Done(RequestEnd::ClientGone),
-            RelayEnd::OutOfTime => self.on_out_of_time(),
-            RelayEnd::Broken | RelayEnd::Silent => {
+            RelayOutcome::ClientDisconnected => Step::Done(RequestOutcome::ClientDisconnected),
+            RelayOutcome::DeadlineExceeded => self.on_out_of_time(),
+            RelayOutcome::ConnectionLost | RelayOutcome::Stalled => {
                 // The connection is closed first, so that the runner stops before the next
                 // one goes on.
                 drop(answering);
@@ -434,16 +434,16 @@
 
     fn on_broken_stream(&mut self, runner: RunnerId) -> Step {
         on_broken(self.node, self.broken(&runner));
-        let id = self.request.facts.id.as_str();
-        let after = self.stream.join.last_id().unwrap_or_default();
-        let begun = self.stream.begun;
+        let id = self.request.metadata.id.as_str();
+        let after = self.stream.deduplicator.last_id().unwrap_or_default();
+        let begun = self.stream.is_head_sent;
         log::info!(target: "stream", request = id, runner = runner.as_str(), after, begun; "broken off");
         self.node.metrics.resumes.inc();
         self.on_lost(runner)
     }
 
     fn give_up(&mut self, reason: EndReason) -> Step {
-        let id = self.request.facts.id.as_str();
+        let id = self.request.metadata.id.as_str();
         let execution = format!("{:?}", self.execution);
         let reason_name = format!("{reason:?}");
         let runs = self.runs;
@@ -452,13 +452,13 @@
             let identity = self.identity().to_string();
             log::info!(target: "crash", request = id, identity; "held back");
         }
-        if self.stream.begun {
-            return Step::Done(RequestEnd::Cut);
+        if self.stream.is_head_sent {
+            return Step::Done(RequestOutcome::Truncated);
         }
         if let Some(answer) = self.failure.take() {
-            return Step::Done(RequestEnd::Whole(answer));
+            return Step::Done(RequestOutcome::Buffered(answer));
         }
-        let answer = OwnAnswer::from(final_response(self.execution, reason));
-        Step::Done(RequestEnd::Own(answer))
+        let answer = LocalResponse::from(final_response(self.execution, reason));
+        Step::Done(RequestOutcome::Local(answer))
     }
 }
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -3,7 +3,7 @@
 use super::{Dispatch, EndReason};
 use crate::attempt::{self, NotPrepared};
 use crate::clock::Instant;
-use crate::prefill::{self, ReadPrompt, ReadingDemand, ReadingEnd};
+use crate::prefill::{self, PrefillOutcome, PrefillRequest, PrefilledPrompt};
 use crate::runner_limits::{self, SendPermit};
 use crate::scheduling::{self, FollowUp, Placement, PlacementDemand};
 use pitchstall_serving::configuration::EngineSpec;
@@ -25,7 +25,7 @@
 /// Where and how the request is to run next.
 pub(super) struct Plan {
     pub(super) choice: RunnerChoice,
-    pub(super) prompt: Option<ReadPrompt>,
+    pub(super) prompt: Option<PrefilledPrompt>,
     /// Tells the scheduler that has placed it; `None`: nobody schedules it.
     follow_up: Option<FollowUp>,
     /// Leave to send it; `None`: it has not been asked for.
@@ -141,11 +141,11 @@
 
     async fn place(&self) -> Placement {
         let demand = PlacementDemand {
-            request: &self.request.facts.id,
+            request: &self.request.metadata.id,
             service: &self.service,
             demand: self.demand(),
             target_ms: self.route.target_ms,
-            elapsed: self.request.received.elapsed(),
+            elapsed: self.request.received_at.elapsed(),
             left: self.time_left(),
         };
         scheduling::place(self.node, &demand).await
@@ -173,7 +173,7 @@
         let zone = prompt.as_ref().map(|prompt| prompt.zone.clone());
         let (choice, permit) = self.permitted_writer(writer, zone.as_ref()).await.unzip();
         // A move between regions takes longer than reading the prompt anew.
-        let is_near = |prompt: &ReadPrompt| {
+        let is_near = |prompt: &PrefilledPrompt| {
             let choice = choice.as_ref();
             choice.is_some_and(|choice| self.node.is_in_region_of(&choice.runner, &prompt.zone))
         };
@@ -200,7 +200,7 @@
                 )
             };
             if let Some(writer) = planned.take().or_else(any) {
-                let request = &self.request.facts.id;
+                let request = &self.request.metadata.id;
                 let permit = runner_limits::permit(self.node, request, &writer.runner).await;
                 match permit {
                     Some(permit) => return Some((writer, permit)),
@@ -225,7 +225,7 @@
         &mut self,
         reader: RunnerChoice,
         follow_up: &FollowUp,
-    ) -> Option<ReadPrompt> {
+    ) -> Option<PrefilledPrompt> {
         let prepared = match attempt::prepare(self.node, &reader).await {
             Ok(prepared) => prepared,
             Err(NotPrepared::Withheld) => return None,
@@ -235,7 +235,7 @@
                 return None;
             }
         };
-        runner_limits::permit(self.node, &self.request.facts.id, &reader.runner).await?;
+        runner_limits::permit(self.node, &self.request.metadata.id, &reader.runner).await?;
         if self.is_quarantined() {
             return None;
         }
@@ -250,21 +250,21 @@
         params.after_event = None;
         params.head_limit = self.time_left().mul_f64(READING_SHARE);
         params.leaves_suspects = self.budget_allows_one();
-        let demand = ReadingDemand {
+        let demand = PrefillRequest {
             request: self.request,
             service: &self.service,
             prompt: &self.prompt,
             choice: &reader,
         };
-        match prefill::read_prompt(self.node, &demand, prepared, &params).await {
-            ReadingEnd::Read(prompt) => {
+        match prefill::run_prefill(self.node, &demand, prepared, &params).await {
+            PrefillOutcome::Prefilled(prompt) => {
                 if cost == ArrivalCost::Deposit {
                     self.node.with_budget(&self.service, SharedRetryBudget::refund);
                 }
                 Some(prompt)
             }
-            end @ (ReadingEnd::Declined | ReadingEnd::Failed) => {
-                if matches!(end, ReadingEnd::Declined) {
+            end @ (PrefillOutcome::Declined | PrefillOutcome::Failed) => {
+                if matches!(end, PrefillOutcome::Declined) {
                     follow_up.tell(Progress::Declined(reader.runner.clone()));
                 }
                 self.arrivals.on_prefill_not_accepted();
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -9,15 +9,15 @@
 pub mod response_codec;
 pub mod upstream;
 
-pub use pool::{ConnectionPool, TrustedRest};
-pub use response_codec::{AnswerFault, AnswerHead, BodyDecoder};
-pub use upstream::{open_stream, ConnectFailure, ReadFailure, Upstream};
+pub use pool::{ConnectionPool, LearnedIdleLimit};
+pub use response_codec::{BodyDecoder, ResponseDecodeError, ResponseHead};
+pub use upstream::{open_stream, ConnectError, ReadError, Upstream};
 
 /// A header: name in lower case, and value.
 pub type Header = (String, Vec<u8>);
 
 /// Headers that concern one connection only.
-const CONNECTION_HEADERS: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -31,12 +31,12 @@
 
 /// Whether a header concerns one connection only; `named` are those that the connection
 /// header names.
-pub fn is_connection_header(name: &str, named: &[String]) -> bool {
-    CONNECTION_HEADERS.contains(&name) || named.iter().any(|other| other == name)
+pub fn is_hop_by_hop_header(name: &str, options: &[String]) -> bool {
+    HOP_BY_HOP_HEADERS.contains(&name) || options.iter().any(|option| option == name)
 }
 
 /// The headers that a connection header names, in lower case.
-pub fn named_by_connection(headers: &[Header]) -> Vec<String> {
+pub fn connection_options(headers: &[Header]) -> Vec<String> {
     let values = headers.iter().filter(|(name, _)| name == "connection");
     let texts = values.filter_map(|(_, value)| std::str::from_utf8(value).ok());
     texts.flat_map(|text| text.split(',')).map(|name| name.trim().to_ascii_lowercase()).collect()
--- a/crates/gateway/src/http/pool.rs
+++ b/crates/gateway/src/http/pool.rs
@@ -15,58 +15,58 @@
 use std::time::Duration;
 
 /// Idle time after which a connection is not used, if the runner does not say.
-const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Part of a runner's idle limit that is used: it may close a little early, and a request
 /// that crosses its close may or may not run.
-const USED_IDLE_PERCENT: u32 = 70;
+const IDLE_TIMEOUT_USED_PERCENT: u32 = 70;
 /// Most idle connections to one runner.
-const MOST_IDLE: usize = 32;
+const MAX_IDLE_PER_RUNNER: usize = 32;
 
 /// Part of the rest after which a connection was found dead that is trusted from then on.
-const TRUSTED_PERCENT: u32 = 60;
+const LEARNED_LIMIT_PERCENT: u32 = 60;
 /// A connection that has rested shorter is not taken for forgotten: its runner failed.
-const SHORTEST_REST: Duration = Duration::from_millis(60);
+const MIN_STALE_IDLE: Duration = Duration::from_millis(60);
 /// Time in which the trusted rest doubles again.
-const TRUST_DOUBLES_IN: Duration = Duration::from_secs(4);
+const LEARNED_LIMIT_DOUBLING_TIME: Duration = Duration::from_secs(4);
 
 struct IdleConnection {
     connection: Upstream,
     usable_until: Instant,
-    resting_since: Instant,
+    idle_since: Instant,
 }
 
 /// A connection that was kept.
-pub struct KeptConnection {
+pub struct PooledConnection {
     /// The connection.
     pub connection: Upstream,
     /// How long it has rested.
-    pub rested: Duration,
+    pub idle_for: Duration,
 }
 
 /// How long connections can rest, as learned from those that were found dead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TrustedRest {
+pub struct LearnedIdleLimit {
     learned: Option<(Duration, Instant)>,
 }
 
-impl TrustedRest {
+impl LearnedIdleLimit {
     /// A connection that had rested so long was found dead.
-    pub fn on_dead(&mut self, rested: Duration, now: Instant) {
-        if rested < SHORTEST_REST {
+    pub fn on_stale_connection(&mut self, idle_for: Duration, now: Instant) {
+        if idle_for < MIN_STALE_IDLE {
             return;
         }
-        let trusted = (rested * TRUSTED_PERCENT / 100).max(SHORTEST_REST);
-        if self.at(now).is_none_or(|known| trusted < known) {
-            self.learned = Some((trusted, now));
+        let limit = (idle_for * LEARNED_LIMIT_PERCENT / 100).max(MIN_STALE_IDLE);
+        if self.at(now).is_none_or(|known| limit < known) {
+            self.learned = Some((limit, now));
         }
     }
 
     /// The rest that is trusted now; `None`: nothing was learned.
     pub fn at(&self, now: Instant) -> Option<Duration> {
-        let (rest, learned_at) = self.learned?;
+        let (limit, learned_at) = self.learned?;
         let age = now.saturating_duration_since(learned_at);
-        let doublings = age.as_secs_f64() / TRUST_DOUBLES_IN.as_secs_f64();
-        Some(rest.mul_f64(doublings.min(f64::from(u8::MAX)).exp2().min(f64::from(u16::MAX))))
+        let doublings = age.as_secs_f64() / LEARNED_LIMIT_DOUBLING_TIME.as_secs_f64();
+        Some(limit.mul_f64(doublings.min(f64::from(u8::MAX)).exp2().min(f64::from(u16::MAX))))
     }
 }
 
@@ -74,60 +74,67 @@
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<RunnerId, Vec<IdleConnection>>>,
-    trusted: Cell<TrustedRest>,
+    learned_limit: Cell<LearnedIdleLimit>,
 }
 
 impl ConnectionPool {
     /// Takes the connection to a runner that was used last, if one is fit.
-    pub fn take(&self, runner: &RunnerId) -> Option<KeptConnection> {
+    pub fn take(&self, runner: &RunnerId) -> Option<PooledConnection> {
         let now = Instant::now();
-        let trusted = self.trusted.get().at(now);
+        let limit = self.learned_limit.get().at(now);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(runner)?;
         while let Some(last) = connections.pop() {
-            let rested = now.saturating_duration_since(last.resting_since);
-            let is_trusted = trusted.is_none_or(|trusted| rested < trusted);
-            if is_trusted && now < last.usable_until && last.connection.is_reusable() {
-                return Some(KeptConnection { connection: last.connection, rested });
+            let idle_for = now.saturating_duration_since(last.idle_since);
+            let is_within_learned_limit = limit.is_none_or(|limit| idle_for < limit);
+            if is_within_learned_limit && now < last.usable_until && last.connection.is_reusable() {
+                return Some(PooledConnection { connection: last.connection, idle_for });
             }
         }
         None
     }
 
     /// A request that was sent on a kept connection was lost without any answer.
-    pub fn on_dead(&self, rested: Duration) {
-        let mut trusted = self.trusted.get();
-        trusted.on_dead(rested, Instant::now());
-        self.trusted.set(trusted);
+    pub fn on_stale_connection(&self, idle_for: Duration) {
+        let mut learned = self.learned_limit.get();
+        learned.on_stale_connection(idle_for, Instant::now());
+        self.learned_limit.set(learned);
     }
 
     /// Keeps a connection, if it can be used again.
-    pub fn give_back(&self, runner: &RunnerId, connection: Upstream, idle_limit: Option<Duration>) {
+    pub fn put(
+        &self,
+        runner: &RunnerId,
+        connection: Upstream,
+        advertised_timeout: Option<Duration>,
+    ) {
         if !connection.is_reusable() {
             return;
         }
-        let limit = idle_limit.map_or(DEFAULT_IDLE_LIMIT, |it| it * USED_IDLE_PERCENT / 100);
-        let resting_since = Instant::now();
-        let usable_until = resting_since + limit;
+        let idle_timeout = advertised_timeout
+            .map_or(DEFAULT_IDLE_TIMEOUT, |it| it * IDLE_TIMEOUT_USED_PERCENT / 100);
+        let idle_since = Instant::now();
+        let usable_until = idle_since + idle_timeout;
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(runner.clone()).or_default();
-        if connections.len() < MOST_IDLE {
-            connections.push(IdleConnection { connection, usable_until, resting_since });
+        if connections.len() < MAX_IDLE_PER_RUNNER {
+            connections.push(IdleConnection { connection, usable_until, idle_since });
         }
     }
 
     /// Closes the connections to a runner that is gone.
-    pub fn forget(&self, runner: &RunnerId) {
+    pub fn remove_runner(&self, runner: &RunnerId) {
         self.idle.borrow_mut().remove(runner);
     }
 
     /// Closes connections that have rested too long or were closed by the runner.
     pub fn prune(&self) {
         let now = Instant::now();
-        let fit = |idle: &IdleConnection| now < idle.usable_until && idle.connection.is_reusable();
+        let is_usable =
+            |idle: &IdleConnection| now < idle.usable_until && idle.connection.is_reusable();
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
-            connections.retain(fit);
+            connections.retain(is_usable);
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
--- a/crates/gateway/src/http/request.rs
+++ b/crates/gateway/src/http/request.rs
@@ -4,7 +4,7 @@
 
 /// The bytes of a request with a whole body. The headers must name the host and must not
 /// concern the connection.
-pub fn request_bytes(method: &str, target: &str, headers: &[Header], body: &[u8]) -> Vec<u8> {
+pub fn encode_request(method: &str, target: &str, headers: &[Header], body: &[u8]) -> Vec<u8> {
     const USUAL_HEAD_BYTES: usize = 512;
     let mut bytes = Vec::with_capacity(USUAL_HEAD_BYTES + body.len());
     bytes.extend_from_slice(method.as_bytes());
--- a/crates/gateway/src/http/response_codec.rs
+++ b/crates/gateway/src/http/response_codec.rs
@@ -18,19 +18,19 @@
 
 /// What came is no answer in HTTP/1.1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AnswerFault {
+pub enum ResponseDecodeError {
     /// The head cannot be read.
     #[error("the head of the answer cannot be read")]
-    Head,
+    InvalidHead,
     /// The head is too large.
     #[error("the head of the answer is too large")]
     HeadTooLarge,
     /// The length is told twice, or in two ways, or is no number.
     #[error("the length of the answer is not told clearly")]
-    Length,
+    InvalidLength,
     /// A chunk cannot be read.
     #[error("a chunk of the answer cannot be read")]
-    Chunk,
+    InvalidChunk,
 }
 
 /// How the end of a body is told.
@@ -46,7 +46,7 @@
 
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status.
     pub status: u16,
     /// Headers in order.
@@ -56,16 +56,16 @@
     /// Whether the connection may be used again.
     pub keep_alive: bool,
     /// For how long the other side keeps an idle connection, if it says so.
-    pub idle_limit: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Headers as text names and bytes.
     pub fn header_pairs(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    fn text(&self, wanted: &str) -> Option<&str> {
+    fn header_text(&self, wanted: &str) -> Option<&str> {
         let (_, value) = self.headers.iter().find(|(name, _)| name == wanted)?;
         std::str::from_utf8(value).ok().map(str::trim)
     }
@@ -73,17 +73,21 @@
 
 /// Decodes heads, passing over interim answers (1xx).
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerHeadDecoder;
+pub struct ResponseHeadDecoder;
 
-impl Decoder for AnswerHeadDecoder {
-    type Item = AnswerHead;
-    type Error = AnswerFault;
+impl Decoder for ResponseHeadDecoder {
+    type Item = ResponseHead;
+    type Error = ResponseDecodeError;
 
-    fn decode(&self, source: &mut BytesMut) -> Result<Option<AnswerHead>, AnswerFault> {
+    fn decode(&self, source: &mut BytesMut) -> Result<Option<ResponseHead>, ResponseDecodeError> {
         loop {
             let Some((length, head)) = parse_head(source)? else {
-                let too_large = source.len() > MAX_HEAD_BYTES;
-                return if too_large { Err(AnswerFault::HeadTooLarge) } else { Ok(None) };
+                let is_too_large = source.len() > MAX_HEAD_BYTES;
+                return if is_too_large {
+                    Err(ResponseDecodeError::HeadTooLarge)
+                } else {
+                    Ok(None)
+                };
             };
             source.advance_to(length);
             if head.status >= 200 {
@@ -93,61 +97,62 @@
     }
 }
 
-fn parse_head(source: &[u8]) -> Result<Option<(usize, AnswerHead)>, AnswerFault> {
+fn parse_head(source: &[u8]) -> Result<Option<(usize, ResponseHead)>, ResponseDecodeError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut answer = httparse::Response::new(&mut headers);
-    let parsed = answer.parse(source).map_err(|_| AnswerFault::Head)?;
+    let mut response = httparse::Response::new(&mut headers);
+    let parsed = response.parse(source).map_err(|_| ResponseDecodeError::InvalidHead)?;
     let httparse::Status::Complete(length) = parsed else { return Ok(None) };
-    let status = answer.code.ok_or(AnswerFault::Head)?;
-    let own =
+    let status = response.code.ok_or(ResponseDecodeError::InvalidHead)?;
+    let to_owned_header =
         |header: &httparse::Header<'_>| (header.name.to_ascii_lowercase(), header.value.to_vec());
-    let mut head = AnswerHead {
+    let mut head = ResponseHead {
         status,
-        headers: answer.headers.iter().map(own).collect(),
+        headers: response.headers.iter().map(to_owned_header).collect(),
         framing: Framing::UntilClose,
-        keep_alive: answer.version == Some(1),
-        idle_limit: None,
+        keep_alive: response.version == Some(1),
+        idle_timeout: None,
     };
     head.framing = framing_of(&head)?;
     read_connection_headers(&mut head);
     Ok(Some((length, head)))
 }
 
-fn framing_of(head: &AnswerHead) -> Result<Framing, AnswerFault> {
+fn framing_of(head: &ResponseHead) -> Result<Framing, ResponseDecodeError> {
     if matches!(head.status, 100..=199 | 204 | 304) {
         return Ok(Framing::Length(0));
     }
     let lengths: Vec<&Header> =
         head.headers.iter().filter(|(name, _)| name == "content-length").collect();
-    let coding = head.text("transfer-encoding");
+    let coding = head.header_text("transfer-encoding");
     match (coding, lengths.as_slice()) {
         (Some(coding), []) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
         (None, []) => Ok(Framing::UntilClose),
         (None, [(_, value)]) => {
-            let text = std::str::from_utf8(value).map_err(|_| AnswerFault::Length)?.trim();
-            let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-            if !digits {
-                return Err(AnswerFault::Length);
+            let text =
+                std::str::from_utf8(value).map_err(|_| ResponseDecodeError::InvalidLength)?.trim();
+            let is_decimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+            if !is_decimal {
+                return Err(ResponseDecodeError::InvalidLength);
             }
-            text.parse().map(Framing::Length).map_err(|_| AnswerFault::Length)
+            text.parse().map(Framing::Length).map_err(|_| ResponseDecodeError::InvalidLength)
         }
-        _ => Err(AnswerFault::Length),
+        _ => Err(ResponseDecodeError::InvalidLength),
     }
 }
 
-fn read_connection_headers(head: &mut AnswerHead) {
-    if let Some(connection) = head.text("connection") {
-        let says = |wanted: &str| {
+fn read_connection_headers(head: &mut ResponseHead) {
+    if let Some(connection) = head.header_text("connection") {
+        let has_option = |wanted: &str| {
             connection.split(',').any(|word| word.trim().eq_ignore_ascii_case(wanted))
         };
-        head.keep_alive = !says("close") && (head.keep_alive || says("keep-alive"));
+        head.keep_alive = !has_option("close") && (head.keep_alive || has_option("keep-alive"));
     }
     head.keep_alive &= head.framing != Framing::UntilClose;
-    let seconds = head.text("keep-alive").and_then(|text| {
+    let seconds = head.header_text("keep-alive").and_then(|text| {
         let parameter = text.split(',').find_map(|word| word.trim().strip_prefix("timeout="));
         parameter.and_then(|seconds| seconds.trim().parse::<u64>().ok())
     });
-    head.idle_limit = seconds.map(Duration::from_secs);
+    head.idle_timeout = seconds.map(Duration::from_secs);
 }
 
 /// A piece of a body.
@@ -200,17 +205,17 @@
 
 impl Decoder for BodyDecoder {
     type Item = BodyItem;
-    type Error = AnswerFault;
+    type Error = ResponseDecodeError;
 
-    fn decode(&self, source: &mut BytesMut) -> Result<Option<BodyItem>, AnswerFault> {
+    fn decode(&self, source: &mut BytesMut) -> Result<Option<BodyItem>, ResponseDecodeError> {
         match self.state.get() {
             BodyState::Length(0) => Ok(Some(BodyItem::End)),
-            BodyState::Length(left) => {
-                let bytes = take_up_to(source, left);
-                self.state.set(BodyState::Length(left - bytes.len() as u64));
-                Ok(some_chunk(bytes))
+            BodyState::Length(remaining) => {
+                let bytes = take_up_to(source, remaining);
+                self.state.set(BodyState::Length(remaining - bytes.len() as u64));
+                Ok(non_empty_chunk(bytes))
             }
-            BodyState::UntilClose => Ok(some_chunk(source.split_to(source.len()))),
+            BodyState::UntilClose => Ok(non_empty_chunk(source.split_to(source.len()))),
             BodyState::Chunked(state) => {
                 let (state, item) = decode_chunked(state, source)?;
                 self.state.set(BodyState::Chunked(state));
@@ -220,19 +225,19 @@
     }
 }
 
-fn take_up_to(source: &mut BytesMut, most: u64) -> Bytes {
-    let length = usize::try_from(most).unwrap_or(usize::MAX).min(source.len());
+fn take_up_to(source: &mut BytesMut, max_bytes: u64) -> Bytes {
+    let length = usize::try_from(max_bytes).unwrap_or(usize::MAX).min(source.len());
     source.split_to(length)
 }
 
-fn some_chunk(bytes: Bytes) -> Option<BodyItem> {
+fn non_empty_chunk(bytes: Bytes) -> Option<BodyItem> {
     (!bytes.is_empty()).then_some(BodyItem::Chunk(bytes))
 }
 
 fn decode_chunked(
     mut state: ChunkState,
     source: &mut BytesMut,
-) -> Result<(ChunkState, Option<BodyItem>), AnswerFault> {
+) -> Result<(ChunkState, Option<BodyItem>), ResponseDecodeError> {
     loop {
         state = match state {
             ChunkState::Size => match parse_chunk_size(source)? {
@@ -241,14 +246,14 @@
                 None => return Ok((state, None)),
             },
             ChunkState::Data(0) => ChunkState::DataEnd,
-            ChunkState::Data(left) => {
-                let bytes = take_up_to(source, left);
-                let state = ChunkState::Data(left - bytes.len() as u64);
-                return Ok((state, some_chunk(bytes)));
+            ChunkState::Data(remaining) => {
+                let bytes = take_up_to(source, remaining);
+                let state = ChunkState::Data(remaining - bytes.len() as u64);
+                return Ok((state, non_empty_chunk(bytes)));
             }
             ChunkState::DataEnd => match take_line(source)? {
                 Some(0) => ChunkState::Size,
-                Some(_) => return Err(AnswerFault::Chunk),
+                Some(_) => return Err(ResponseDecodeError::InvalidChunk),
                 None => return Ok((state, None)),
             },
             ChunkState::Trailer => match take_line(source)? {
@@ -261,26 +266,28 @@
     }
 }
 
-fn parse_chunk_size(source: &mut BytesMut) -> Result<Option<u64>, AnswerFault> {
+fn parse_chunk_size(source: &mut BytesMut) -> Result<Option<u64>, ResponseDecodeError> {
     match httparse::parse_chunk_size(source) {
         Ok(httparse::Status::Complete((length, size))) => {
             source.advance_to(length);
             Ok(Some(size))
         }
-        Ok(httparse::Status::Partial) if source.len() > MAX_LINE_BYTES => Err(AnswerFault::Chunk),
+        Ok(httparse::Status::Partial) if source.len() > MAX_LINE_BYTES => {
+            Err(ResponseDecodeError::InvalidChunk)
+        }
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(AnswerFault::Chunk),
+        Err(_) => Err(ResponseDecodeError::InvalidChunk),
     }
 }
 
 /// Takes a line and returns the length of its text; `None` if it is not whole yet.
-fn take_line(source: &mut BytesMut) -> Result<Option<usize>, AnswerFault> {
+fn take_line(source: &mut BytesMut) -> Result<Option<usize>, ResponseDecodeError> {
     let Some(end) = source.iter().position(|byte| *byte == b'\n') else {
-        let too_long = source.len() > MAX_LINE_BYTES;
-        return if too_long { Err(AnswerFault::Chunk) } else { Ok(None) };
+        let is_too_long = source.len() > MAX_LINE_BYTES;
+        return if is_too_long { Err(ResponseDecodeError::InvalidChunk) } else { Ok(None) };
     };
     if end == 0 || source[end - 1] != b'\r' {
-        return Err(AnswerFault::Chunk);
+        return Err(ResponseDecodeError::InvalidChunk);
     }
     source.advance_to(end + 1);
     Ok(Some(end - 1))
--- a/crates/gateway/src/http/upstream.rs
+++ b/crates/gateway/src/http/upstream.rs
@@ -1,6 +1,8 @@
 //! A connection to a runner or to the store.
 
-use super::response_codec::{AnswerFault, AnswerHead, AnswerHeadDecoder, BodyDecoder, BodyItem};
+use super::response_codec::{
+    BodyDecoder, BodyItem, ResponseDecodeError, ResponseHead, ResponseHeadDecoder,
+};
 use ntex::io::{Io, IoConfig};
 use ntex::util::{Bytes, Either};
 use ntex::SharedCfg;
@@ -14,52 +16,55 @@
 /// Written bytes that may wait for a peer that does not read. A request is written as a whole
 /// while its answer is read already, so this is above the largest request.
 const WRITE_BUFFER_BYTES: usize = 64 * 1024 * 1024;
-const WRITE_BUFFER_LOW_BYTES: usize = 1_024;
-const WRITE_BUFFER_CACHE: usize = 16;
+const WRITE_BUFFER_LOW_WATERMARK_BYTES: usize = 1_024;
+const WRITE_BUFFER_CACHE_SIZE: usize = 16;
 /// Bytes that are not acknowledged for this long break the connection: a machine without
 /// power says nothing.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Why there is no connection. Nothing has been sent.
 #[derive(Debug, thiserror::Error)]
-pub enum ConnectFailure {
+pub enum ConnectError {
     /// Nobody answered in time.
     #[error("nobody answered in time")]
     TimedOut,
     /// The system or the other side refused.
     #[error("{0}")]
-    Refused(#[from] std::io::Error),
+    Io(#[from] std::io::Error),
 }
 
-impl ConnectFailure {
+impl ConnectError {
     /// Whether the other side's system said that nobody listens there.
     pub fn is_refused(&self) -> bool {
-        matches!(self, Self::Refused(error) if error.kind() == ErrorKind::ConnectionRefused)
+        matches!(self, Self::Io(error) if error.kind() == ErrorKind::ConnectionRefused)
     }
 }
 
 /// Why an answer could not be read to its end. The request may have run.
 #[derive(Debug, thiserror::Error)]
-pub enum ReadFailure {
+pub enum ReadError {
     /// The other side closed the connection in order.
     #[error("the connection was closed")]
     Closed,
     /// The connection broke.
     #[error("the connection broke: {0}")]
-    Broken(std::io::Error),
+    Io(std::io::Error),
     /// What came is no answer.
     #[error("{0}")]
-    Fault(#[from] AnswerFault),
+    Malformed(#[from] ResponseDecodeError),
 }
 
 /// Opens a stream to another process. Dropping it closes it at once.
-pub async fn open_stream(address: SocketAddr, limit: Duration) -> Result<Io, ConnectFailure> {
-    let stream = timeout(limit, TcpStream::connect(address))
+pub async fn open_stream(
+    address: SocketAddr,
+    connect_timeout: Duration,
+) -> Result<Io, ConnectError> {
+    let stream = timeout(connect_timeout, TcpStream::connect(address))
         .await
-        .map_err(|_| ConnectFailure::TimedOut)??;
+        .map_err(|_| ConnectError::TimedOut)??;
     let stream = stream.into_std()?;
     // A system without this option is served too, only later.
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     Ok(ntex::rt::from_tcp_stream(stream, UPSTREAM_CONFIG.with(Clone::clone))?)
 }
 
@@ -71,32 +76,35 @@
 
 impl Upstream {
     /// Opens a connection.
-    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ConnectFailure> {
-        Ok(Self { io: open_stream(address, limit).await? })
+    pub async fn open(
+        address: SocketAddr,
+        connect_timeout: Duration,
+    ) -> Result<Self, ConnectError> {
+        Ok(Self { io: open_stream(address, connect_timeout).await? })
     }
 
     /// Hands over bytes to be written; does not wait for the other side.
-    pub fn send(&self, bytes: Vec<u8>) -> Result<(), ReadFailure> {
-        self.io.encode_bytes(Bytes::from(bytes)).map_err(ReadFailure::Broken)
+    pub fn send(&self, bytes: Vec<u8>) -> Result<(), ReadError> {
+        self.io.encode_bytes(Bytes::from(bytes)).map_err(ReadError::Io)
     }
 
     /// Reads the head of the next answer.
-    pub async fn read_head(&self) -> Result<AnswerHead, ReadFailure> {
-        match self.io.recv(&AnswerHeadDecoder).await {
+    pub async fn read_head(&self) -> Result<ResponseHead, ReadError> {
+        match self.io.recv(&ResponseHeadDecoder).await {
             Ok(Some(head)) => Ok(head),
-            Ok(None) => Err(ReadFailure::Closed),
-            Err(error) => Err(read_failure(error)),
+            Ok(None) => Err(ReadError::Closed),
+            Err(error) => Err(into_read_error(error)),
         }
     }
 
     /// Reads the next bytes of a body; `None` at its end.
-    pub async fn read_body(&self, decoder: &BodyDecoder) -> Result<Option<Bytes>, ReadFailure> {
+    pub async fn read_body(&self, decoder: &BodyDecoder) -> Result<Option<Bytes>, ReadError> {
         match self.io.recv(decoder).await {
             Ok(Some(BodyItem::Chunk(bytes))) => Ok(Some(bytes)),
             Ok(Some(BodyItem::End)) => Ok(None),
             Ok(None) if decoder.ends_with_connection() => Ok(None),
-            Ok(None) => Err(ReadFailure::Closed),
-            Err(error) => Err(read_failure(error)),
+            Ok(None) => Err(ReadError::Closed),
+            Err(error) => Err(into_read_error(error)),
         }
     }
 
@@ -104,12 +112,12 @@
     pub async fn read_whole_body(
         &self,
         decoder: &BodyDecoder,
-        most: usize,
-    ) -> Result<Vec<u8>, ReadFailure> {
+        max_bytes: usize,
+    ) -> Result<Vec<u8>, ReadError> {
         let mut body = Vec::new();
         while let Some(bytes) = self.read_body(decoder).await? {
-            if body.len() + bytes.len() > most {
-                return Err(ReadFailure::Fault(AnswerFault::Length));
+            if body.len() + bytes.len() > max_bytes {
+                return Err(ReadError::Malformed(ResponseDecodeError::InvalidLength));
             }
             body.extend_from_slice(&bytes);
         }
@@ -131,17 +139,17 @@
     static UPSTREAM_CONFIG: SharedCfg = {
         let io = IoConfig::new().set_write_buf(
             WRITE_BUFFER_BYTES,
-            WRITE_BUFFER_LOW_BYTES,
-            WRITE_BUFFER_CACHE,
+            WRITE_BUFFER_LOW_WATERMARK_BYTES,
+            WRITE_BUFFER_CACHE_SIZE,
         );
         SharedCfg::new("upstream").add(io).into()
     };
 }
 
-fn read_failure(error: Either<AnswerFault, std::io::Error>) -> ReadFailure {
+fn into_read_error(error: Either<ResponseDecodeError, std::io::Error>) -> ReadError {
     match error {
-        Either::Left(fault) => ReadFailure::Fault(fault),
-        Either::Right(error) if error.kind() == ErrorKind::UnexpectedEof => ReadFailure::Closed,
-        Either::Right(error) => ReadFailure::Broken(error),
+        Either::Left(error) => ReadError::Malformed(error),
+        Either::Right(error) if error.kind() == ErrorKind::UnexpectedEof => ReadError::Closed,
+        Either::Right(error) => ReadError::Io(error),
     }
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -3,8 +3,8 @@
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
 use crate::dispatch::Dispatch;
-use crate::http::{is_connection_header, named_by_connection, Header};
-use crate::local_responses::OwnAnswer;
+use crate::http::{connection_options, is_hop_by_hop_header, Header};
+use crate::local_responses::LocalResponse;
 use crate::node::{BodyReservation, Node};
 use crate::policy;
 use ntex::http::Request;
@@ -34,16 +34,16 @@
     /// The body.
     pub body: Vec<u8>,
     /// What matters of it.
-    pub facts: RequestMetadata,
+    pub metadata: RequestMetadata,
     /// When its first byte came.
-    pub received: Instant,
+    pub received_at: Instant,
     identity: OnceCell<RequestIdentity>,
     _reservation: Option<BodyReservation>,
 }
 
 /// An answer of a runner, read whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     /// The status.
     pub status: u16,
     /// Headers for the client.
@@ -54,29 +54,29 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// A runner's answer is to be written.
-    Whole(WholeAnswer),
+    Buffered(BufferedResponse),
     /// An answer of the node's own is to be written.
-    Own(OwnAnswer),
+    Local(LocalResponse),
     /// A stream was written to its end.
     Streamed,
     /// A stream broke off and must be seen to have broken off.
-    Cut,
+    Truncated,
     /// The client has gone.
-    ClientGone,
+    ClientDisconnected,
 }
 
-impl RequestEnd {
+impl RequestOutcome {
     /// Name in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Whole(answer) if answer.status < 300 => "answered",
-            Self::Whole(_) => "runner_failed",
-            Self::Own(answer) => answer.name(),
+            Self::Buffered(response) if response.status < 300 => "answered",
+            Self::Buffered(_) => "runner_failed",
+            Self::Local(response) => response.name(),
             Self::Streamed => "streamed",
-            Self::Cut => "cut",
-            Self::ClientGone => "client_gone",
+            Self::Truncated => "cut",
+            Self::ClientDisconnected => "client_gone",
         }
     }
 }
@@ -86,28 +86,28 @@
     pub fn new(
         head: &Request,
         body: Vec<u8>,
-        received: Instant,
+        received_at: Instant,
         reservation: Option<BodyReservation>,
     ) -> Option<Self> {
-        let pairs = head.headers().iter();
-        let all: Vec<Header> = pairs
+        let entries = head.headers().iter();
+        let all_headers: Vec<Header> = entries
             .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
             .collect();
-        let facts = headers::parse_request(pair_refs(&all)).ok()?;
-        let named = named_by_connection(&all);
-        let host = all.iter().find(|(name, _)| name == "host")?;
+        let metadata = headers::parse_request(header_pairs(&all_headers)).ok()?;
+        let options = connection_options(&all_headers);
+        let host = all_headers.iter().find(|(name, _)| name == "host")?;
         let host = std::str::from_utf8(&host.1).ok()?.to_owned();
-        let end_to_end = |header: &Header| !is_connection_header(&header.0, &named);
+        let end_to_end = |header: &Header| !is_hop_by_hop_header(&header.0, &options);
         let uri = head.uri();
         Some(Self {
             method: head.method().as_str().to_owned(),
             target: uri.path_and_query().map_or("/", |it| it.as_str()).to_owned(),
             path: uri.path().to_owned(),
             host,
-            headers: all.into_iter().filter(end_to_end).collect(),
+            headers: all_headers.into_iter().filter(end_to_end).collect(),
             body,
-            facts,
-            received,
+            metadata,
+            received_at,
             identity: OnceCell::new(),
             _reservation: reservation,
         })
@@ -128,40 +128,49 @@
     }
 }
 
-fn pair_refs(headers: &[Header]) -> impl Iterator<Item = (&str, &[u8])> {
+fn header_pairs(headers: &[Header]) -> impl Iterator<Item = (&str, &[u8])> {
     headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
 }
 
 /// Answers a request; streams are written to `client` while they come.
-pub async fn answer(
+pub async fn handle(
     node: &Rc<Node>,
     request: &ClientRequest,
     client: &ClientConnection,
-) -> RequestEnd {
+) -> RequestOutcome {
     let Some(configuration) = node.configuration() else {
-        return finish(node, request, None, RequestEnd::Own(OwnAnswer::Unconfigured));
+        return finish(node, request, None, RequestOutcome::Local(LocalResponse::Unconfigured));
     };
     if node.is_outdated() {
         // Its route may have been moved or removed, by a version that other nodes have.
-        return finish(node, request, None, RequestEnd::Own(OwnAnswer::Outdated));
+        return finish(node, request, None, RequestOutcome::Local(LocalResponse::Outdated));
     }
-    let Some(route) = route_of(&configuration, request) else {
-        return finish(node, request, None, RequestEnd::Own(without_route(node)));
+    let Some(route) = find_route(&configuration, request) else {
+        return finish(node, request, None, RequestOutcome::Local(no_route_response(node)));
     };
-    let tenant = match access(node, &configuration, &route, request) {
+    let tenant = match authorize_tenant(node, &configuration, &route, request) {
         Ok(tenant) => tenant,
-        Err(answer) => return finish(node, request, Some(&route), RequestEnd::Own(answer)),
+        Err(response) => {
+            return finish(node, request, Some(&route), RequestOutcome::Local(response))
+        }
     };
     let Some(service) = node.next_service(&route) else {
-        return finish(node, request, Some(&route), RequestEnd::Own(OwnAnswer::Refused));
+        return finish(node, request, Some(&route), RequestOutcome::Local(LocalResponse::Refused));
     };
     let priority = tenant.as_ref().and_then(|tenant| tenant.priority).unwrap_or(route.priority);
-    let rules = match policy::rules_for(node, request, priority, &service) {
+    let rules = match policy::placement_rules(node, request, priority, &service) {
         Ok(rules) => rules,
         // A program that fails allows nothing: it may have been about to forbid a zone.
-        Err(_) => return finish(node, request, Some(&route), RequestEnd::Own(OwnAnswer::Refused)),
+        Err(_) => {
+            return finish(
+                node,
+                request,
+                Some(&route),
+                RequestOutcome::Local(LocalResponse::Refused),
+            )
+        }
     };
-    let deadline = request.received + time_allowed(request, &route);
+    let deadline = request.received_at + time_limit(request, &route);
     node.with_budget(&service, SharedRetryBudget::on_request);
     let dispatch = Dispatch::new(node, request, &route, service, rules, &configuration, deadline);
     let dispatch = dispatch.for_tenant(tenant);
@@ -171,31 +180,31 @@
 
 /// Only a node that would know a route says that there is none: the route may have been added by a version
 /// that it has not got yet.
-fn without_route(node: &Node) -> OwnAnswer {
+fn no_route_response(node: &Node) -> LocalResponse {
     match node.configuration_age().is_current(node.key_policy().config_apply_ms) {
-        true => OwnAnswer::NoRoute,
-        false => OwnAnswer::Outdated,
+        true => LocalResponse::NoRoute,
+        false => LocalResponse::Outdated,
     }
 }
 
 /// The tenant for whom a request runs, or why it may not run.
-fn access(
+fn authorize_tenant(
     node: &Node,
     configuration: &Configuration,
     route: &Route,
     request: &ClientRequest,
-) -> Result<Option<Rc<Tenant>>, OwnAnswer> {
-    let credential = request.facts.credential;
-    let (copy, policy) = (node.configuration_age(), node.key_policy());
-    match authorize(&configuration.tenants, route.is_public, credential, copy, policy) {
+) -> Result<Option<Rc<Tenant>>, LocalResponse> {
+    let credential = request.metadata.credential;
+    let (age, policy) = (node.configuration_age(), node.key_policy());
+    match authorize(&configuration.tenants, route.is_public, credential, age, policy) {
         Access::Open => Ok(None),
         Access::Granted(tenant) => Ok(Some(tenant)),
-        Access::Denied => Err(OwnAnswer::Unauthorized),
-        Access::Unverifiable => Err(OwnAnswer::Unverifiable),
+        Access::Denied => Err(LocalResponse::Unauthorized),
+        Access::Unverifiable => Err(LocalResponse::Unverifiable),
     }
 }
 
-fn route_of(configuration: &Configuration, request: &ClientRequest) -> Option<Rc<Route>> {
+fn find_route(configuration: &Configuration, request: &ClientRequest) -> Option<Rc<Route>> {
     let without_port = request.host.split_once(':').map(|(host, _)| host);
     let routes = &configuration.routes;
     routes
@@ -205,8 +214,8 @@
 }
 
 /// The client's deadline or the route's time limit, whichever is shorter.
-fn time_allowed(request: &ClientRequest, route: &Route) -> Duration {
-    let deadline_ms = request.facts.deadline_ms.unwrap_or(route.timeout_ms);
+fn time_limit(request: &ClientRequest, route: &Route) -> Duration {
+    let deadline_ms = request.metadata.deadline_ms.unwrap_or(route.timeout_ms);
     Duration::from_millis(deadline_ms.min(route.timeout_ms))
 }
 
@@ -214,13 +223,13 @@
     node: &Node,
     request: &ClientRequest,
     route: Option<&Route>,
-    end: RequestEnd,
-) -> RequestEnd {
+    end: RequestOutcome,
+) -> RequestOutcome {
     let outcome = end.name();
     node.metrics.on_request(outcome);
-    let id = request.facts.id.as_str();
+    let id = request.metadata.id.as_str();
     let route = route.map_or("", |route| route.name.as_str());
-    let elapsed_ms = u64::try_from(request.received.elapsed().as_millis()).unwrap_or(u64::MAX);
+    let elapsed_ms = u64::try_from(request.received_at.elapsed().as_millis()).unwrap_or(u64::MAX);
     let version = node.configuration().map_or(0, |it| it.version);
     log::info!(target: "request", request = id, route, outcome, elapsed_ms, version; "finished");
     end
--- a/crates/gateway/src/local_responses.rs
+++ b/crates/gateway/src/local_responses.rs
@@ -4,21 +4,21 @@
 use pitchstall_serving::attempt::FinalResponse;
 
 /// Pause for clients that came while no runner could take their request, seconds.
-const REFUSED_PAUSE_S: f64 = 0.25;
+const REFUSED_RETRY_AFTER_S: f64 = 0.25;
 /// Pause for clients that came before the node knew a configuration, seconds.
-const UNCONFIGURED_PAUSE_S: f64 = 0.5;
+const UNCONFIGURED_RETRY_AFTER_S: f64 = 0.5;
 
 /// Pause for clients whose key or route this node cannot verify, seconds: they come to another node
 /// then, which most likely knows.
-const UNVERIFIABLE_PAUSE_S: f64 = 0.1;
+const UNVERIFIABLE_RETRY_AFTER_S: f64 = 0.1;
 
 /// Pause for clients of a tenant whose limit nobody could be asked about, seconds: as with keys.
-const QUOTA_UNKNOWN_PAUSE_S: f64 = 0.1;
-const MILLIS_A_SECOND: f64 = 1_000.0;
+const QUOTA_UNKNOWN_RETRY_AFTER_S: f64 = 0.1;
+const MS_PER_S: f64 = 1_000.0;
 
 /// An answer that no runner gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnAnswer {
+pub enum LocalResponse {
     /// The request cannot be understood.
     BadRequest,
     /// No route takes it.
@@ -30,7 +30,7 @@
     /// This node's configuration is known to be outdated, or too old to tell that there is no route.
     Outdated,
     /// Its head or body took too long to come.
-    TooSlow,
+    RequestTimeout,
     /// Its body is too large.
     BodyTooLarge,
     /// Its head is too large.
@@ -59,9 +59,9 @@
     TimedOut,
 }
 
-impl From<FinalResponse> for OwnAnswer {
-    fn from(answer: FinalResponse) -> Self {
-        match answer {
+impl From<FinalResponse> for LocalResponse {
+    fn from(response: FinalResponse) -> Self {
+        match response {
             FinalResponse::Refuse => Self::Refused,
             FinalResponse::RefusePermanently => Self::Quarantined,
             FinalResponse::RefuseUntil { wait_ms } => Self::LimitUsedUp { wait_ms },
@@ -73,14 +73,14 @@
     }
 }
 
-impl OwnAnswer {
+impl LocalResponse {
     /// The status.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadRequest => StatusCode::BAD_REQUEST,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
-            Self::TooSlow => StatusCode::REQUEST_TIMEOUT,
+            Self::RequestTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::OverQuota { .. } => StatusCode::TOO_MANY_REQUESTS,
@@ -99,12 +99,12 @@
     /// When the client may come back, seconds.
     pub fn retry_after_s(self) -> Option<f64> {
         match self {
-            Self::Refused => Some(REFUSED_PAUSE_S),
-            Self::Unconfigured => Some(UNCONFIGURED_PAUSE_S),
-            Self::Unverifiable | Self::Outdated => Some(UNVERIFIABLE_PAUSE_S),
-            Self::QuotaUnknown => Some(QUOTA_UNKNOWN_PAUSE_S),
+            Self::Refused => Some(REFUSED_RETRY_AFTER_S),
+            Self::Unconfigured => Some(UNCONFIGURED_RETRY_AFTER_S),
+            Self::Unverifiable | Self::Outdated => Some(UNVERIFIABLE_RETRY_AFTER_S),
+            Self::QuotaUnknown => Some(QUOTA_UNKNOWN_RETRY_AFTER_S),
             Self::OverQuota { wait_ms } | Self::LimitUsedUp { wait_ms } => {
-                Some(wait_ms as f64 / MILLIS_A_SECOND)
+                Some(wait_ms as f64 / MS_PER_S)
             }
             _ => None,
         }
@@ -118,7 +118,7 @@
             Self::Unauthorized => "unauthorized",
             Self::Unverifiable => "unverifiable",
             Self::Outdated => "outdated",
-            Self::TooSlow => "too_slow",
+            Self::RequestTimeout => "too_slow",
             Self::BodyTooLarge => "body_too_large",
             Self::HeadTooLarge => "head_too_large",
             Self::Unconfigured => "unconfigured",
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -16,14 +16,14 @@
 use std::time::Duration;
 
 /// Lines of one kind that are written in a second.
-const LINES_A_SECOND: u32 = 200;
+const MAX_LINES_PER_S: u32 = 200;
 /// Lines that may wait to be written.
-const QUEUED_LINES: usize = 4_096;
-const SECOND: Duration = Duration::from_secs(1);
+const MAX_QUEUED_LINES: usize = 4_096;
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Starts the logger. The handle must live as long as the process.
 pub fn start(levels: &str) -> Result<LoggerHandle, FlexiLoggerError> {
-    let (sender, receiver) = sync_channel(QUEUED_LINES);
+    let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     std::thread::spawn(move || write_lines(&receiver));
     let writer = BoundedWriter { sender, limits: Mutex::default() };
     Logger::try_with_str(levels)?.log_to_writer(Box::new(writer)).start()
@@ -38,33 +38,33 @@
 }
 
 /// What one kind of line may still write in its second.
-struct KindLimit {
-    second: Instant,
+struct RateLimit {
+    window_start: Instant,
     written: u32,
-    left_out: u32,
+    dropped: u32,
 }
 
-impl KindLimit {
+impl RateLimit {
     fn new(now: Instant) -> Self {
-        Self { second: now, written: 0, left_out: 0 }
+        Self { window_start: now, written: 0, dropped: 0 }
     }
 
     /// Begins a new second if it is time; returns how many lines the last one left out.
-    fn roll(&mut self, now: Instant) -> u32 {
-        if now.saturating_duration_since(self.second) < SECOND {
+    fn roll_window(&mut self, now: Instant) -> u32 {
+        if now.saturating_duration_since(self.window_start) < RATE_WINDOW {
             return 0;
         }
-        let left_out = self.left_out;
+        let dropped = self.dropped;
         *self = Self::new(now);
-        left_out
+        dropped
     }
 
     fn admit(&mut self) -> bool {
-        let admitted = self.written < LINES_A_SECOND;
+        let admitted = self.written < MAX_LINES_PER_S;
         if admitted {
             self.written += 1;
         } else {
-            self.left_out += 1;
+            self.dropped += 1;
         }
         admitted
     }
@@ -72,7 +72,7 @@
 
 struct BoundedWriter {
     sender: SyncSender<String>,
-    limits: Mutex<HashMap<(String, String), KindLimit>>,
+    limits: Mutex<HashMap<(String, String), RateLimit>>,
 }
 
 impl BoundedWriter {
@@ -81,16 +81,16 @@
         let now = Instant::now();
         let Ok(mut limits) = self.limits.lock() else { return (false, 0) };
         let kind = (target.to_owned(), event.to_owned());
-        let limit = limits.entry(kind).or_insert_with(|| KindLimit::new(now));
-        let left_out = limit.roll(now);
-        (limit.admit(), left_out)
+        let limit = limits.entry(kind).or_insert_with(|| RateLimit::new(now));
+        let dropped = limit.roll_window(now);
+        (limit.admit(), dropped)
     }
 }
 
 impl LogWriter for BoundedWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record) -> std::io::Result<()> {
         let event = record.args().to_string();
-        let (admitted, left_out) = self.admit(record.target(), &event);
+        let (admitted, dropped) = self.admit(record.target(), &event);
         if !admitted {
             return Ok(());
         }
@@ -99,10 +99,10 @@
         line.insert("level".to_owned(), record.level().as_str().into());
         line.insert("kind".to_owned(), record.target().into());
         line.insert("event".to_owned(), event.into());
-        if left_out > 0 {
-            line.insert("left_out_before".to_owned(), left_out.into());
+        if dropped > 0 {
+            line.insert("left_out_before".to_owned(), dropped.into());
         }
-        line.extend(fields_of(record).0);
+        line.extend(fields(record).0);
         let mut text = serde_json::Value::Object(line).to_string();
         text.push('\n');
         // A full queue loses the line: the node must not wait for its logs.
@@ -129,7 +129,7 @@
     }
 }
 
-fn fields_of(record: &Record<'_>) -> Fields {
+fn fields(record: &Record<'_>) -> Fields {
     let mut fields = Fields(serde_json::Map::new());
     // A field that cannot be shown is left out.
     let _ = record.key_values().visit(&mut fields);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -24,7 +24,7 @@
 
 /// Labels of a request that left its region.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct LeavingLabels {
+pub struct CrossRegionLabels {
     /// Why.
     pub reason: &'static str,
 }
@@ -55,7 +55,7 @@
     /// Retries that the budget did not allow.
     pub retries_denied: Counter,
     /// Requests that were under way at a runner when it ended.
-    pub requests_under_ended_runners: Counter,
+    pub requests_on_crashed_runners: Counter,
     /// Requests that went into quarantine, as far as this node knows.
     pub quarantines: Counter,
     /// Streams that went on at another runner.
@@ -63,9 +63,9 @@
     /// Connections opened to runners.
     pub connections: Counter,
     /// Requests that a scheduler has placed.
-    pub placements_told: Counter,
+    pub placements: Counter,
     /// Choices of schedulers that were made again, as the runner takes nothing from this node.
-    pub placements_dropped: Counter,
+    pub placements_rejected: Counter,
     /// What runners have said of themselves in answers, once for each time that it was new.
     pub runner_notices: Family<NoticeLabels, Counter>,
     /// Attempts sent to runners that had said that they take none: always 0.
@@ -75,15 +75,15 @@
     /// Requests that went elsewhere, as a runner's limit was used up.
     pub limit_refusals: Counter,
     /// Requests that went elsewhere, as no keeper of a runner's limit answered.
-    pub limit_unanswered: Counter,
+    pub limit_timeouts: Counter,
     /// Datagrams that this program can't read: of a later or an earlier build, or damaged.
-    pub unread_words: Counter,
+    pub unreadable_datagrams: Counter,
     /// Requests whose scheduler did not answer soon.
-    pub placements_missed: Counter,
+    pub placement_timeouts: Counter,
     /// Questions that were handed on to another shard's scheduler.
-    pub placements_handed_on: Counter,
+    pub placements_forwarded: Counter,
     /// Requests for which another region's scheduler was asked.
-    pub left_region: Family<LeavingLabels, Counter>,
+    pub cross_region_requests: Family<CrossRegionLabels, Counter>,
     /// Tenants' limits.
     pub quota: QuotaFigures,
     /// Calls to the store.
@@ -93,7 +93,7 @@
     /// Revisions of entries of the store that could not be used.
     pub refused_entries: Family<EntryLabels, Counter>,
     /// Time for which other nodes have told of a configuration that this one has not got, seconds.
-    pub configuration_behind: Gauge<f64, AtomicU64>,
+    pub configuration_lag: Gauge<f64, AtomicU64>,
     /// The era of the store that this node goes by.
     pub store_era: Gauge<f64, AtomicU64>,
     /// Calls of duties that one node does for all.
@@ -113,26 +113,26 @@
             attempts: Counter::default(),
             retries: Counter::default(),
             retries_denied: Counter::default(),
-            requests_under_ended_runners: Counter::default(),
+            requests_on_crashed_runners: Counter::default(),
             quarantines: Counter::default(),
             resumes: Counter::default(),
             connections: Counter::default(),
-            placements_told: Counter::default(),
-            placements_dropped: Counter::default(),
+            placements: Counter::default(),
+            placements_rejected: Counter::default(),
             runner_notices: Family::default(),
             unwanted_attempts: Counter::default(),
             limit_grants: Counter::default(),
             limit_refusals: Counter::default(),
-            limit_unanswered: Counter::default(),
-            unread_words: Counter::default(),
-            placements_missed: Counter::default(),
-            placements_handed_on: Counter::default(),
-            left_region: Family::default(),
+            limit_timeouts: Counter::default(),
+            unreadable_datagrams: Counter::default(),
+            placement_timeouts: Counter::default(),
+            placements_forwarded: Counter::default(),
+            cross_region_requests: Family::default(),
             quota: QuotaFigures::default(),
             store_calls: Counter::default(),
             store_failures: Counter::default(),
             refused_entries: Family::default(),
-            configuration_behind: Gauge::default(),
+            configuration_lag: Gauge::default(),
             store_era: Gauge::default(),
             cloud_calls: Counter::default(),
             first_byte: Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS)),
@@ -152,16 +152,16 @@
             (
                 "requests_under_ended_runners",
                 "Requests under way at a runner when it ended",
-                &self.requests_under_ended_runners,
+                &self.requests_on_crashed_runners,
             ),
             ("quarantines", "Requests that went into quarantine", &self.quarantines),
             ("resumes", "Streams that went on at another runner", &self.resumes),
             ("connections", "Connections opened to runners", &self.connections),
-            ("placements_told", "Requests that a scheduler has placed", &self.placements_told),
+            ("placements_told", "Requests that a scheduler has placed", &self.placements),
             (
                 "placements_dropped",
                 "Choices of schedulers that were made again",
-                &self.placements_dropped,
+                &self.placements_rejected,
             ),
             (
                 "unwanted_attempts",
@@ -177,18 +177,22 @@
             (
                 "limit_unanswered",
                 "Requests that went elsewhere as no keeper of a runner's limit answered",
-                &self.limit_unanswered,
+                &self.limit_timeouts,
+            ),
+            (
+                "words_unread",
+                "Datagrams of other nodes that cannot be read",
+                &self.unreadable_datagrams,
             ),
-            ("words_unread", "Datagrams of other nodes that cannot be read", &self.unread_words),
             (
                 "placements_missed",
                 "Requests whose scheduler did not answer soon",
-                &self.placements_missed,
+                &self.placement_timeouts,
             ),
             (
                 "placements_handed_on",
                 "Questions handed on to another scheduler",
-                &self.placements_handed_on,
+                &self.placements_forwarded,
             ),
             ("store_calls", "Calls to the store", &self.store_calls),
             ("store_failures", "Calls to the store that failed", &self.store_failures),
@@ -200,8 +204,12 @@
         self.quota.register(&mut self.registry);
         let requests = self.requests.clone();
         self.registry.register("requests", "Finished requests by outcome", requests);
-        let left_region = self.left_region.clone();
-        self.registry.register("left_region", "Requests that left their region", left_region);
+        let cross_region_requests = self.cross_region_requests.clone();
+        self.registry.register(
+            "left_region",
+            "Requests that left their region",
+            cross_region_requests,
+        );
         let runner_notices = self.runner_notices.clone();
         let help = "What runners have newly said of themselves in answers";
         self.registry.register("runner_notices", help, runner_notices);
@@ -210,8 +218,8 @@
         self.registry.register("entries_refused", help, refused_entries);
         let help =
             "Time for which others have told of a configuration that is not in force here, seconds";
-        let configuration_behind = self.configuration_behind.clone();
-        self.registry.register("configuration_behind_seconds", help, configuration_behind);
+        let configuration_lag = self.configuration_lag.clone();
+        self.registry.register("configuration_behind_seconds", help, configuration_lag);
         let help = "Era of the store that this node goes by";
         self.registry.register("store_era", help, self.store_era.clone());
         let first_byte = self.first_byte.clone();
@@ -230,13 +238,15 @@
     }
 
     /// Counts what a runner has said of itself.
-    pub fn on_notice(&self, notice: &'static str) {
+    pub fn on_runner_notice(&self, notice: &'static str) {
         self.runner_notices.get_or_create(&NoticeLabels { notice }).inc();
     }
 
     /// Counts a request that left its region.
-    pub fn on_left_region(&self, reason: CrossRegionReason) {
-        self.left_region.get_or_create(&LeavingLabels { reason: reason.name() }).inc();
+    pub fn on_cross_region_request(&self, reason: CrossRegionReason) {
+        self.cross_region_requests
+            .get_or_create(&CrossRegionLabels { reason: reason.name() })
+            .inc();
     }
 
     /// All metrics as text.
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -8,9 +8,9 @@
 
 use crate::clock::Instant;
 use crate::compression::{decompress, CompressedUpdate};
-use crate::http::{open_stream, ConnectFailure};
+use crate::http::{open_stream, ConnectError};
 use crate::json_lines::{read_line, read_piece, write_bytes, write_line, LineFailure};
-use crate::listener::{accept, stream_of};
+use crate::listener::{accept, into_ntex_io};
 use crate::node::Node;
 use crate::transfer::{Transfer, LONGEST_TRANSFER, STALLED_LIMIT};
 use ntex::io::Io;
@@ -55,7 +55,7 @@
             log::warn!(target: "mirror", most = MOST_FOLLOWERS; "no room for a follower");
             continue;
         }
-        let Some(io) = stream_of(stream, config.clone()) else { continue };
+        let Some(io) = into_ntex_io(stream, config.clone()) else { continue };
         let (node, follower, compressed) = (node.clone(), followers.clone(), compressed.clone());
         ntex::rt::spawn(async move {
             serve_follower(&io, &node, &compressed).await;
@@ -142,7 +142,7 @@
 pub enum MirrorFailure {
     /// The node cannot be reached.
     #[error("the node cannot be reached: {0}")]
-    Unreachable(#[from] ConnectFailure),
+    Unreachable(#[from] ConnectError),
     /// The exchange failed.
     #[error(transparent)]
     Line(#[from] LineFailure),
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -53,7 +53,7 @@
     /// come again at any of them a few milliseconds later.
     fn on_under_ended(&self, runner: &RunnerId, under_way: &[RequestIdentity]) {
         let requests = under_way.len();
-        self.metrics.requests_under_ended_runners.inc_by(requests as u64);
+        self.metrics.requests_on_crashed_runners.inc_by(requests as u64);
         let named = under_way.iter().take(IDENTITIES_LOGGED).map(ToString::to_string);
         let identities = named.collect::<Vec<_>>().join(" ");
         log::warn!(target: "crash", runner = runner.as_str(), requests, identities; "runner ended");
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -1,7 +1,7 @@
 //! What a node takes in of its runners: entries of the store, and signs of life.
 
 use super::Node;
-use crate::http::AnswerHead;
+use crate::http::ResponseHead;
 use pitchstall_platform_adapter::headers;
 use pitchstall_serving::fleet::FleetChange;
 use pitchstall_serving::ids::{RunnerId, RunnerName};
@@ -106,7 +106,7 @@
 
     /// A runner is gone, by an entry or a list of the given revision, or because its entry has not come back.
     fn on_runner_left(&self, id: &RunnerId, revision: Option<StoreRevision>, is_planned: bool) {
-        self.pool.forget(id);
+        self.pool.remove_runner(id);
         if is_planned {
             self.on_runner_left_as_planned(id);
         } else {
@@ -121,14 +121,14 @@
     pub fn on_other_life(&self, runner: &RunnerId, born_ms: Option<u64>) {
         let born_ms = born_ms.unwrap_or_default();
         log::info!(target: "fleet", runner = runner.as_str(), born_ms; "another life answered");
-        self.pool.forget(runner);
+        self.pool.remove_runner(runner);
         self.fleet.borrow_mut().on_misdirected(runner);
         self.on_runner_ended(runner);
     }
 
     /// Reads the head of a runner's answer, and takes in what the runner says of itself there. Whatever becomes of the
     /// request, the word holds: the store may hear of it many seconds later, or never.
-    pub fn on_answer_head(&self, runner: &RunnerId, head: &AnswerHead) -> ResponseMetadata {
+    pub fn on_answer_head(&self, runner: &RunnerId, head: &ResponseHead) -> ResponseMetadata {
         let facts = headers::parse_answer(head.status, head.header_pairs());
         self.on_unknown_words(runner, &facts.unknown_headers);
         if facts.is_about(runner) {
@@ -143,7 +143,7 @@
             if self.unknown_words.borrow_mut().note(name) {
                 log::warn!(target: "fleet", runner = runner.as_str(), header = name.as_str(); "unknown word of a runner");
             }
-            self.metrics.on_notice("unknown");
+            self.metrics.on_runner_notice("unknown");
         }
     }
 
@@ -155,16 +155,16 @@
         let learned = self.fleet.borrow_mut().on_notice(runner, notice, self.now_us());
         let runner = runner.as_str();
         if learned.leaving {
-            self.metrics.on_notice("leaving");
+            self.metrics.on_runner_notice("leaving");
             log::info!(target: "fleet", runner; "leaves by its own word");
         }
         if let Some(rest_us) = learned.rest_us {
-            self.metrics.on_notice("rest");
+            self.metrics.on_runner_notice("rest");
             let rest_ms = rest_us / MICROS_PER_MILLI;
             log::info!(target: "fleet", runner, rest_ms; "rests by its own word");
         }
         if notice.malformed {
-            self.metrics.on_notice("malformed");
+            self.metrics.on_runner_notice("malformed");
         }
     }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -110,7 +110,7 @@
                 Ok(word) => self.on_word(word, from),
                 // A later build may say what this one does not know; nothing else is lost by it.
                 Err(error) => {
-                    self.node.metrics.unread_words.inc();
+                    self.node.metrics.unreadable_datagrams.inc();
                     let (error, from) = (error.to_string(), from.to_string());
                     log::warn!(target: "peers", from, error; "unreadable word");
                 }
--- a/crates/gateway/src/platform_client.rs
+++ b/crates/gateway/src/platform_client.rs
@@ -3,8 +3,8 @@
 //! After a failure the connection is dropped: once an answer is lost on a connection, nothing
 //! more comes on it.
 
-use crate::http::request::request_bytes;
-use crate::http::{AnswerHead, BodyDecoder, ConnectFailure, ReadFailure, Upstream};
+use crate::http::request::encode_request;
+use crate::http::{BodyDecoder, ConnectError, ReadError, ResponseHead, Upstream};
 use crate::transfer::{read_body, Transfer, TransferFailure};
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store::{parse_era, EraError};
@@ -24,10 +24,10 @@
 pub enum PlatformFailure {
     /// No connection could be made.
     #[error("the platform cannot be reached: {0}")]
-    Unreachable(#[from] ConnectFailure),
+    Unreachable(#[from] ConnectError),
     /// The connection failed.
     #[error("the platform did not answer: {0}")]
-    Unanswered(#[from] ReadFailure),
+    Unanswered(#[from] ReadError),
     /// Nothing came in time.
     #[error("the platform did not answer in time")]
     TimedOut,
@@ -91,13 +91,13 @@
     connection: &Upstream,
     address: SocketAddr,
     call: &PlatformCall,
-) -> Result<AnswerHead, ReadFailure> {
+) -> Result<ResponseHead, ReadError> {
     let mut headers = vec![("host".to_owned(), address.to_string().into_bytes())];
     let own = call.headers.iter();
     headers.extend(own.map(|(name, value)| ((*name).to_owned(), value.clone().into_bytes())));
     if !call.body.is_empty() {
         headers.push(("content-type".to_owned(), b"application/json".to_vec()));
     }
-    connection.send(request_bytes(call.method, &call.target, &headers, &call.body))?;
+    connection.send(encode_request(call.method, &call.target, &headers, &call.body))?;
     connection.read_head().await
 }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -40,7 +40,7 @@
 }
 
 /// What the program in force decides for a request that has a rank without it.
-pub fn rules_for(
+pub fn placement_rules(
     node: &Node,
     request: &ClientRequest,
     priority: u8,
@@ -50,7 +50,7 @@
         return Ok(PlacementRules { zones: None, priority });
     };
     let zones = node.fleet.borrow().zones_of(service);
-    let prompt = request.facts.prompt.as_ref();
+    let prompt = request.metadata.prompt.as_ref();
     let input = PolicyInput {
         host: &request.host,
         service,
@@ -61,7 +61,7 @@
         priority: u32::from(priority),
     };
     let decision = program.engine.run(&program.policy, &input).inspect_err(|error| {
-        let (id, error) = (request.facts.id.as_str(), error.to_string());
+        let (id, error) = (request.metadata.id.as_str(), error.to_string());
         log::warn!(target: "policy", request = id, error; "failed");
     })?;
     let decided = decision.priority.map(|decided| u8::try_from(decided).unwrap_or(u8::MAX));
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -3,7 +3,7 @@
 use crate::attempt::{self, AttemptEnd, AttemptParams, Prepared};
 use crate::broken_attempt::{on_broken, BrokenAttempt};
 use crate::clock::Instant;
-use crate::http::request::request_bytes;
+use crate::http::request::encode_request;
 use crate::http::Upstream;
 use crate::intake::ClientRequest;
 use crate::node::Node;
@@ -19,50 +19,50 @@
 use tokio::time::timeout;
 
 /// Time to free a handle. One that is not freed lapses by itself.
-const FREE_LIMIT: Duration = Duration::from_millis(1_000);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The KV cache of a prompt that was read. Freed when dropped, unless it was taken.
-pub struct ReadPrompt {
+pub struct PrefilledPrompt {
     /// The handle.
     pub handle: KvHandle,
     /// Zone of the runner that keeps it.
     pub zone: ZoneId,
     runner: RunnerId,
-    taken: Cell<bool>,
+    is_transferred: Cell<bool>,
 }
 
-impl ReadPrompt {
+impl PrefilledPrompt {
     /// A decode runner has taken it over.
-    pub fn on_taken(&self) {
-        self.taken.set(true);
+    pub fn mark_transferred(&self) {
+        self.is_transferred.set(true);
     }
 }
 
-impl Drop for ReadPrompt {
+impl Drop for PrefilledPrompt {
     fn drop(&mut self) {
-        if !self.taken.get() {
+        if !self.is_transferred.get() {
             let name = self.handle.name.clone();
-            ntex::rt::spawn(free(self.handle.address, name, self.runner.clone()));
+            ntex::rt::spawn(release_handle(self.handle.address, name, self.runner.clone()));
         }
     }
 }
 
-async fn free(address: std::net::SocketAddr, name: String, runner: RunnerId) {
+async fn release_handle(address: std::net::SocketAddr, name: String, runner: RunnerId) {
     let exchange = async {
-        let connection = Upstream::open(address, FREE_LIMIT).await.ok()?;
+        let connection = Upstream::open(address, RELEASE_TIMEOUT).await.ok()?;
         let headers = [("host".to_owned(), address.to_string().into_bytes())];
         let target = paths::free_handle(&name);
-        connection.send(request_bytes("DELETE", &target, &headers, &[])).ok()?;
+        connection.send(encode_request("DELETE", &target, &headers, &[])).ok()?;
         connection.read_head().await.ok()
     };
-    let freed = matches!(timeout(FREE_LIMIT, exchange).await, Ok(Some(_)));
+    let freed = matches!(timeout(RELEASE_TIMEOUT, exchange).await, Ok(Some(_)));
     log::info!(target: "reading", runner = runner.as_str(), handle = name, freed; "handle freed");
 }
 
 /// How the reading of a prompt ended.
-pub enum ReadingEnd {
+pub enum PrefillOutcome {
     /// It was read.
-    Read(ReadPrompt),
+    Prefilled(PrefilledPrompt),
     /// The runner declined it.
     Declined,
     /// It failed; reading may be repeated.
@@ -70,7 +70,7 @@
 }
 
 /// The request whose prompt is to be read.
-pub struct ReadingDemand<'a> {
+pub struct PrefillRequest<'a> {
     /// The request.
     pub request: &'a ClientRequest,
     /// Its service.
@@ -82,46 +82,52 @@
 }
 
 /// Sends a request to be read only.
-pub async fn read_prompt(
+pub async fn run_prefill(
     node: &Rc<Node>,
-    demand: &ReadingDemand<'_>,
+    demand: &PrefillRequest<'_>,
     prepared: Prepared,
     params: &AttemptParams,
-) -> ReadingEnd {
-    let begun = Instant::now();
+) -> PrefillOutcome {
+    let started_at = Instant::now();
     let runner = prepared.record().id.clone();
     let tokens = demand.choice.prefill_tokens();
     let was_unqueued = node.has_nothing_else_to_read(&runner, tokens);
     let answering = match attempt::send(node, demand.request, prepared, params).await {
         AttemptEnd::Answering(answering) => answering,
-        AttemptEnd::Declined => return ReadingEnd::Declined,
-        AttemptEnd::Silent | AttemptEnd::Lost => return ReadingEnd::Failed,
+        AttemptEnd::Declined => return PrefillOutcome::Declined,
+        AttemptEnd::Silent | AttemptEnd::Lost => return PrefillOutcome::Failed,
     };
-    let answer = match timeout(params.head_limit, answering.read_whole()).await {
-        Ok(Ok(answer)) => answer,
+    let response = match timeout(params.head_limit, answering.read_whole()).await {
+        Ok(Ok(response)) => response,
         Ok(Err(error)) => {
-            let (request, error) = (demand.request.facts.id.as_str(), error.to_string());
+            let (request, error) = (demand.request.metadata.id.as_str(), error.to_string());
             log::info!(target: "reading", request, runner = runner.as_str(), error; "broken off");
             let tenant = params.tenant.as_ref();
             let broken = BrokenAttempt { request: demand.request, tenant, runner: &runner };
             on_broken(node, broken);
-            return ReadingEnd::Failed;
+            return PrefillOutcome::Failed;
         }
-        Err(_) => return ReadingEnd::Failed,
+        Err(_) => return PrefillOutcome::Failed,
     };
-    let read = if answer.status == 200 { paths::parse_prompt_read(&answer.body) } else { None };
-    let Some(read) = read else { return ReadingEnd::Failed };
+    let prefill_result =
+        if response.status == 200 { paths::parse_prompt_read(&response.body) } else { None };
+    let Some(prefill_result) = prefill_result else { return PrefillOutcome::Failed };
     // The handle holds whichever life has given it; what else is believed of this one is over.
-    match runner.matches_start(read.born_ms) {
+    match runner.matches_start(prefill_result.born_ms) {
         true => node.on_parts_held(&runner, demand.prompt.shared_prefix()),
-        false => node.on_other_life(&runner, read.born_ms),
+        false => node.on_other_life(&runner, prefill_result.born_ms),
     }
-    let name = read.what;
-    let elapsed_ms = begun.elapsed().as_secs_f64() * 1_000.0;
+    let name = prefill_result.what;
+    let elapsed_ms = started_at.elapsed().as_secs_f64() * 1_000.0;
     let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
     node.on_read_in(demand.service, &runner, sample);
     let handle = KvHandle { address: answering.record.address, name };
     let zone = answering.record.zone.clone();
     answering.give_back(node);
-    ReadingEnd::Read(ReadPrompt { handle, zone, runner, taken: Cell::new(false) })
+    PrefillOutcome::Prefilled(PrefilledPrompt {
+        handle,
+        zone,
+        runner,
+        is_transferred: Cell::new(false),
+    })
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt::Answering;
 use crate::clock::Instant;
-use crate::connection::{ClientConnection, ClientGone};
+use crate::connection::{ClientConnection, ClientDisconnected};
 use crate::http::Header;
 use pitchstall_serving::event_stream::{EventAction, EventDeduplicator, EventSplitter};
 use std::time::Duration;
@@ -11,9 +11,9 @@
 /// Where a stream stands towards its client, over all of its runs.
 pub struct StreamState {
     /// Joins the runs.
-    pub join: EventDeduplicator,
+    pub deduplicator: EventDeduplicator,
     /// Whether the client has the head.
-    pub begun: bool,
+    pub is_head_sent: bool,
     /// When the client got the last event.
     pub last_event_at: Option<Instant>,
 }
@@ -21,23 +21,27 @@
 impl StreamState {
     /// A stream of which the client has what it says it has.
     pub fn new(last_event_id: Option<u64>) -> Self {
-        Self { join: EventDeduplicator::after(last_event_id), begun: false, last_event_at: None }
+        Self {
+            deduplicator: EventDeduplicator::after(last_event_id),
+            is_head_sent: false,
+            last_event_at: None,
+        }
     }
 }
 
 /// How a run of a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RelayEnd {
+pub enum RelayOutcome {
     /// As its framing tells: whole.
     Complete,
     /// The runner broke it off.
-    Broken,
+    ConnectionLost,
     /// Nothing has come for the longest pause; the run may go on all the same.
-    Silent,
+    Stalled,
     /// The request's time is up.
-    OutOfTime,
+    DeadlineExceeded,
     /// The client has gone.
-    ClientGone,
+    ClientDisconnected,
 }
 
 /// Time limits of a run.
@@ -46,7 +50,7 @@
     /// When the request's time is up.
     pub deadline: Instant,
     /// Longest pause between events before the run counts as silent.
-    pub pause: Duration,
+    pub max_pause: Duration,
 }
 
 /// Forwards one run of a stream. Only whole events pass, so that another run can follow. What is left
@@ -57,23 +61,23 @@
     state: &mut StreamState,
     splitter: &mut EventSplitter,
     limits: RelayLimits,
-) -> RelayEnd {
+) -> RelayOutcome {
     let headers = answering.client_headers();
     loop {
-        let left = limits.deadline.saturating_duration_since(Instant::now());
-        let read = match timeout(left.min(limits.pause), answering.read()).await {
-            Ok(read) => read,
-            Err(_) if left <= limits.pause => return RelayEnd::OutOfTime,
-            Err(_) => return RelayEnd::Silent,
+        let remaining = limits.deadline.saturating_duration_since(Instant::now());
+        let result = match timeout(remaining.min(limits.max_pause), answering.read()).await {
+            Ok(result) => result,
+            Err(_) if remaining <= limits.max_pause => return RelayOutcome::DeadlineExceeded,
+            Err(_) => return RelayOutcome::Stalled,
         };
         answering.flight.on_progress();
-        let forwarded = match read {
+        let forwarded = match result {
             Ok(Some(bytes)) => forward(&bytes, splitter, client, state, &headers).await,
-            Ok(None) => return end(answering, splitter, client, state, &headers).await,
-            Err(_) => return RelayEnd::Broken,
+            Ok(None) => return finish(answering, splitter, client, state, &headers).await,
+            Err(_) => return RelayOutcome::ConnectionLost,
         };
         if forwarded.is_err() {
-            return RelayEnd::ClientGone;
+            return RelayOutcome::ClientDisconnected;
         }
     }
 }
@@ -84,56 +88,56 @@
     client: &ClientConnection,
     state: &mut StreamState,
     headers: &[Header],
-) -> Result<(), ClientGone> {
-    let mut ready = Vec::new();
+) -> Result<(), ClientDisconnected> {
+    let mut outgoing_bytes = Vec::new();
     for event in splitter.push(bytes) {
-        if state.join.on_event(&event) == EventAction::Forward {
-            ready.extend_from_slice(&event.bytes);
+        if state.deduplicator.on_event(&event) == EventAction::Forward {
+            outgoing_bytes.extend_from_slice(&event.bytes);
         }
     }
-    if ready.is_empty() {
+    if outgoing_bytes.is_empty() {
         return Ok(());
     }
-    begin(client, state, headers)?;
+    begin_response(client, state, headers)?;
     state.last_event_at = Some(Instant::now());
-    client.write_chunk(ready).await
+    client.write_chunk(outgoing_bytes).await
 }
 
-fn begin(
+fn begin_response(
     client: &ClientConnection,
     state: &mut StreamState,
     headers: &[Header],
-) -> Result<(), ClientGone> {
+) -> Result<(), ClientDisconnected> {
     const OK: u16 = 200;
-    if !state.begun {
+    if !state.is_head_sent {
         client.begin_stream(OK, headers)?;
-        state.begun = true;
+        state.is_head_sent = true;
     }
     Ok(())
 }
 
 /// The body has ended. Without a length, the end of the connection is also what a runner that
 /// stops in the middle of an event leaves behind.
-async fn end(
+async fn finish(
     answering: &Answering,
     splitter: &EventSplitter,
     client: &ClientConnection,
     state: &mut StreamState,
     headers: &[Header],
-) -> RelayEnd {
-    let rest = splitter.pending();
-    if !rest.is_empty() && answering.ends_with_connection() {
-        return RelayEnd::Broken;
+) -> RelayOutcome {
+    let incomplete_event = splitter.pending();
+    if !incomplete_event.is_empty() && answering.ends_with_connection() {
+        return RelayOutcome::ConnectionLost;
     }
     let written = async {
-        begin(client, state, headers)?;
-        if !rest.is_empty() {
-            client.write_chunk(rest.to_vec()).await?;
+        begin_response(client, state, headers)?;
+        if !incomplete_event.is_empty() {
+            client.write_chunk(incomplete_event.to_vec()).await?;
         }
         client.end_stream().await
     };
     match written.await {
-        Ok(()) => RelayEnd::Complete,
-        Err(ClientGone) => RelayEnd::ClientGone,
+        Ok(()) => RelayOutcome::Complete,
+        Err(ClientDisconnected) => RelayOutcome::ClientDisconnected,
     }
 }
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -5,7 +5,7 @@
 //! answered may be carried out later: nothing else is ordered for a time.
 
 use crate::authority::{roles_holding, roles_subject, Holding};
-use crate::http::request::request_bytes;
+use crate::http::request::encode_request;
 use crate::http::{BodyDecoder, Header, Upstream};
 use crate::node::Node;
 use pitchstall_platform_adapter::headers;
@@ -226,7 +226,7 @@
             all.push(("content-type".to_owned(), b"application/json".to_vec()));
         }
         let sent_at_us = node.now_us();
-        connection.send(request_bytes(method, target, &all, body)).ok()?;
+        connection.send(encode_request(method, target, &all, body)).ok()?;
         let head = connection.read_head().await.ok()?;
         let facts = node.on_answer_head(&record.id, &head);
         node.on_limit_in_head(&record.id, &facts, sent_at_us);
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -121,7 +121,7 @@
             SHORTEST_WAIT_US
         }
         Some(LimitVerdict::NotKeeper) | None => {
-            node.metrics.limit_unanswered.inc();
+            node.metrics.limit_timeouts.inc();
             NOBODY_PAUSE_US
         }
     };
@@ -327,12 +327,12 @@
         let runner = runner.as_str();
         match change {
             LimitChange::Set(limit) => {
-                self.metrics.on_notice("limit");
+                self.metrics.on_runner_notice("limit");
                 let limit = limit.to_string();
                 log::info!(target: "limit", runner, limit, source; "named");
             }
             LimitChange::Lifted => {
-                self.metrics.on_notice("limit lifted");
+                self.metrics.on_runner_notice("limit lifted");
                 log::info!(target: "limit", runner, source; "lifted");
             }
         }
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -169,7 +169,7 @@
     let (request, reason) = (demand.request, elsewhere.reason.name());
     let (from, to) = (node.region().to_string(), elsewhere.region.as_str());
     log::info!(target: "scheduling", request, from, to, reason; "leaves its region");
-    node.metrics.on_left_region(elsewhere.reason);
+    node.metrics.on_cross_region_request(elsewhere.reason);
     let shard = shard_in(node, demand, &elsewhere.region);
     match ask(node, demand, &shard, true).await {
         Told::Plan(placement) => placement,
@@ -198,7 +198,7 @@
     let follow_up_to = |address| FollowUp { node: node.clone(), placed: Some((address, ticket)) };
     let Ok(Ok((answer, from))) = answer else {
         log_missed(demand.request, &scheduler, shard);
-        node.metrics.placements_missed.inc();
+        node.metrics.placement_timeouts.inc();
         if node.scheduling.missed.on_missed(&scheduler, node.now_us()) {
             log::info!(target: "scheduling", scheduler = scheduler.as_str(); "passed over");
         }
@@ -210,7 +210,7 @@
         measure(node, &scheduler, took);
     }
     log_told(demand.request, &scheduler, shard, &answer, took);
-    node.metrics.placements_told.inc();
+    node.metrics.placements.inc();
     node.scheduling.missed.on_answered(&scheduler);
     if let Some(elsewhere) = answer.elsewhere {
         return Told::Elsewhere(elsewhere);
@@ -282,7 +282,7 @@
 fn is_usable(node: &Node, choice: &RunnerChoice) -> bool {
     let accepts_work = node.accepts_work(&choice.runner);
     if !accepts_work {
-        node.metrics.placements_dropped.inc();
+        node.metrics.placements_rejected.inc();
         log::info!(target: "scheduling", runner = choice.runner.as_str(); "choice dropped");
     }
     accepts_work
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -138,7 +138,7 @@
 }
 
 /// Windows that are shorter could not be told apart by clocks of different machines.
-const SHORTEST_WINDOW_S: f64 = 0.1;
+const MIN_WINDOW_S: f64 = 0.1;
 
 /// When usage is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
@@ -201,17 +201,17 @@
     /// File descriptors for this process.
     pub file_descriptors: u64,
     /// Share of a processor for this process, in cores.
-    #[serde(default = "whole_core")]
+    #[serde(default = "default_processor_share")]
     pub processor_share: f64,
 }
 
 impl Default for MachineSection {
     fn default() -> Self {
-        Self { memory_mb: 256, file_descriptors: 1_024, processor_share: whole_core() }
+        Self { memory_mb: 256, file_descriptors: 1_024, processor_share: default_processor_share() }
     }
 }
 
-fn whole_core() -> f64 {
+fn default_processor_share() -> f64 {
     1.0
 }
 
@@ -290,7 +290,7 @@
             path: path.to_owned(),
             cause: Box::new(cause),
         })?;
-        match settings.first_problem() {
+        match settings.first_invalid_value() {
             Some((field, expected)) => {
                 Err(SettingsError::Value { path: path.to_owned(), field, expected })
             }
@@ -298,7 +298,7 @@
         }
     }
 
-    fn first_problem(&self) -> Option<(&'static str, &'static str)> {
+    fn first_invalid_value(&self) -> Option<(&'static str, &'static str)> {
         let bounds = &self.bounds;
         let usage = self.cloud.as_ref().and_then(|cloud| cloud.usage);
         let checks = [
@@ -314,7 +314,7 @@
                 "a time, as revoke_strict is set",
             ),
             (
-                usage.is_none_or(|it| it.window_s >= SHORTEST_WINDOW_S),
+                usage.is_none_or(|it| it.window_s >= MIN_WINDOW_S),
                 "cloud.usage.window_s",
                 "0.1 or more",
             ),
@@ -336,7 +336,7 @@
                 "the name of a region for each zone",
             ),
             (
-                (SHORTEST_WINDOW_S..=3_600.0).contains(&self.quota.window_s),
+                (MIN_WINDOW_S..=3_600.0).contains(&self.quota.window_s),
                 "quota.window_s",
                 "0.1 to 3600",
             ),
@@ -346,7 +346,7 @@
             (self.machine.processor_share > 0.0, "machine.processor_share", "more than 0"),
             (!self.log.levels.is_empty(), "log.levels", "a level"),
         ];
-        let problem = checks.into_iter().find(|(holds, _, _)| !holds);
-        problem.map(|(_, field, expected)| (field, expected))
+        let invalid = checks.into_iter().find(|(holds, _, _)| !holds);
+        invalid.map(|(_, field, expected)| (field, expected))
     }
 }
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::peer_words::PeerWord;
 use crate::runner_limits;
-use crate::runner_probe::verify;
+use crate::runner_probe::probe;
 use crate::scheduling::{choose_here, elsewhere, named, scheduler_of, PlacementDemand};
 use pitchstall_serving::fleet::{Eligible, Scope, Sender};
 use pitchstall_serving::ids::{RegionId, RunnerId, ZoneId};
@@ -69,7 +69,7 @@
         let (from, to) = (question.shard.number, shard.number);
         let region = shard.region.as_str();
         log::info!(target: "scheduling", request = question.request.as_str(), region, from, to; "handed on");
-        node.metrics.placements_handed_on.inc();
+        node.metrics.placements_forwarded.inc();
         question.shard = shard;
         question.is_forwarded = true;
         node.scheduling.socket.send(&PeerWord::Question(question), &[address]);
@@ -146,7 +146,7 @@
             }
         }
         Progress::Declined(runner) => node.fleet.borrow_mut().on_full(runner, now_us),
-        Progress::Unreachable(runner) => verify(node, runner, now_us),
+        Progress::Unreachable(runner) => probe(node, runner, now_us),
         Progress::Ended => reservations.end(&mut node.fleet.borrow_mut(), word.ticket),
     }
 }
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -7,7 +7,7 @@
 //! ever has it whole.
 
 use crate::clock::Instant;
-use crate::http::{AnswerFault, BodyDecoder, ReadFailure, Upstream};
+use crate::http::{BodyDecoder, ReadError, ResponseDecodeError, Upstream};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -25,7 +25,7 @@
 pub enum TransferFailure {
     /// The connection failed.
     #[error(transparent)]
-    Read(#[from] ReadFailure),
+    Read(#[from] ReadError),
     /// It went no further.
     #[error("the answer went no further after {received} bytes")]
     Stalled {
@@ -84,7 +84,7 @@
             let next = timeout(STALLED_LIMIT, connection.read_body(decoder));
             let Some(bytes) = next.await.map_err(|_| stalled())?? else { return Ok(body) };
             if body.len() + bytes.len() > most {
-                return Err(ReadFailure::Fault(AnswerFault::Length).into());
+                return Err(ReadError::Malformed(ResponseDecodeError::InvalidLength).into());
             }
             body.extend_from_slice(&bytes);
             transfer.on_received(bytes.len());
--- a/crates/gateway/tests/authority.rs
+++ b/crates/gateway/tests/authority.rs
@@ -6,7 +6,7 @@
 use pitchstall_platform_standins::http::ReceivedRequest;
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
 use std::time::Duration;
-use support::{configuration, json_answer, prefill_runner, runner_entry, wait_for, Fixture};
+use support::{configuration, json_response, prefill_runner, runner_entry, wait_for, Fixture};
 use test_case::test_case;
 
 fn orders(runner: &RunnerStandIn) -> Vec<ReceivedRequest> {
@@ -94,8 +94,8 @@
 fn node_with_reports(report: &'static str) -> (Fixture, [RunnerStandIn; 2]) {
     let start = |id| {
         let script = move |request: &ReceivedRequest| match request.target.as_str() {
-            "/v1/report" => json_answer(report),
-            "/v1/kv-list" => json_answer(r#"{"epoch":"e","next_token":0,"held":[]}"#),
+            "/v1/report" => json_response(report),
+            "/v1/kv-list" => json_response(r#"{"epoch":"e","next_token":0,"held":[]}"#),
             _ => Reaction::Answer { status: 202, body: Vec::new() },
         };
         RunnerStandIn::start(id, script).unwrap()
--- a/crates/gateway/tests/connection_pool.rs
+++ b/crates/gateway/tests/connection_pool.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use pitchstall_gateway::clock::Instant;
-use pitchstall_gateway::http::TrustedRest;
+use pitchstall_gateway::http::LearnedIdleLimit;
 use pitchstall_platform_standins::runner::{signed_answer, Reaction, RunnerStandIn};
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -14,31 +14,31 @@
 const MILLI: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_dead_connection_shortens_the_trusted_rest_which_grows_again() {
+fn a_stale_connection_lowers_the_idle_limit_which_grows_again() {
     let now = Instant::now();
-    let mut trusted = TrustedRest::default();
-    assert_eq!(trusted.at(now), None);
-    trusted.on_dead(500 * MILLI, now);
-    assert_eq!(trusted.at(now), Some(300 * MILLI));
-    trusted.on_dead(400 * MILLI, now);
-    assert_eq!(trusted.at(now), Some(240 * MILLI));
-    trusted.on_dead(900 * MILLI, now);
-    assert_eq!(trusted.at(now), Some(240 * MILLI), "a longer rest teaches nothing new");
-    let later = trusted.at(now + Duration::from_secs(4)).unwrap();
+    let mut limit = LearnedIdleLimit::default();
+    assert_eq!(limit.at(now), None);
+    limit.on_stale_connection(500 * MILLI, now);
+    assert_eq!(limit.at(now), Some(300 * MILLI));
+    limit.on_stale_connection(400 * MILLI, now);
+    assert_eq!(limit.at(now), Some(240 * MILLI));
+    limit.on_stale_connection(900 * MILLI, now);
+    assert_eq!(limit.at(now), Some(240 * MILLI), "a longer rest teaches nothing new");
+    let later = limit.at(now + Duration::from_secs(4)).unwrap();
     assert!((470 * MILLI..490 * MILLI).contains(&later), "{later:?}");
-    assert!(trusted.at(now + Duration::from_secs(4_000)).unwrap() > Duration::from_secs(10));
+    assert!(limit.at(now + Duration::from_secs(4_000)).unwrap() > Duration::from_secs(10));
 }
 
 #[test]
-fn a_connection_that_hardly_rested_is_not_taken_for_forgotten() {
-    let mut trusted = TrustedRest::default();
-    trusted.on_dead(20 * MILLI, Instant::now());
-    assert_eq!(trusted.at(Instant::now()), None);
+fn a_connection_idle_only_briefly_does_not_count_as_stale() {
+    let mut limit = LearnedIdleLimit::default();
+    limit.on_stale_connection(20 * MILLI, Instant::now());
+    assert_eq!(limit.at(Instant::now()), None);
 }
 
 /// The runner answers the first request of each connection and resets it at the next.
 #[test]
-fn after_one_forgotten_connection_no_other_request_is_sent_on_one_that_rested() {
+fn after_one_stale_connection_no_request_uses_another_idle_one() {
     let known = Mutex::new(HashSet::new());
     let runner = RunnerStandIn::start("i-desk", move |request| {
         if known.lock().unwrap().insert(request.connection) {
@@ -50,14 +50,14 @@
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut statuses = Vec::new();
     // Each rest is longer than the one before it, however slow this machine is.
-    let mut rest = 200 * MILLI;
+    let mut idle_time = 200 * MILLI;
     for number in 0..5 {
         let mut client = node.client();
         client.request("POST", "/booking/1", &format!("id-{number}"), "", b"a booking");
-        statuses.push(client.read_answer().status);
+        statuses.push(client.read_response().status);
         let began = Instant::now();
-        std::thread::sleep(rest);
-        rest = began.elapsed() * 3 / 2;
+        std::thread::sleep(idle_time);
+        idle_time = began.elapsed() * 3 / 2;
     }
     // The second is lost: it may have run. The others go on new connections.
     assert_eq!(statuses, [200, 502, 200, 200, 200]);
--- a/crates/gateway/tests/foreign_entries.rs
+++ b/crates/gateway/tests/foreign_entries.rs
@@ -19,7 +19,7 @@
 fn ask(node: &Fixture) -> (u16, String) {
     let mut client = node.client();
     client.request("GET", "/lookup/1", "id", "", b"");
-    let answer = client.read_answer();
+    let answer = client.read_response();
     (answer.status, answer.text())
 }
 
@@ -38,7 +38,7 @@
     write(&node.store, &good);
     wait_for("the runner not to be used", || ask(&node).0 == 503);
     assert_eq!(refused(&node, "runners"), 1);
-    let reader = node.start_beside("node-2");
+    let reader = node.start_peer("node-2");
     reader.wait_until_ready();
     assert_eq!(ask(&reader).0, 503, "nor by a node that reads everything");
     node.add_runner(&good, "desk", None);
@@ -129,7 +129,7 @@
     store.put("op/config", &configuration(3));
     store.put("servers/i-good", &runner_entry(&good, "desk", "north", "ready"));
     let nodes: Vec<Fixture> = ["node-1", "node-2", "node-3"]
-        .map(|name| Fixture::start_before(store.clone(), name))
+        .map(|name| Fixture::start_with_store(store.clone(), name))
         .into();
     for node in &nodes {
         wait_for("the good entry", || ask(node) == (200, "i-good".to_owned()));
@@ -149,7 +149,7 @@
         wait_for("the changed configuration", || {
             let mut client = node.client();
             client.request("GET", "/added/1", "id", "", b"");
-            client.read_answer().status == 200
+            client.read_response().status == 200
         });
         assert!(refused(node, "runners") > 0);
     }
@@ -163,6 +163,6 @@
     node.store.put_bytes("op/config", b"\xff{");
     wait_for("it to be refused", || refused(&node, "configuration") == 1);
     assert_eq!(ask(&node), (200, "i-good".to_owned()));
-    let other = node.start_beside("node-2");
+    let other = node.start_peer("node-2");
     wait_for("another node to get the one in force", || ask(&other) == (200, "i-good".to_owned()));
 }
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn a_request_passes_unchanged_and_its_answer_too() {
+fn a_request_and_its_response_pass_unchanged() {
     let runner = desk(|_| ok("booked"));
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
     let extra = "X-Pitchstall-Deadline-Ms: 3000\r\nX-Own: 1\r\nX-Own: 2\r\n";
     client.request("POST", "/booking/a%20b?x=1&y", "id-1", extra, b"a booking");
-    let answer = client.read_answer();
-    assert_eq!((answer.status, answer.text().as_str()), (200, "booked"));
-    assert_eq!(answer.header("x-pitchstall-server-stamp"), Some("stamp"));
-    assert_eq!(answer.header("x-pitchstall-request-id"), Some("id-1"));
-    assert_eq!(answer.header("x-pitchstall-load-report"), None);
+    let response = client.read_response();
+    assert_eq!((response.status, response.text().as_str()), (200, "booked"));
+    assert_eq!(response.header("x-pitchstall-server-stamp"), Some("stamp"));
+    assert_eq!(response.header("x-pitchstall-request-id"), Some("id-1"));
+    assert_eq!(response.header("x-pitchstall-load-report"), None);
     let received = &runner.requests()[0];
     assert_eq!(received.target, "/booking/a%20b?x=1&y");
     assert_eq!(received.body, b"a booking");
@@ -46,18 +46,18 @@
 }
 
 #[test]
-fn a_body_in_chunks_arrives_whole() {
+fn a_chunked_body_arrives_complete() {
     let runner = desk(|_| ok("booked"));
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
     client.request("POST", "/booking/1", "id-1", "Transfer-Encoding: chunked\r\n", b"");
     client.send(b"3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n");
-    assert_eq!(client.read_answer().status, 200);
+    assert_eq!(client.read_response().status, 200);
     assert_eq!(runner.requests()[0].body, b"abcdefg");
 }
 
 #[test]
-fn headers_of_the_system_cannot_be_forged() {
+fn clients_cannot_forge_internal_headers() {
     let runner = desk(|_| ok("booked"));
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
@@ -67,7 +67,7 @@
         X-Pitchstall-Kv-Backup: 1.2.3.4:5\r\nX-Pitchstall-Expect-Version: 9\r\n\
         Connection: keep-alive, X-Secret\r\nX-Secret: 1\r\n";
     client.request("POST", "/booking/1", "id-1", forged, b"x");
-    assert_eq!(client.read_answer().status, 200);
+    assert_eq!(client.read_response().status, 200);
     let received = &runner.requests()[0];
     assert_eq!(received.header("x-pitchstall-expect-instance"), Some("i-desk"));
     for name in [
@@ -106,23 +106,23 @@
     if status == 413 {
         client.send(&[b'x'; 70_000]);
     }
-    assert_eq!(client.read_answer().status, status);
+    assert_eq!(client.read_response().status, status);
     assert!(runner.requests().is_empty());
 }
 
 #[test]
-fn a_head_over_the_limit_is_refused() {
+fn a_head_over_the_size_limit_is_rejected() {
     let runner = desk(|_| ok("booked"));
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
     let long = format!("X-Long: {}\r\n", "x".repeat(9_000));
     client.request("POST", "/booking/1", "id-1", &long, b"");
-    assert_eq!(client.read_answer().status, 431);
+    assert_eq!(client.read_response().status, 431);
     assert!(runner.requests().is_empty());
 }
 
 #[test]
-fn a_request_that_was_declined_goes_to_another_runner() {
+fn a_declined_request_goes_to_another_runner() {
     let full = RunnerStandIn::start("i-full", |_| Reaction::Decline).unwrap();
     let moved = RunnerStandIn::start("i-moved", |_| Reaction::Misdirected).unwrap();
     let free = RunnerStandIn::start("i-free", |_| ok("booked")).unwrap();
@@ -134,10 +134,10 @@
     for number in 0..6 {
         let mut client = node.client();
         client.request("POST", "/booking/1", &format!("id-{number}"), "", b"x");
-        let answer = client.read_answer();
+        let response = client.read_response();
         // The budget is earned by requests, so a refusal may come before it allows a retry.
-        assert!(matches!(answer.status, 200 | 503), "{}", answer.status);
-        assert_eq!(answer.status == 503, answer.header("retry-after").is_some());
+        assert!(matches!(response.status, 200 | 503), "{}", response.status);
+        assert_eq!(response.status == 503, response.header("retry-after").is_some());
     }
     assert!(!free.requests().is_empty());
 }
@@ -148,7 +148,7 @@
 #[test_case(Reaction::RawThenClose(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhal".to_vec()); "not signed and cut")]
 #[test_case(Reaction::Raw(answer_bytes(200, &[], b"whose?")); "a success without a signature")]
 #[test_case(Reaction::Raw(answer_bytes(503, &[], b"")); "a refusal that promises nothing")]
-fn what_may_have_run_is_not_repeated_and_not_called_refused(reaction: Reaction) {
+fn a_request_that_may_have_run_is_neither_retried_nor_reported_as_refused(reaction: Reaction) {
     let runs = std::sync::Arc::new(AtomicUsize::new(0));
     let counted = runs.clone();
     let script = move |_: &ReceivedRequest| {
@@ -160,12 +160,12 @@
     let node = Fixture::with_runners(&[(&one, "desk", None), (&two, "desk", None)]);
     let mut client = node.client();
     client.request("POST", "/booking/1", "id-1", "", b"x");
-    assert_eq!(client.read_answer().status, 502);
+    assert_eq!(client.read_response().status, 502);
     assert_eq!(runs.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn half_an_answer_is_not_passed_as_whole() {
+fn a_truncated_response_is_not_forwarded() {
     let runner = desk(|request| {
         let whole = signed_answer(request, 200, b"a whole answer");
         Reaction::RawThenReset(whole[..whole.len() - 5].to_vec())
@@ -173,30 +173,30 @@
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
     client.request("POST", "/booking/1", "id-1", "", b"x");
-    let answer = client.read_answer();
-    assert_eq!((answer.status, answer.text().as_str()), (502, ""));
+    let response = client.read_response();
+    assert_eq!((response.status, response.text().as_str()), (502, ""));
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_only_if_its_connection_ends_in_order() {
+fn a_response_without_a_length_is_complete_only_after_an_orderly_close() {
     let runner = desk(|request| {
-        let answer = [stream_head(request, ""), b"all of it".to_vec()].concat();
+        let response = [stream_head(request, ""), b"all of it".to_vec()].concat();
         match request.path() {
-            "/booking/closed" => Reaction::RawThenClose(answer),
-            _ => Reaction::RawThenReset(answer),
+            "/booking/closed" => Reaction::RawThenClose(response),
+            _ => Reaction::RawThenReset(response),
         }
     });
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
     client.request("POST", "/booking/closed", "id-1", "", b"x");
-    let answer = client.read_answer();
-    assert_eq!((answer.status, answer.text().as_str()), (200, "all of it"));
+    let response = client.read_response();
+    assert_eq!((response.status, response.text().as_str()), (200, "all of it"));
     client.request("POST", "/booking/reset", "id-2", "", b"x");
-    assert_eq!(client.read_answer().status, 502);
+    assert_eq!(client.read_response().status, 502);
 }
 
 #[test]
-fn a_surplus_answer_never_reaches_another_request() {
+fn a_surplus_response_never_reaches_another_request() {
     let runner = desk(|request| {
         let own = signed_answer(request, 200, b"own");
         let surplus = signed_answer(request, 200, b"surplus");
@@ -207,15 +207,15 @@
     for number in 0..5 {
         let id = format!("id-{number}");
         client.request("GET", "/lookup/1", &id, "", b"");
-        let answer = client.read_answer();
-        assert_eq!(answer.status, 200);
-        assert_eq!(answer.header("x-pitchstall-request-id"), Some(id.as_str()));
-        assert_eq!(answer.text(), "own");
+        let response = client.read_response();
+        assert_eq!(response.status, 200);
+        assert_eq!(response.header("x-pitchstall-request-id"), Some(id.as_str()));
+        assert_eq!(response.text(), "own");
     }
 }
 
 #[test]
-fn a_surplus_answer_that_comes_late_is_passed_over() {
+fn a_late_surplus_response_is_skipped() {
     let runner = desk(|request| {
         if request.path() == "/lookup/second" {
             let late = signed_answer(
@@ -233,27 +233,27 @@
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
     client.request("GET", "/lookup/first", "id-1", "", b"");
-    assert_eq!(client.read_answer().text(), "first");
+    assert_eq!(client.read_response().text(), "first");
     client.request("GET", "/lookup/second", "id-2", "", b"");
-    let answer = client.read_answer();
-    assert_eq!(answer.header("x-pitchstall-request-id"), Some("id-2"));
-    assert_eq!(answer.text(), "own");
+    let response = client.read_response();
+    assert_eq!(response.header("x-pitchstall-request-id"), Some("id-2"));
+    assert_eq!(response.text(), "own");
 }
 
 #[test]
-fn an_early_answer_leaves_no_bytes_of_the_body_to_the_next_request() {
+fn an_early_response_leaves_no_body_bytes_for_the_next_request() {
     let runner = desk(|_| ok("early"));
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
     for number in 0..4 {
         client.request("POST", "/booking/1", &format!("id-{number}"), "", &[b'x'; 60_000]);
-        assert_eq!(client.read_answer().status, 200);
+        assert_eq!(client.read_response().status, 200);
     }
     assert!(runner.requests().iter().all(|request| request.body.len() == 60_000));
 }
 
 #[test]
-fn a_runner_that_closes_after_an_answer_gets_the_next_request_on_a_new_connection() {
+fn a_runner_that_closes_after_a_response_gets_the_next_request_on_a_new_connection() {
     let runner = desk(|request| {
         let signed = signed_answer(request, 200, b"booked");
         let text = String::from_utf8(signed).unwrap();
@@ -264,28 +264,28 @@
     let mut client = node.client();
     for number in 0..3 {
         client.request("POST", "/booking/1", &format!("id-{number}"), "", b"a booking");
-        let answer = client.read_answer();
-        assert_eq!((answer.status, answer.text().as_str()), (200, "booked"));
+        let response = client.read_response();
+        assert_eq!((response.status, response.text().as_str()), (200, "booked"));
     }
     assert_eq!(runner.requests().len(), 3);
 }
 
 #[test]
-fn a_repeatable_request_is_tried_at_another_runner() {
+fn an_idempotent_request_is_retried_on_another_runner() {
     let bad = RunnerStandIn::start("i-bad", |_| Reaction::RawThenClose(Vec::new())).unwrap();
     let good = RunnerStandIn::start("i-good", |_| ok("found")).unwrap();
     let node = Fixture::with_runners(&[(&bad, "desk", None), (&good, "desk", None)]);
     let mut client = node.client();
     for number in 0..4 {
         client.request("GET", "/lookup/1", &format!("id-{number}"), "", b"");
-        let answer = client.read_answer();
-        assert!(matches!(answer.status, 200 | 502), "{}", answer.status);
+        let response = client.read_response();
+        assert!(matches!(response.status, 200 | 502), "{}", response.status);
     }
     assert!(!good.requests().is_empty());
 }
 
 #[test]
-fn a_client_that_leaves_stops_its_runner() {
+fn a_client_disconnect_stops_the_runner() {
     let runner = desk(|_| Reaction::Silent);
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
@@ -296,29 +296,29 @@
 }
 
 #[test]
-fn a_request_whose_time_is_up_gets_its_final_answer() {
+fn a_request_past_its_deadline_gets_a_gateway_timeout() {
     let runner = desk(|_| Reaction::Silent);
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut client = node.client();
     client.request("POST", "/booking/1", "id-1", "X-Pitchstall-Deadline-Ms: 200\r\n", b"x");
-    assert_eq!(client.read_answer().status, 504);
+    assert_eq!(client.read_response().status, 504);
     wait_for("the runner's connection to be closed", || runner.closed_early() == 1);
 }
 
 #[test]
-fn a_stream_passes_whole() {
+fn a_stream_is_forwarded_completely() {
     let runner = desk(|request| Reaction::Stream(EventStream::whole(request, 20)));
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
     let mut client = node.client();
     client.request("POST", "/draft/1", "id-1", "", b"x");
-    let answer = client.read_answer();
-    assert!(answer.complete);
-    assert_eq!(answer.text(), events(0..=20));
-    assert_eq!(answer.header("x-pitchstall-server-stamp"), Some("stamp"));
+    let response = client.read_response();
+    assert!(response.complete);
+    assert_eq!(response.text(), events(0..=20));
+    assert_eq!(response.header("x-pitchstall-server-stamp"), Some("stamp"));
 }
 
 #[test]
-fn a_stream_that_breaks_off_is_seen_to_break_off() {
+fn a_broken_stream_is_visibly_truncated() {
     let runner = desk(|request| {
         let whole = EventStream::whole(request, 20);
         Reaction::Stream(EventStream { breaks_after: Some(4), ..whole })
@@ -326,9 +326,9 @@
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
     let mut client = node.client();
     client.request("POST", "/draft/1", "id-1", "", b"x");
-    let answer = client.read_answer();
-    assert!(!answer.complete);
-    assert_eq!(answer.text(), events(0..=4), "only whole events pass");
+    let response = client.read_response();
+    assert!(!response.complete);
+    assert_eq!(response.text(), events(0..=4), "only whole events pass");
     assert!(client.is_closed_by_node());
     // The node may also have asked the runner what it keeps; that is no run.
     let is_run = |request: &&ReceivedRequest| request.header("x-pitchstall-request-id").is_some();
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn a_stream_that_may_be_resumed_goes_on_at_another_runner() {
+fn a_resumable_stream_continues_on_another_runner() {
     let breaking = |request: &ReceivedRequest| {
         let whole = EventStream::whole(request, 9);
         let breaks_after = if request.header("last-event-id").is_none() { Some(4) } else { None };
@@ -351,12 +351,12 @@
     for number in 0..3 {
         let id = format!("earn-{number}");
         client.request("POST", "/summary/1", &id, "Last-Event-Id: 8\r\n", b"x");
-        assert_eq!(client.read_answer().text(), events(9..=9));
+        assert_eq!(client.read_response().text(), events(9..=9));
     }
     client.request("POST", "/summary/1", "id-1", "", b"x");
-    let answer = client.read_answer();
-    assert!(answer.complete);
-    assert_eq!(answer.text(), events(0..=9));
+    let response = client.read_response();
+    assert!(response.complete);
+    assert_eq!(response.text(), events(0..=9));
     let seen = [one.requests(), two.requests()].concat();
     let of_it = seen.iter().filter(|it| it.header("x-pitchstall-request-id") == Some("id-1"));
     let mut after: Vec<_> = of_it.map(|it| it.header("last-event-id").map(str::to_owned)).collect();
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn a_prompt_is_read_apart_and_its_handle_taken_once() {
+fn a_prompt_is_prefilled_separately_and_its_handle_used_once() {
     let prefill = RunnerStandIn::start("i-prefill", |request| match request.method.as_str() {
         "POST" => ok(r#"{"kv_handle":"h1","tokens":9000,"version":1}"#),
         _ => ok(""),
@@ -381,7 +381,7 @@
     let prompt =
         "X-Pitchstall-Token-Count: 9000,80\r\nX-Pitchstall-Prefix-Hash: a1:6000,b2:3000\r\n";
     client.request("POST", "/draft/1", "id-1", prompt, b"x");
-    assert_eq!(client.read_answer().text(), events(0..=3));
+    assert_eq!(client.read_response().text(), events(0..=3));
     let read: Vec<_> = prefill.requests().into_iter().filter(|it| it.method == "POST").collect();
     assert_eq!(read.len(), 1);
     assert_eq!(read[0].header("x-pitchstall-stage"), Some("prefill"));
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn a_handle_that_is_not_taken_is_freed() {
+fn an_unused_handle_is_released() {
     let prefill = RunnerStandIn::start("i-prefill", |request| match request.method.as_str() {
         "POST" => ok(r#"{"kv_handle":"h1","tokens":9000,"version":1}"#),
         _ => ok(""),
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn events_are_forwarded_as_they_come() {
+fn events_are_forwarded_as_they_arrive() {
     let runner = desk(|request| {
         let whole = EventStream::whole(request, 1_000);
         Reaction::Stream(EventStream { pause: Duration::from_millis(20), ..whole })
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn a_runner_gets_no_more_connections_than_it_takes() {
+fn a_runner_gets_no_more_connections_than_its_limit() {
     let runner = desk(|request| match request.path() {
         "/booking/slow" => Reaction::Silent,
         _ => ok("booked"),
@@ -447,7 +447,7 @@
     let ask = |path: &str| {
         let mut client = node.client();
         client.request("GET", path, "id", "", b"");
-        client.read_answer().status
+        client.read_response().status
     };
     wait_for("the configuration", || ask("/marker/1") == 200);
     let mut slow = [node.client(), node.client()];
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn a_silent_stream_is_not_left_while_nobody_else_can_go_on() {
+fn a_stalled_stream_is_kept_while_no_other_runner_can_resume_it() {
     let pause = Duration::from_millis(1_600);
     let slow = RunnerStandIn::start("i-slow", move |request| {
         Reaction::Stream(EventStream { pause, ..EventStream::whole(request, 1) })
@@ -472,7 +472,7 @@
     node.add_runner(&desk, "desk", None);
     let mut client = node.client();
     client.request("POST", "/summary/1", "id-1", "", b"x");
-    let answer = client.read_answer();
-    assert_eq!((answer.status, answer.text()), (200, events(0..=1)));
-    assert!(answer.complete);
+    let response = client.read_response();
+    assert_eq!((response.status, response.text()), (200, events(0..=1)));
+    assert!(response.complete);
 }
--- a/crates/gateway/tests/history_gone.rs
+++ b/crates/gateway/tests/history_gone.rs
@@ -7,7 +7,7 @@
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
 use pitchstall_platform_standins::store::{StoreMode, StoreStandIn};
 use std::time::Duration;
-use support::{configuration, large_configuration, serves, wait_for, Fixture, Place};
+use support::{configuration, large_configuration, serves, wait_for, Fixture, NodeAddress};
 use test_case::test_case;
 
 /// The store's answer takes some four seconds.
@@ -26,7 +26,7 @@
     let start = |(number, link): (usize, &NarrowLink)| {
         let view = link.reach(store.address()).unwrap();
         let name = format!("node-{number}");
-        Fixture::start_in(Place::new(), store.clone(), view, &name, "", "")
+        Fixture::start_at(NodeAddress::new(), store.clone(), view, &name, "", "")
     };
     let nodes: Vec<Fixture> = links.iter().enumerate().map(start).collect();
     nodes[0].add_runner(&runner, "desk", None);
--- a/crates/gateway/tests/large_configuration.rs
+++ b/crates/gateway/tests/large_configuration.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use std::collections::HashMap;
 use std::time::Duration;
-use support::{configuration, large_configuration, route, serves, wait_for, Fixture, Place};
+use support::{configuration, large_configuration, route, serves, wait_for, Fixture, NodeAddress};
 use test_case::test_case;
 
 /// Slow enough that each way of the copy takes longer than any limit that does not know its size.
@@ -58,13 +58,13 @@
     let store = StoreStandIn::start().unwrap();
     let runner = runner();
     store.put("op/config", &configuration(3));
-    let weak_place = Place::new();
+    let weak_place = NodeAddress::new();
     let mut seen_from_weak = HashMap::new();
     let mut pairs = Vec::new();
     let strong: Vec<Fixture> = ["node-1", "node-2"]
         .into_iter()
         .map(|name| {
-            let place = Place::new();
+            let place = NodeAddress::new();
             let pair = link.join_nodes(weak_place.peers(), place.peers()).unwrap();
             let seen = pair.far_seen_from_near.to_string();
             seen_from_weak.insert(place.peers().to_string(), seen);
@@ -72,13 +72,13 @@
             let view = HashMap::from([(weak_place.peers().to_string(), seen)]);
             let view = store.serve_view(view).unwrap();
             pairs.push(pair);
-            Fixture::start_in(place, store.clone(), view, name, "", STRONG_MACHINE)
+            Fixture::start_at(place, store.clone(), view, name, "", STRONG_MACHINE)
         })
         .collect();
     strong[0].add_runner(&runner, "desk", None);
     let view = store.serve_view(seen_from_weak).unwrap();
     let view = link.reach(view).unwrap();
-    let weak = Fixture::start_in(weak_place, store.clone(), view, "weak", "", WEAK_MACHINE);
+    let weak = Fixture::start_at(weak_place, store.clone(), view, "weak", "", WEAK_MACHINE);
     strong.iter().for_each(Fixture::wait_until_ready);
     weak.wait_until_ready();
     Nodes { store, _strong: strong, weak, link, pairs, _runner: runner }
@@ -106,18 +106,18 @@
     let store = StoreStandIn::start().unwrap();
     let runner = runner();
     store.put("op/config", &large_configuration(3));
-    let weak_place = Place::new();
-    let strong_place = Place::new();
+    let weak_place = NodeAddress::new();
+    let strong_place = NodeAddress::new();
     let pair = link.join_nodes(weak_place.peers(), strong_place.peers()).unwrap();
-    let seen = |place: Place, address: std::net::SocketAddr| {
+    let seen = |place: NodeAddress, address: std::net::SocketAddr| {
         HashMap::from([(place.peers().to_string(), address.to_string())])
     };
     let view = store.serve_view(seen(strong_place, pair.far_seen_from_near)).unwrap();
     let view = link.reach(view).unwrap();
-    let weak = Fixture::start_in(weak_place, store.clone(), view, "weak", "", WEAK_MACHINE);
+    let weak = Fixture::start_at(weak_place, store.clone(), view, "weak", "", WEAK_MACHINE);
     wait_for("the store's answer to be on its way", || link.passed() > 3 * COPY_BYTES_A_SECOND / 2);
     let view = store.serve_view(seen(weak_place, pair.near_seen_from_far)).unwrap();
-    let strong = Fixture::start_in(strong_place, store.clone(), view, "node-1", "", STRONG_MACHINE);
+    let strong = Fixture::start_at(strong_place, store.clone(), view, "node-1", "", STRONG_MACHINE);
     strong.add_runner(&runner, "desk", None);
     wait_for("the configuration behind the narrow link", || serves(&weak, "added"));
 }
@@ -138,7 +138,7 @@
     let runner = runner();
     store.put("op/config", &large_configuration(3));
     let address = link.reach(store.address()).unwrap();
-    let node = Fixture::start_in(Place::new(), store.clone(), address, "node-1", "", "");
+    let node = Fixture::start_at(NodeAddress::new(), store.clone(), address, "node-1", "", "");
     node.add_runner(&runner, "desk", None);
     wait_for("the first configuration", || serves(&node, "added"));
     let mut changed = large_configuration(4);
@@ -158,7 +158,7 @@
     let runner = runner();
     store.put("op/config", &configuration(3));
     let address = link.reach(store.address()).unwrap();
-    let node = Fixture::start_in(Place::new(), store.clone(), address, "node-1", "", "");
+    let node = Fixture::start_at(NodeAddress::new(), store.clone(), address, "node-1", "", "");
     node.add_runner(&runner, "desk", None);
     node.wait_until_ready();
     let last = write_storm(&store);
@@ -189,7 +189,7 @@
     store.put("op/config", &configuration(3));
     let faulty = Link::start(store.address()).unwrap();
     let address = link.reach(faulty.address()).unwrap();
-    let node = Fixture::start_in(Place::new(), store.clone(), address, "node-1", "", "");
+    let node = Fixture::start_at(NodeAddress::new(), store.clone(), address, "node-1", "", "");
     node.add_runner(&runner, "desk", None);
     node.wait_until_ready();
     let before = link.passed();
--- a/crates/gateway/tests/leases_after_return.rs
+++ b/crates/gateway/tests/leases_after_return.rs
@@ -52,7 +52,7 @@
     for _ in 0..LEASES {
         let mut other = RawClient::connect(node.store.address());
         other.send((head.clone() + body).as_bytes());
-        assert_eq!(other.read_answer().status, 200);
+        assert_eq!(other.read_response().status, 200);
     }
 }
 
@@ -154,7 +154,7 @@
     write();
     first.wait_until_ready();
     let others: Vec<Fixture> = (1..nodes)
-        .map(|number| first.start_beside_with(&format!("node-{}", number + 1), &sections))
+        .map(|number| first.start_peer_with(&format!("node-{}", number + 1), &sections))
         .collect();
     let all: Vec<&Fixture> = others.iter().chain([&first]).collect();
     all.iter().for_each(|node| node.wait_until_ready());
@@ -163,7 +163,7 @@
             let mut client = node.client();
             let key = "Authorization: Token right\r\n";
             client.request("POST", "/booking/1", &format!("{id}-{number}"), key, b"x");
-            assert_eq!(client.read_answer().status, 200);
+            assert_eq!(client.read_response().status, 200);
         }
     };
     let windows = || -> Vec<(u64, u64)> {
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -19,7 +19,7 @@
 fn ask(node: &Fixture, path: &str) -> (u16, String) {
     let mut client = node.client();
     client.request("GET", path, "id", "", b"");
-    let answer = client.read_answer();
+    let answer = client.read_response();
     (answer.status, answer.text())
 }
 
@@ -29,7 +29,7 @@
     assert!(!node.is_ready());
     let mut client = node.client();
     client.request("GET", "/lookup/1", "id-1", "", b"");
-    let answer = client.read_answer();
+    let answer = client.read_response();
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
 }
@@ -57,7 +57,7 @@
     let one = runner("i-1");
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     node.store.set_mode(mode);
-    let newcomer = node.start_seeded("node-2");
+    let newcomer = node.start_seeded_peer("node-2");
     wait_for("the newcomer to serve", || ask(&newcomer, "/lookup/1") == (200, "i-1".to_owned()));
     assert!(newcomer.is_ready());
 }
@@ -133,7 +133,7 @@
     for number in 0..8 {
         let mut client = node.client();
         client.request("POST", "/booking/1", &format!("id-{number}"), "", b"x");
-        assert_eq!(client.read_answer().text(), "i-live");
+        assert_eq!(client.read_response().text(), "i-live");
     }
 }
 
@@ -149,7 +149,7 @@
     let node = Fixture::with_runners(&[(&slow, "desk", None)]);
     let mut idle = node.client();
     idle.request("GET", "/lookup/1", "id-0", "", b"");
-    assert_eq!(idle.read_answer().status, 200);
+    assert_eq!(idle.read_response().status, 200);
     let mut busy = node.client();
     busy.request("POST", "/booking/slow", "id-1", "", b"x");
     wait_for("the runner to have the request", || slow.requests().len() == 2);
@@ -157,10 +157,10 @@
     wait_for("the node not to be ready", || !node.is_ready());
     let mut late = node.client();
     late.request("GET", "/lookup/1", "id-2", "", b"");
-    let answer = late.read_answer();
+    let answer = late.read_response();
     assert_eq!((answer.status, answer.header("connection")), (200, Some("close")));
     assert!(idle.is_closed_by_node(), "an idle connection is closed");
-    let answer = busy.read_answer();
+    let answer = busy.read_response();
     assert_eq!((answer.status, answer.text().as_str()), (200, "done"));
     node.join();
 }
@@ -208,7 +208,7 @@
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     let mut idle = node.client();
     idle.request("GET", "/lookup/1", "id-0", "", b"");
-    assert_eq!(idle.read_answer().status, 200);
+    assert_eq!(idle.read_response().status, 200);
     node.request_stop();
     wait_for("the node not to be ready", || !node.is_ready());
     let mut slow = node.client();
@@ -216,7 +216,7 @@
     assert!(idle.is_closed_by_node(), "the node takes no more clients");
     std::thread::sleep(Duration::from_millis(300));
     slow.send(b"X-Pitchstall-Request-Id: id-1\r\n\r\n");
-    let answer = slow.read_answer();
+    let answer = slow.read_response();
     assert_eq!((answer.status, answer.text().as_str()), (200, "i-1"));
     node.join();
 }
@@ -227,7 +227,7 @@
 fn nodes_of_every_page_are_greeted() {
     const FILLING: usize = 120;
     let last = UdpSocket::bind("127.0.0.1:0").unwrap();
-    last.set_read_timeout(Some(support::PATIENCE)).unwrap();
+    last.set_read_timeout(Some(support::WAIT_TIMEOUT)).unwrap();
     let store = StoreStandIn::start().unwrap();
     let member = |address: String| json!({ "a": address, "z": "north", "p": 1_000 });
     for number in 0..FILLING {
@@ -236,7 +236,7 @@
     }
     let address = last.local_addr().unwrap().to_string();
     store.put("pitchstall/nodes/last", &member(address));
-    let _node = Fixture::start_before(store, "node-1");
+    let _node = Fixture::start_with_store(store, "node-1");
     let mut buffer = [0; 60_000];
     let (length, _) = last.recv_from(&mut buffer).expect("a greeting");
     assert!(buffer[..length].starts_with(b"{\"digest\""));
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -73,7 +73,7 @@
     const LOOK: Duration = Duration::from_millis(2_500);
     let one = runner("i-1");
     let first = Fixture::with_runners(&[(&one, "desk", None)]);
-    let nodes = [first.start_beside("node-2"), first.start_beside("node-3"), first];
+    let nodes = [first.start_peer("node-2"), first.start_peer("node-3"), first];
     nodes.iter().for_each(Fixture::wait_until_ready);
     wait_for("one node to leave the store alone", || {
         let before: Vec<u64> = nodes.iter().map(store_calls).collect();
@@ -89,7 +89,7 @@
         wait_for("the added route", || {
             let mut client = node.client();
             client.request("GET", "/added/1", "id", "", b"");
-            client.read_answer().status == 200
+            client.read_response().status == 200
         });
     }
 }
@@ -99,8 +99,8 @@
 fn a_node_whose_sources_are_gone_asks_the_store() {
     let one = runner("i-1");
     let first = Fixture::with_runners(&[(&one, "desk", None)]);
-    let second = first.start_beside("node-2");
-    let third = first.start_beside("node-3");
+    let second = first.start_peer("node-2");
+    let third = first.start_peer("node-3");
     second.wait_until_ready();
     third.wait_until_ready();
     let store = first.store.clone();
@@ -114,6 +114,6 @@
     wait_for("the added route", || {
         let mut client = third.client();
         client.request("GET", "/added/1", "id", "", b"");
-        client.read_answer().status == 200
+        client.read_response().status == 200
     });
 }
--- a/crates/gateway/tests/outdated.rs
+++ b/crates/gateway/tests/outdated.rs
@@ -11,7 +11,7 @@
 use pitchstall_platform_standins::store::StoreMode;
 use serde_json::json;
 use std::net::UdpSocket;
-use support::{configuration, route, wait_for, Fixture, Place, RawAnswer};
+use support::{configuration, route, wait_for, Fixture, NodeAddress, RawResponse};
 
 const BOUNDS: &str = "config_apply_ms = 600\n";
 
@@ -35,10 +35,10 @@
     }
 }
 
-fn ask(node: &Fixture, name: &str) -> RawAnswer {
+fn ask(node: &Fixture, name: &str) -> RawResponse {
     let mut client = node.client();
     client.request("GET", &format!("/{name}/1"), "id", "", b"");
-    client.read_answer()
+    client.read_response()
 }
 
 #[test]
@@ -82,7 +82,8 @@
     first.wait_until_ready();
     let link = Link::start(first.store.address()).unwrap();
     let store = first.store.clone();
-    let second = Fixture::start_in(Place::new(), store.clone(), link.address(), "node-2", "", "");
+    let second =
+        Fixture::start_at(NodeAddress::new(), store.clone(), link.address(), "node-2", "", "");
     second.wait_until_ready();
     link.set_mode(LinkMode::Resetting);
     let mut later = configuration(4);
--- a/crates/gateway/tests/policy.rs
+++ b/crates/gateway/tests/policy.rs
@@ -20,28 +20,28 @@
     (node, file)
 }
 
-fn answer_with_program(name: &str, program: &str) -> (u16, usize) {
-    let answer = Reaction::Answer { status: 200, body: b"booked".to_vec() };
-    let runner = RunnerStandIn::start("i-desk", move |_| answer.clone()).unwrap();
+fn response_with_program(name: &str, program: &str) -> (u16, usize) {
+    let response = Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let runner = RunnerStandIn::start("i-desk", move |_| response.clone()).unwrap();
     let (node, file) = node_with_program(name, program, &runner);
     let mut client = node.client();
     client.request("POST", "/booking/1", "id-1", "", b"a booking");
-    let status = client.read_answer().status;
+    let status = client.read_response().status;
     std::fs::remove_file(file).unwrap();
     (status, runner.requests().len())
 }
 
 #[test]
 fn a_program_that_allows_the_zone_lets_the_request_through() {
-    assert_eq!(answer_with_program("allows", "#{ zones: zones }"), (200, 1));
+    assert_eq!(response_with_program("allows", "#{ zones: zones }"), (200, 1));
 }
 
 #[test]
 fn a_forbidden_zone_gets_no_request_even_if_no_other_has_a_runner() {
-    assert_eq!(answer_with_program("forbids", FORBIDS_ITS_ZONE), (503, 0));
+    assert_eq!(response_with_program("forbids", FORBIDS_ITS_ZONE), (503, 0));
 }
 
 #[test]
 fn a_program_that_fails_allows_nothing() {
-    assert_eq!(answer_with_program("fails", "throw \"no\""), (503, 0));
+    assert_eq!(response_with_program("fails", "throw \"no\""), (503, 0));
 }
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -51,10 +51,10 @@
     node
 }
 
-fn send_to(node: &Fixture, path: &str, id: &str, body: &[u8]) -> support::RawAnswer {
+fn send_to(node: &Fixture, path: &str, id: &str, body: &[u8]) -> support::RawResponse {
     let mut client = node.client();
     client.request("POST", path, id, "X-Pitchstall-Deadline-Ms: 3000\r\n", body);
-    client.read_answer()
+    client.read_response()
 }
 
 /// Takes a request out of quarantine as an operator does; returns the status.
@@ -62,7 +62,7 @@
     let mut client = support::RawClient::connect(node.health);
     let request = format!("DELETE /quarantine/{identity} HTTP/1.1\r\nHost: x\r\n\r\n");
     client.send(request.as_bytes());
-    client.read_answer().status
+    client.read_response().status
 }
 
 /// Runners that have ended.
@@ -100,7 +100,7 @@
 ) {
     let runners = runners_of(14, head);
     let first = node_with(&runners, service);
-    let second = first.start_beside("node-2");
+    let second = first.start_peer("node-2");
     second.wait_until_ready();
     let nodes = [&first, &second];
     send_until_ended(&nodes, path, &runners);
@@ -134,7 +134,7 @@
     let store = first.store.clone();
     first.request_stop();
     first.join();
-    let later = Fixture::start_before(store, "node-later");
+    let later = Fixture::start_with_store(store, "node-later");
     later.wait_until_ready();
     std::thread::sleep(HEARD);
     let before = arrivals(&runners);
@@ -148,7 +148,7 @@
 fn ends_while_the_store_is_away_are_told_by_words_and_written_later() {
     let runners = runners_of(12, CrashHead::Chunked);
     let first = node_with(&runners, "llm");
-    let second = first.start_beside("node-2");
+    let second = first.start_peer("node-2");
     second.wait_until_ready();
     first.store.set_mode(StoreMode::Unavailable);
     send_until_ended(&[&first], "/summary/7", &runners);
@@ -223,7 +223,7 @@
 fn what_one_node_clears_one_node_removes() {
     let runners = runners_of(8, CrashHead::Chunked);
     let first = node_with(&runners, "llm");
-    let second = first.start_beside("node-2");
+    let second = first.start_peer("node-2");
     second.wait_until_ready();
     send_until_ended(&[&first], "/summary/7", &runners);
     let entries = || first.store.keys("pitchstall/crashes/").len();
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
-use support::{configuration, get, wait_for, Fixture, RawAnswer};
+use support::{configuration, get, wait_for, Fixture, RawResponse};
 
 /// Keys of two tenants: one with a limit and one without.
 const TAXIS: &str = "Authorization: Token taxis-key\r\n";
@@ -44,15 +44,15 @@
 
 /// Another node before the same store, with the same settings.
 fn beside(node: &Fixture, name: &str) -> Fixture {
-    let other = node.start_beside_with(name, QUOTA);
+    let other = node.start_peer_with(name, QUOTA);
     other.wait_until_ready();
     other
 }
 
-fn send(node: &Fixture, key: &str, number: usize) -> RawAnswer {
+fn send(node: &Fixture, key: &str, number: usize) -> RawResponse {
     let mut client = node.client();
     client.request("POST", "/booking/1", &format!("id-{number}"), key, b"x");
-    client.read_answer()
+    client.read_response()
 }
 
 /// Sends requests one after the other for some time; returns how many had each status.
@@ -388,7 +388,7 @@
     let prompt = "X-Pitchstall-Token-Count: 9000,20\r\nX-Pitchstall-Prefix-Hash: a:6000,b:3000\r\n";
     let mut client = node.client();
     client.request("POST", "/summary/1", "id-1", &format!("{TAXIS}{prompt}"), b"x");
-    assert_eq!(client.read_answer().status, 200);
+    assert_eq!(client.read_response().status, 200);
     assert!(reader.requests().iter().any(|it| it.target == "/summary/1"));
     let metrics = get(node.health, "/metrics").text();
     assert!(metrics.contains("pitchstall_quota_units_total{tenant=\"taxis\"} 9020"), "{metrics}");
--- a/crates/gateway/tests/regions.rs
+++ b/crates/gateway/tests/regions.rs
@@ -28,7 +28,7 @@
 fn is_served(node: &Fixture, id: &str) -> bool {
     let mut client = node.client();
     client.request("POST", "/summary/1", id, PROMPT, b"{}");
-    let answer = client.read_answer();
+    let answer = client.read_response();
     answer.status == 200 && answer.complete
 }
 
@@ -91,7 +91,7 @@
 
 /// A node with one runner in its own region and one in the other, and a scheduler of each.
 fn node(own: &RunnerStandIn, other: &RunnerStandIn) -> (Fixture, Scheduler, Scheduler) {
-    let node = Fixture::start_told(REGIONS);
+    let node = Fixture::start_with_node_lines(REGIONS);
     node.store.put("op/config", &configuration(3));
     node.put_runner_in("coast", own, "llm", Some("decode"), "ready");
     node.put_runner_in("south", other, "llm", Some("decode"), "ready");
@@ -154,7 +154,7 @@
 #[test]
 fn a_region_without_a_runner_for_it_is_left() {
     let (own, other) = (writer("i-1"), writer("i-2"));
-    let node = Fixture::start_told(REGIONS);
+    let node = Fixture::start_with_node_lines(REGIONS);
     node.store.put("op/config", &configuration(3));
     node.put_runner_in("south", &other, "llm", Some("decode"), "ready");
     node.wait_until_ready();
--- a/crates/gateway/tests/response_codec.rs
+++ b/crates/gateway/tests/response_codec.rs
@@ -4,46 +4,50 @@
 use ntex::codec::Decoder;
 use ntex::util::BytesMut;
 use pitchstall_gateway::http::response_codec::{
-    AnswerFault, AnswerHeadDecoder, BodyDecoder, BodyItem, Framing,
+    BodyDecoder, BodyItem, Framing, ResponseDecodeError, ResponseHeadDecoder,
 };
 use proptest::prelude::*;
 use test_case::test_case;
 
-fn framing(head: &str) -> Result<Framing, AnswerFault> {
+fn framing(head: &str) -> Result<Framing, ResponseDecodeError> {
     let mut source = BytesMut::from(head);
-    AnswerHeadDecoder.decode(&mut source).map(|head| head.unwrap().framing)
+    ResponseHeadDecoder.decode(&mut source).map(|head| head.unwrap().framing)
 }
 
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n", Ok(Framing::Length(5)); "length")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n", Ok(Framing::Chunked); "chunks")]
 #[test_case("HTTP/1.1 200 OK\r\n\r\n", Ok(Framing::UntilClose); "until the connection ends")]
 #[test_case("HTTP/1.1 204 No Content\r\n\r\n", Ok(Framing::Length(0)); "no content")]
-#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 6\r\n\r\n", Err(AnswerFault::Length); "two lengths")]
-#[test_case("HTTP/1.1 200 OK\r\ncontent-length: +5\r\n\r\n", Err(AnswerFault::Length); "a signed length")]
-#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n", Err(AnswerFault::Length); "two framings")]
-#[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: gzip\r\n\r\n", Err(AnswerFault::Length); "an unknown coding")]
-#[test_case("garbage garbage\r\n\r\n", Err(AnswerFault::Head); "garbage")]
-fn the_framing_is_told_clearly_or_not_at_all(head: &str, expected: Result<Framing, AnswerFault>) {
+#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 6\r\n\r\n", Err(ResponseDecodeError::InvalidLength); "two lengths")]
+#[test_case("HTTP/1.1 200 OK\r\ncontent-length: +5\r\n\r\n", Err(ResponseDecodeError::InvalidLength); "a signed length")]
+#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n", Err(ResponseDecodeError::InvalidLength); "two framings")]
+#[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: gzip\r\n\r\n", Err(ResponseDecodeError::InvalidLength); "an unknown coding")]
+#[test_case("garbage garbage\r\n\r\n", Err(ResponseDecodeError::InvalidHead); "garbage")]
+fn ambiguous_framing_is_an_error(head: &str, expected: Result<Framing, ResponseDecodeError>) {
     assert_eq!(framing(head), expected);
 }
 
 #[test]
-fn interim_answers_are_passed_over() {
+fn interim_responses_are_skipped() {
     let mut source = BytesMut::from(
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\ncontent-length: 0\r\n\r\n",
     );
-    assert_eq!(AnswerHeadDecoder.decode(&mut source).unwrap().unwrap().status, 201);
+    assert_eq!(ResponseHeadDecoder.decode(&mut source).unwrap().unwrap().status, 201);
 }
 
 #[test]
-fn a_head_without_an_end_is_refused_at_the_limit() {
+fn a_head_without_an_end_is_rejected_at_the_size_limit() {
     let mut source = BytesMut::from("HTTP/1.1 200 OK\r\nx: ");
     source.extend_from_slice(&[b'x'; 70_000]);
-    assert_eq!(AnswerHeadDecoder.decode(&mut source), Err(AnswerFault::HeadTooLarge));
+    assert_eq!(ResponseHeadDecoder.decode(&mut source), Err(ResponseDecodeError::HeadTooLarge));
 }
 
 /// Feeds bytes in pieces and returns the body, and whether it has ended.
-fn decode(framing: Framing, bytes: &[u8], piece: usize) -> Result<(Vec<u8>, bool), AnswerFault> {
+fn decode(
+    framing: Framing,
+    bytes: &[u8],
+    piece: usize,
+) -> Result<(Vec<u8>, bool), ResponseDecodeError> {
     let decoder = BodyDecoder::new(framing);
     let mut source = BytesMut::new();
     let mut body = Vec::new();
@@ -61,7 +65,7 @@
 
 proptest! {
     #[test]
-    fn chunks_are_joined_however_they_come(
+    fn chunks_are_joined_however_they_are_split(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 0..10),
         piece in 1_usize..50,
     ) {
@@ -80,12 +84,15 @@
 
     #[test]
     fn no_bytes_make_the_decoders_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), piece in 1_usize..50) {
-        let _ = AnswerHeadDecoder.decode(&mut BytesMut::from(bytes.as_slice()));
+        let _ = ResponseHeadDecoder.decode(&mut BytesMut::from(bytes.as_slice()));
         let _ = decode(Framing::Chunked, &bytes, piece);
     }
 }
 
 #[test]
-fn a_chunk_that_is_longer_than_it_says_is_a_fault() {
-    assert_eq!(decode(Framing::Chunked, b"2\r\nabc\r\n0\r\n\r\n", 100), Err(AnswerFault::Chunk));
+fn a_chunk_longer_than_its_declared_size_is_an_error() {
+    assert_eq!(
+        decode(Framing::Chunked, b"2\r\nabc\r\n0\r\n\r\n", 100),
+        Err(ResponseDecodeError::InvalidChunk)
+    );
 }
--- a/crates/gateway/tests/runner_limits.rs
+++ b/crates/gateway/tests/runner_limits.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{wait_for, Fixture, RawAnswer};
+use support::{wait_for, Fixture, RawResponse};
 
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
@@ -35,7 +35,7 @@
 
 /// Three nodes before one store.
 fn three_nodes(first: Fixture) -> [Fixture; 3] {
-    let nodes = [first.start_beside("node-2"), first.start_beside("node-3"), first];
+    let nodes = [first.start_peer("node-2"), first.start_peer("node-3"), first];
     nodes.iter().for_each(Fixture::wait_until_ready);
     nodes
 }
@@ -71,10 +71,10 @@
 fn ask_for(nodes: &[Fixture], path: &str, time: Duration) -> Vec<u16> {
     let begun = Instant::now();
     std::thread::scope(|scope| {
-        let ask_one = |node: &Fixture, number: usize| -> RawAnswer {
+        let ask_one = |node: &Fixture, number: usize| -> RawResponse {
             let mut client = node.client();
             client.request("POST", path, &format!("id-{number}"), PROMPT, b"{}");
-            client.read_answer()
+            client.read_response()
         };
         let asking = nodes.iter().map(|node| {
             scope.spawn(move || {
@@ -196,7 +196,7 @@
         let begun = Instant::now();
         let mut client = node.client();
         client.request("POST", "/booking/1", &format!("id-{number}"), "", b"{}");
-        (client.read_answer(), begun.elapsed())
+        (client.read_response(), begun.elapsed())
     };
     let mut refusals = 0;
     for number in 0..20 {
--- a/crates/gateway/tests/runner_lives.rs
+++ b/crates/gateway/tests/runner_lives.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use support::{configuration, get, runner_entry, wait_for, Fixture, RawAnswer};
+use support::{configuration, get, runner_entry, wait_for, Fixture, RawResponse};
 use test_case::test_case;
 
 const NAME: &str = "i-1";
@@ -26,10 +26,10 @@
     entry
 }
 
-fn ask(node: &Fixture, method: &str, path: &str, id: &str) -> RawAnswer {
+fn ask(node: &Fixture, method: &str, path: &str, id: &str) -> RawResponse {
     let mut client = node.client();
     client.request(method, path, id, "", b"x");
-    client.read_answer()
+    client.read_response()
 }
 
 /// A request that a runner has, and whose answer is waited for.
@@ -38,11 +38,11 @@
     runner: &RunnerStandIn,
     method: &'static str,
     path: &'static str,
-) -> JoinHandle<RawAnswer> {
+) -> JoinHandle<RawResponse> {
     let mut client = node.client();
     let waiting = std::thread::spawn(move || {
         client.request(method, path, "id-waiting", "", b"x");
-        client.read_answer()
+        client.read_response()
     });
     wait_for("the request to be under way", || !runner.requests().is_empty());
     waiting
@@ -183,7 +183,7 @@
         );
         let mut client = node.client();
         client.request("POST", "/summary/1", &format!("id-{number}"), &prompt, b"x");
-        assert_eq!(client.read_answer().status, 200);
+        assert_eq!(client.read_response().status, 200);
         let is_reading = |request: &ReceivedRequest| request.header("x-pitchstall-stage").is_some();
         reader.requests().iter().filter(|request| is_reading(request)).count()
     };
--- a/crates/gateway/tests/runner_notices.rs
+++ b/crates/gateway/tests/runner_notices.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use support::{get, runner_entry, wait_for, Fixture, RawAnswer};
+use support::{get, runner_entry, wait_for, Fixture, RawResponse};
 
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
@@ -24,10 +24,10 @@
     move |_| Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
 }
 
-fn ask(node: &Fixture, path: &str, id: &str) -> RawAnswer {
+fn ask(node: &Fixture, path: &str, id: &str) -> RawResponse {
     let mut client = node.client();
     client.request("POST", path, id, PROMPT, b"{}");
-    client.read_answer()
+    client.read_response()
 }
 
 /// Requests enough that a runner which is a candidate gets some.
@@ -247,7 +247,7 @@
         (&resting, "llm", Some("decode")),
         (&other, "llm", Some("decode")),
     ]);
-    let nodes = [first.start_beside("node-2"), first.start_beside("node-3"), first];
+    let nodes = [first.start_peer("node-2"), first.start_peer("node-3"), first];
     nodes.iter().for_each(Fixture::wait_until_ready);
     let was_told = |node: &Fixture| {
         let metrics = get(node.health, "/metrics").text();
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -20,7 +20,7 @@
     let [one, two] = runners;
     let first =
         Fixture::with_runners(&[(one, "llm", Some("decode")), (two, "llm", Some("decode"))]);
-    let nodes = [first.start_beside("node-2"), first.start_beside("node-3"), first];
+    let nodes = [first.start_peer("node-2"), first.start_peer("node-3"), first];
     nodes.iter().for_each(Fixture::wait_until_ready);
     nodes
 }
@@ -28,7 +28,7 @@
 fn is_served(node: &Fixture, id: &str) -> bool {
     let mut client = node.client();
     client.request("POST", "/summary/1", id, PROMPT, b"{}");
-    let answer = client.read_answer();
+    let answer = client.read_response();
     answer.status == 200 && answer.complete
 }
 
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -24,7 +24,7 @@
 #[test_case("[store]", "[stores]", "unknown field `stores`"; "a section that does not exist")]
 #[test_case("quimper-hall = \"finistere\"", "quimper-hall = \"\"", "node.regions: expected the name of a region for each zone"; "a region without a name")]
 #[test_case("quimper-hall = \"finistere\"", "\"\" = \"finistere\"", "node.regions: expected the name of a region for each zone"; "a zone without a name")]
-fn a_wrong_setting_is_refused_with_its_place(right: &str, wrong: &str, expected: &str) {
+fn an_invalid_setting_is_rejected_with_its_location(right: &str, wrong: &str, expected: &str) {
     let text = example();
     assert!(text.contains(right));
     let error = Settings::parse(Path::new("serve.toml"), &text.replacen(right, wrong, 1));
--- a/crates/gateway/tests/store_came_back_older.rs
+++ b/crates/gateway/tests/store_came_back_older.rs
@@ -39,7 +39,8 @@
             .map(|it| (format!("servers/{}", it.id()), runner_entry(it, "desk", "north", "ready")))
             .to_vec();
         written.iter().for_each(|(key, entry)| store.put(key, entry));
-        let start = |number: usize| Fixture::start_before(store.clone(), &format!("node-{number}"));
+        let start =
+            |number: usize| Fixture::start_with_store(store.clone(), &format!("node-{number}"));
         let nodes: Vec<Fixture> = (0..nodes).map(start).collect();
         nodes.iter().for_each(Fixture::wait_until_ready);
         Self { nodes, leaving, staying, written }
