--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -15,13 +15,13 @@
 use std::time::{Duration, Instant};
 
 /// No test waits longer for something that should happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const HOST: &str = "desk.example";
 
 /// Waits until a condition holds.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain for: {what}");
         std::thread::sleep(Duration::from_millis(5));
@@ -30,7 +30,7 @@
 
 /// A loopback address that no other fixture has, of this process or another: ports that are
 /// free now may be taken by the time they are used.
-fn own_loopback_ip() -> IpAddr {
+fn unique_loopback_ip() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let [_, _, high, low] = process.to_be_bytes();
@@ -39,13 +39,13 @@
 
 /// A machine's address, before its node starts.
 #[derive(Clone, Copy)]
-pub struct Place {
+pub struct NodeAddress {
     ip: IpAddr,
 }
 
-impl Place {
+impl NodeAddress {
     pub fn new() -> Self {
-        Self { ip: own_loopback_ip() }
+        Self { ip: unique_loopback_ip() }
     }
 
     /// Where other nodes reach the node.
@@ -54,7 +54,7 @@
     }
 }
 
-const CALLERS_PORT: u16 = 18_081;
+const CLIENTS_PORT: u16 = 18_081;
 const HEALTH_PORT: u16 = 18_082;
 const PEERS_PORT: u16 = 18_083;
 
@@ -107,7 +107,7 @@
 pub fn serves(node: &Fixture, name: &str) -> bool {
     let mut client = node.client();
     client.request("GET", &format!("/{name}/1"), "id", "", b"");
-    client.read_answer().status == 200
+    client.read_response().status == 200
 }
 
 /// A runner's entry as it writes it, where the platform does not tell when runners start.
@@ -119,15 +119,15 @@
 }
 
 /// A whole answer in JSON.
-pub fn json_answer(text: &str) -> Reaction {
+pub fn json_response(text: &str) -> Reaction {
     Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
 }
 
 /// A prefill runner that takes orders, tells that it has taken three before, and goes on reading prompts.
 pub fn prefill_runner(id: &str) -> RunnerStandIn {
     RunnerStandIn::start(id, |request| match request.target.as_str() {
-        "/v1/report" => json_answer(r#"{"stage":"prefill","busy":false,"seq":3,"queued":0}"#),
-        "/v1/kv-list" => json_answer(r#"{"epoch":"e","next_token":0,"held":[]}"#),
+        "/v1/report" => json_response(r#"{"stage":"prefill","busy":false,"seq":3,"queued":0}"#),
+        "/v1/kv-list" => json_response(r#"{"epoch":"e","next_token":0,"held":[]}"#),
         _ => Reaction::Answer { status: 202, body: Vec::new() },
     })
     .unwrap()
@@ -135,7 +135,7 @@
 
 pub struct Fixture {
     pub store: StoreStandIn,
-    pub callers: SocketAddr,
+    pub clients: SocketAddr,
     pub health: SocketAddr,
     pub peers: SocketAddr,
     pub file: PathBuf,
@@ -155,22 +155,22 @@
     }
 
     /// Another node before the same store.
-    pub fn start_beside(&self, name: &str) -> Self {
+    pub fn start_peer(&self, name: &str) -> Self {
         Self::start_node(self.store.clone(), name, "")
     }
 
     /// Another node before the same store, with further sections in its settings.
-    pub fn start_beside_with(&self, name: &str, sections: &str) -> Self {
+    pub fn start_peer_with(&self, name: &str, sections: &str) -> Self {
         Self::start_node(self.store.clone(), name, sections)
     }
 
     /// A node before a store that has been served before.
-    pub fn start_before(store: StoreStandIn, name: &str) -> Self {
+    pub fn start_with_store(store: StoreStandIn, name: &str) -> Self {
         Self::start_node(store, name, "")
     }
 
     /// Another node before the same store, which knows this one's machine.
-    pub fn start_seeded(&self, name: &str) -> Self {
+    pub fn start_seeded_peer(&self, name: &str) -> Self {
         Self::start_node_at(
             self.store.clone(),
             name,
@@ -180,7 +180,7 @@
     }
 
     /// A node before an empty store that is told these lines of its own section.
-    pub fn start_told(node: &str) -> Self {
+    pub fn start_with_node_lines(node: &str) -> Self {
         Self::start_node_at(StoreStandIn::start().unwrap(), "node-1", node, "")
     }
 
@@ -189,42 +189,42 @@
     }
 
     fn start_node_at(store: StoreStandIn, name: &str, node: &str, sections: &str) -> Self {
-        let address = store.address();
-        Self::start_in(Place::new(), store, address, name, node, sections)
+        let store_address = store.address();
+        Self::start_at(NodeAddress::new(), store, store_address, name, node, sections)
     }
 
     /// A node in a place, which sees the store at an address.
-    pub fn start_in(
-        place: Place,
+    pub fn start_at(
+        address: NodeAddress,
         store: StoreStandIn,
         store_address: SocketAddr,
         name: &str,
         node: &str,
         sections: &str,
     ) -> Self {
-        let at = |port: u16| SocketAddr::new(place.ip, port);
-        let (callers, health, peers) = (at(CALLERS_PORT), at(HEALTH_PORT), at(PEERS_PORT));
+        let at = |port: u16| SocketAddr::new(address.ip, port);
+        let (clients, health, peers) = (at(CLIENTS_PORT), at(HEALTH_PORT), at(PEERS_PORT));
         let text = format!(
             "[node]\nname = \"{name}\"\nzone = \"north\"\n{node}\
-             [listen]\ncallers = \"{callers}\"\nhealth = \"{health}\"\npeers = \"{peers}\"\n\
+             [listen]\ncallers = \"{clients}\"\nhealth = \"{health}\"\npeers = \"{peers}\"\n\
              [store]\naddress = \"{store_address}\"\n\
              [bounds]\ncontact_ms = 1000\ngrace_s = 5.0\nlease_ms = 200\nretry_ratio = 1.2\nretry_slack = 4.0\n{sections}",
         );
-        let file = std::env::temp_dir().join(format!("pitchstall-{}.toml", callers.ip()));
+        let file = std::env::temp_dir().join(format!("pitchstall-{}.toml", clients.ip()));
         std::fs::write(&file, &text).unwrap();
         let settings = Settings::read(&file).unwrap();
         let signals = Signals::default();
-        let handed = signals.clone();
+        let node_signals = signals.clone();
         let path = file.clone();
         let thread = std::thread::spawn(move || {
-            let run = daemon::run(settings, path, handed);
+            let run = daemon::run(settings, path, node_signals);
             System::build().name("node").build(DefaultRuntime).block_on(run).unwrap();
         });
         let thread = Some(thread);
-        let fixture = Self { store, callers, health, peers, file, signals, thread };
+        let fixture = Self { store, clients, health, peers, file, signals, thread };
         // The addresses are bound one after the other.
-        let listens = |address| TcpStream::connect(address).is_ok();
-        wait_for("the node to listen", || listens(callers) && listens(health));
+        let is_listening = |address| TcpStream::connect(address).is_ok();
+        wait_for("the node to listen", || is_listening(clients) && is_listening(health));
         fixture
     }
 
@@ -280,7 +280,7 @@
     }
 
     pub fn client(&self) -> RawClient {
-        RawClient::connect(self.callers)
+        RawClient::connect(self.clients)
     }
 
     pub fn request_stop(&self) {
@@ -302,7 +302,7 @@
 
 /// An answer as it stood on the wire.
 #[derive(Clone, Debug, Default)]
-pub struct RawAnswer {
+pub struct RawResponse {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
@@ -310,7 +310,7 @@
     pub complete: bool,
 }
 
-impl RawAnswer {
+impl RawResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
@@ -328,7 +328,7 @@
 impl RawClient {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self { stream, unread: Vec::new() }
     }
 
@@ -372,30 +372,30 @@
         }
     }
 
-    pub fn read_answer(&mut self) -> RawAnswer {
+    pub fn read_response(&mut self) -> RawResponse {
         let head_end = loop {
             let end = self.unread.windows(4).position(|window| window == b"\r\n\r\n");
             match end {
                 Some(end) => break end + 4,
                 None if self.read_more() => {}
-                None => return RawAnswer::default(),
+                None => return RawResponse::default(),
             }
         };
         let head: Vec<u8> = self.unread.drain(..head_end).collect();
-        let mut answer = parse_head(&String::from_utf8(head).unwrap());
-        if answer.header("transfer-encoding") == Some("chunked") {
-            self.read_chunks(&mut answer);
+        let mut response = parse_head(&String::from_utf8(head).unwrap());
+        if response.header("transfer-encoding") == Some("chunked") {
+            self.read_chunks(&mut response);
         } else {
-            let length = answer.header("content-length").map_or(0, |it| it.parse().unwrap());
+            let length = response.header("content-length").map_or(0, |it| it.parse().unwrap());
             while self.unread.len() < length && self.read_more() {}
-            answer.complete = self.unread.len() >= length;
+            response.complete = self.unread.len() >= length;
             let length = length.min(self.unread.len());
-            answer.body = self.unread.drain(..length).collect();
+            response.body = self.unread.drain(..length).collect();
         }
-        answer
+        response
     }
 
-    fn read_chunks(&mut self, answer: &mut RawAnswer) {
+    fn read_chunks(&mut self, response: &mut RawResponse) {
         loop {
             let line_end = loop {
                 match self.unread.windows(2).position(|window| window == b"\r\n") {
@@ -406,33 +406,33 @@
             };
             let line = String::from_utf8(self.unread[..line_end].to_vec()).unwrap();
             let size = usize::from_str_radix(line.trim(), 16).unwrap();
-            let whole = line_end + 2 + size + 2;
-            while self.unread.len() < whole {
+            let chunk_end = line_end + 2 + size + 2;
+            while self.unread.len() < chunk_end {
                 if !self.read_more() {
                     return;
                 }
             }
-            answer.body.extend_from_slice(&self.unread[line_end + 2..line_end + 2 + size]);
-            self.unread.drain(..whole);
+            response.body.extend_from_slice(&self.unread[line_end + 2..line_end + 2 + size]);
+            self.unread.drain(..chunk_end);
             if size == 0 {
-                answer.complete = true;
+                response.complete = true;
                 return;
             }
         }
     }
 }
 
-fn parse_head(text: &str) -> RawAnswer {
+fn parse_head(text: &str) -> RawResponse {
     let mut lines = text.split("\r\n");
     let status = lines.next().unwrap().split(' ').nth(1).unwrap().parse().unwrap();
     let headers = lines.filter_map(|line| line.split_once(": "));
     let headers = headers.map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()));
-    RawAnswer { status, headers: headers.collect(), ..RawAnswer::default() }
+    RawResponse { status, headers: headers.collect(), ..RawResponse::default() }
 }
 
 /// A request on a connection of its own, without an id.
-pub fn get(address: SocketAddr, path: &str) -> RawAnswer {
+pub fn get(address: SocketAddr, path: &str) -> RawResponse {
     let mut client = RawClient::connect(address);
     client.send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
-    client.read_answer()
+    client.read_response()
 }
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -45,7 +45,7 @@
     for number in requests {
         let mut client = node.client();
         client.request("POST", "/booking/1", &format!("id-{number}"), WITH_KEY, b"x");
-        assert_eq!(client.read_answer().status, 200);
+        assert_eq!(client.read_response().status, 200);
     }
 }
 
--- a/crates/gateway/tests/words_of_other_builds.rs
+++ b/crates/gateway/tests/words_of_other_builds.rs
@@ -61,5 +61,5 @@
     });
     let mut client = node.client();
     client.request("GET", "/lookup/1", "id", "", b"");
-    assert_eq!(client.read_answer().status, 200);
+    assert_eq!(client.read_response().status, 200);
 }
