--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,8 +1,8 @@
-//! One client's connection: reads requests, writes answers.
+//! A client connection: reads requests and writes responses.
 //!
-//! An answer that fails half-way is cut without another byte, so that it cannot look
-//! complete. A connection is closed between requests only while nothing of the next one has
-//! been read.
+//! A response that fails halfway is truncated without writing another byte, so that the client cannot
+//! take it for complete. Between requests, a connection is closed only while no byte of the next
+//! request has been read.
 
 use crate::clock::Instant;
 use crate::http::{is_hop_by_hop_header, Header};
@@ -24,20 +24,21 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Bytes that a client may send ahead before they are left in the socket.
+/// Size of the read buffer. Further bytes of the client stay in the socket.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 const READ_BUFFER_LOW_WATERMARK_BYTES: usize = 4 * 1024;
 const BUFFER_CACHE_SIZE: usize = 16;
-/// Added to the idle limit that clients are told, so that they always find it kept.
+/// Added to the configured idle timeout, so that a client that relies on the configured value never
+/// meets a closed connection.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
-/// Time for a client to take an answer that is written.
+/// Maximum time for flushing written bytes to the client.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The client has gone; there is nobody to answer.
+/// The client has disconnected, so no response can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientDisconnected;
 
-/// The writing side of a client's connection.
+/// A client connection with the codec of its requests and responses.
 pub struct ClientConnection {
     io: Io,
     codec: Codec,
@@ -53,13 +54,13 @@
 
 /// Why a request could not be read.
 enum RequestReadError {
-    /// The client has gone or rested too long: nothing to answer.
+    /// The client has disconnected or was idle too long; no response is written.
     ConnectionEnded,
-    /// Answer so and close.
+    /// The request is invalid: this response is written and the connection is closed.
     Respond(LocalResponse),
 }
 
-/// Shared configuration of a client's connection.
+/// The I/O and HTTP configuration of client connections. Calls with the same head size limit share one configuration.
 pub fn client_config(limits: &ClientLimits) -> SharedCfg {
     CLIENT_CONFIG.with(|cached| {
         let mut cached = cached.borrow_mut();
@@ -71,8 +72,8 @@
 }
 
 thread_local! {
-    /// The last configuration, and the bytes of a head that it allows: each has a number of its
-    /// own, and the buffers kept under it are never let go.
+    /// The last configuration and the head size in bytes that it allows. It is cached because ntex gives
+    /// each configuration its own id and never frees the buffers that it keeps for an id.
     static CLIENT_CONFIG: RefCell<Option<(usize, SharedCfg)>> = const { RefCell::new(None) };
 }
 
@@ -86,7 +87,7 @@
     SharedCfg::new("client").add(io).add(http).into()
 }
 
-/// Serves a connection until it ends. It counts as open from before its task begins, so that
+/// Serves a connection until it ends. The connection is counted as open before its task starts, so that
 /// a planned stop does not overlook it.
 pub async fn serve(io: Io, config: SharedCfg, node: Rc<Node>, _open: OpenConnection) {
     let codec = Codec::new(0, config.get());
@@ -119,7 +120,7 @@
         next
     }
 
-    /// Writes the answer, if it is not written yet.
+    /// Writes the response unless it was streamed, and says whether the connection stays open.
     async fn finish(&self, outcome: RequestOutcome, request: &ClientRequest) -> AfterRequest {
         let close = self.must_close();
         let written = match outcome {
@@ -129,7 +130,7 @@
             RequestOutcome::Local(response) => self.write_local(response, close).await,
             RequestOutcome::Streamed => Ok(()),
             RequestOutcome::Truncated => {
-                // The whole events that were forwarded leave first; then nothing more.
+                // The complete events that were already forwarded are flushed; nothing else is written.
                 let _ = self.flush(true).await;
                 self.io.terminate();
                 Err(ClientDisconnected)
@@ -161,7 +162,7 @@
         self.node.configuration().map(|it| it.limits).unwrap_or_default()
     }
 
-    /// Ends when the client has gone.
+    /// Completes when the client has disconnected.
     async fn disconnected(&self) {
         while let Ok(Some(())) = self.io.read_notify().await {}
     }
@@ -176,7 +177,7 @@
         request.ok_or(RequestReadError::Respond(LocalResponse::BadRequest))
     }
 
-    /// Waits for the first byte of a request. A planned stop ends the wait.
+    /// Waits for the first byte of a request. A planned stop or the idle timeout ends the wait.
     async fn wait_for_request(&self) -> Result<(), RequestReadError> {
         let has_bytes = || self.io.with_read_buf(|buffer| !buffer.is_empty());
         if has_bytes() {
@@ -223,7 +224,7 @@
         let decoder = match payload {
             PayloadType::None => return Ok((Vec::new(), None)),
             PayloadType::Payload(decoder) => decoder,
-            // An upgrade is asked for, which no route offers.
+            // The request asks for a protocol upgrade, which no route supports.
             PayloadType::Stream(_) => {
                 return Err(RequestReadError::Respond(LocalResponse::BadRequest))
             }
@@ -299,19 +300,19 @@
         self.flush(true).await
     }
 
-    /// Begins an answer of unknown length.
+    /// Starts a response of unknown length.
     pub fn begin_stream(&self, status: u16, headers: &[Header]) -> Result<(), ClientDisconnected> {
         let response = response_head(status, headers, self.must_close());
         self.encode(Message::Item((response, BodySize::Stream)))
     }
 
-    /// Writes a piece of a begun answer.
+    /// Writes and flushes part of the body of a started response.
     pub async fn write_chunk(&self, bytes: Vec<u8>) -> Result<(), ClientDisconnected> {
         self.encode(Message::Chunk(Some(Bytes::from(bytes))))?;
         self.flush(false).await
     }
 
-    /// Ends a begun answer as complete.
+    /// Marks a started response as complete.
     pub async fn end_stream(&self) -> Result<(), ClientDisconnected> {
         self.encode(Message::Chunk(None))?;
         self.flush(true).await
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -1,8 +1,8 @@
-//! Starts the node and stops it without cutting a request.
+//! Starts the node and stops it without interrupting a request.
 //!
-//! A planned stop: the node says at once that it is not ready, so that no new clients are
-//! sent to it. For some time they still come and are served. Then it takes no more, closes
-//! idle connections, and ends with the last open request.
+//! On a planned stop the node reports at once that it is not ready, so that no new clients are
+//! routed to it. Clients that still connect are served during the first part of the grace period.
+//! The node then stops accepting connections, closes idle ones, and exits after the last open request.
 
 use crate::authority;
 use crate::cache_listing;
@@ -31,37 +31,37 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::sleep;
 
-/// Between two looks at the signals.
+/// Interval between checks for received signals.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two looks at the settings file.
+/// Interval between checks for a changed settings file.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Between two looks at idle connections.
+/// Interval between removals of idle connections that are no longer usable.
 const PRUNE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Part of the grace time in which new clients are still taken.
+/// Share of the grace period in which new connections are still accepted.
 const ACCEPTING_GRACE_SHARE: f64 = 0.3;
-/// Part of the grace time after which the process ends, whatever is open.
+/// Share of the grace period after which the process exits even if requests are open.
 const SHUTDOWN_GRACE_SHARE: f64 = 0.96;
 
-/// The daemon failed.
+/// An error that prevents the daemon from running.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// An address cannot be listened on.
-    #[error("{address} cannot be listened on: {cause}")]
+    /// The node cannot listen on an address of its settings.
+    #[error("cannot listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: std::net::SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The settings name a policy program that cannot be used.
+    /// The policy program that the settings name cannot be read or does not compile.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Signals cannot be handled.
-    #[error("signals cannot be handled: {0}")]
+    /// A signal handler cannot be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(std::io::Error),
 }
 
-/// Signals that have come.
+/// Flags for the signals that the process has received. Clones share the flags.
 #[derive(Clone, Default)]
 pub struct Signals {
     stop: Arc<AtomicBool>,
@@ -69,7 +69,7 @@
 }
 
 impl Signals {
-    /// Registers for the process's signals.
+    /// Registers handlers for SIGTERM and SIGINT (stop) and for SIGHUP (reload the settings).
     pub fn register() -> Result<Self, DaemonError> {
         let signals = Self::default();
         let flags = [(SIGTERM, &signals.stop), (SIGINT, &signals.stop), (SIGHUP, &signals.reload)];
@@ -79,7 +79,7 @@
         Ok(signals)
     }
 
-    /// Asks for a planned stop.
+    /// Requests a planned stop, as SIGTERM does.
     pub fn request_stop(&self) {
         self.stop.store(true, Ordering::Release);
     }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Runs a node until it is asked to stop and has finished its work.
+/// Runs a node until it is asked to stop and its open requests have finished or the grace period has passed.
 pub async fn run(settings: Settings, path: PathBuf, signals: Signals) -> Result<(), DaemonError> {
     let client_listener = bind(settings.listen.callers).await?;
     let health_listener = bind(settings.listen.health).await?;
@@ -159,14 +159,14 @@
     let mut file = SettingsFile::new(path);
     while !signals.stop_requested() {
         sleep(SIGNAL_POLL_INTERVAL).await;
-        // The file may change without a signal.
+        // The platform may replace the file without sending a signal.
         if signals.take_reload() || file.has_changed() {
             reload(node, path);
         }
     }
 }
 
-/// Tells when a settings file has changed.
+/// Detects changes of a settings file by its modification time.
 struct SettingsFile<'a> {
     path: &'a Path,
     modified: Option<SystemTime>,
@@ -192,15 +192,15 @@
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
 
-/// Takes a changed settings file into force. A file that is not valid changes nothing; names
-/// and addresses of this node hold from the next start.
+/// Applies a changed settings file. An invalid file changes nothing. Changes of the `[node]` section except
+/// its regions, and of the `[listen]` section, take effect at the next start.
 fn reload(node: &Node, path: &Path) {
     let current = node.settings();
     let (mut settings, program) = match read_settings_and_program(path) {
         Ok(read) => read,
         Err(error) => {
             let error = error.to_string();
-            log::error!(target: "process", error; "reload refused");
+            log::error!(target: "process", error; "settings reload failed");
             return;
         }
     };
@@ -223,12 +223,13 @@
     Ok((settings, program))
 }
 
-/// Not only for open requests: one may be being read just now.
+/// Waits until all client connections are closed. Waiting for open requests is not enough, because a
+/// connection may be in the middle of reading one.
 async fn wait_for_connections(node: &Node, deadline: Instant) {
     const POLL: Duration = Duration::from_millis(10);
     while node.open_connections() > 0 && Instant::now() < deadline {
         sleep(POLL).await;
     }
-    // The last answers leave the socket buffers.
+    // Gives the last responses time to leave the socket buffers.
     sleep(POLL * 5).await;
 }
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP to runners and to the store.
+//! HTTP/1.1 client for runners and the store.
 //!
-//! ntex's own client does not show what this needs: whether a failed request was sent, an
-//! orderly end of an answer without a length against a reset, and bytes that come after an
-//! answer. So connections are ntex's [`ntex::io::Io`] with a codec over `httparse`.
+//! The HTTP client of ntex does not report whether a failed request was sent, does not distinguish an
+//! orderly close from a reset at the end of a response without a length, and hides bytes that follow a
+//! response. This client therefore uses [`ntex::io::Io`] with a codec based on `httparse`.
 
 pub mod pool;
 pub mod request;
@@ -13,10 +13,10 @@
 pub use response_codec::{BodyDecoder, ResponseDecodeError, ResponseHead};
 pub use upstream::{open_stream, ConnectError, ReadError, Upstream};
 
-/// A header: name in lower case, and value.
+/// A header: its name in lower case and its value.
 pub type Header = (String, Vec<u8>);
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -29,13 +29,13 @@
     "expect",
 ];
 
-/// Whether a header concerns one connection only; `named` are those that the connection
-/// header names.
+/// Whether a header applies to a single connection only. `options` are the names that the `connection`
+/// header lists (see [`connection_options`]).
 pub fn is_hop_by_hop_header(name: &str, options: &[String]) -> bool {
     HOP_BY_HOP_HEADERS.contains(&name) || options.iter().any(|option| option == name)
 }
 
-/// The headers that a connection header names, in lower case.
+/// The header names that the `connection` headers list, in lower case.
 pub fn connection_options(headers: &[Header]) -> Vec<String> {
     let values = headers.iter().filter(|(name, _)| name == "connection");
     let texts = values.filter_map(|(_, value)| std::str::from_utf8(value).ok());
--- a/crates/gateway/src/http/pool.rs
+++ b/crates/gateway/src/http/pool.rs
@@ -1,11 +1,12 @@
-//! Idle connections to runners, kept for the next request.
+//! Pool of idle connections to runners.
 //!
-//! A connection is kept only after an answer that was read to its end, and given out only
-//! while nothing has come on it since: a surplus answer must not meet the next request.
+//! A connection is pooled only after a response that was read to its end, and reused only while no byte
+//! has arrived on it since, so that a surplus response cannot be taken for the response to the next
+//! request.
 //!
-//! A runner may forget a connection without a word, earlier than it says; what is sent on it
-//! next is reset, and whether it ran is not known. So the pool learns from each such loss how
-//! long connections can rest, and forgets that again in time.
+//! A runner may drop an idle connection silently and earlier than it advertises. The next request on it
+//! is reset, and whether the request ran is unknown. The pool therefore learns from each such loss how
+//! long a connection may stay idle; the learned limit grows again over time.
 
 use super::upstream::Upstream;
 use crate::clock::Instant;
@@ -14,19 +15,20 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Idle time after which a connection is not used, if the runner does not say.
+/// Idle time after which a connection is not reused, if the runner advertises no idle timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Part of a runner's idle limit that is used: it may close a little early, and a request
-/// that crosses its close may or may not run.
+/// Share of a runner's advertised idle timeout for which a connection is reused. The runner may close a
+/// little early, and a request that crosses the close may or may not run.
 const IDLE_TIMEOUT_USED_PERCENT: u32 = 70;
-/// Most idle connections to one runner.
+/// Maximum number of idle connections to one runner.
 const MAX_IDLE_PER_RUNNER: usize = 32;
 
-/// Part of the rest after which a connection was found dead that is trusted from then on.
+/// The learned idle limit as a share of the idle time of the connection that was found closed.
 const LEARNED_LIMIT_PERCENT: u32 = 60;
-/// A connection that has rested shorter is not taken for forgotten: its runner failed.
+/// Shortest idle time after which a lost connection counts as stale. A connection that is lost after a shorter
+/// idle time means that the runner failed. It is also the lower bound of the learned idle limit.
 const MIN_STALE_IDLE: Duration = Duration::from_millis(60);
-/// Time in which the trusted rest doubles again.
+/// Time in which the learned idle limit doubles.
 const LEARNED_LIMIT_DOUBLING_TIME: Duration = Duration::from_secs(4);
 
 struct IdleConnection {
@@ -35,22 +37,22 @@
     idle_since: Instant,
 }
 
-/// A connection that was kept.
+/// A connection taken from the pool.
 pub struct PooledConnection {
-    /// The connection.
+    /// The open connection.
     pub connection: Upstream,
-    /// How long it has rested.
+    /// How long it was idle in the pool.
     pub idle_for: Duration,
 }
 
-/// How long connections can rest, as learned from those that were found dead.
+/// Limit on the idle time of reused connections, learned from connections that the runner had dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LearnedIdleLimit {
     learned: Option<(Duration, Instant)>,
 }
 
 impl LearnedIdleLimit {
-    /// A connection that had rested so long was found dead.
+    /// Records that a connection was found closed after it had been idle for `idle_for`.
     pub fn on_stale_connection(&mut self, idle_for: Duration, now: Instant) {
         if idle_for < MIN_STALE_IDLE {
             return;
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The rest that is trusted now; `None`: nothing was learned.
+    /// The limit at `now`; `None`: nothing has been learned.
     pub fn at(&self, now: Instant) -> Option<Duration> {
         let (limit, learned_at) = self.learned?;
         let age = now.saturating_duration_since(learned_at);
@@ -70,7 +72,7 @@
     }
 }
 
-/// Idle connections by runner.
+/// Idle connections, grouped by runner.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<RunnerId, Vec<IdleConnection>>>,
@@ -78,7 +80,8 @@
 }
 
 impl ConnectionPool {
-    /// Takes the connection to a runner that was used last, if one is fit.
+    /// Takes the most recently used connection to a runner that can be reused. Connections that cannot be
+    /// reused are closed on the way.
     pub fn take(&self, runner: &RunnerId) -> Option<PooledConnection> {
         let now = Instant::now();
         let limit = self.learned_limit.get().at(now);
@@ -94,14 +97,15 @@
         None
     }
 
-    /// A request that was sent on a kept connection was lost without any answer.
+    /// Records that a request on a pooled connection, idle for `idle_for` before, was lost without any response.
     pub fn on_stale_connection(&self, idle_for: Duration) {
         let mut learned = self.learned_limit.get();
         learned.on_stale_connection(idle_for, Instant::now());
         self.learned_limit.set(learned);
     }
 
-    /// Keeps a connection, if it can be used again.
+    /// Adds a connection to the pool if it can be reused. `advertised_timeout` is the idle timeout that the
+    /// runner announced, if any.
     pub fn put(
         &self,
         runner: &RunnerId,
@@ -122,12 +126,12 @@
         }
     }
 
-    /// Closes the connections to a runner that is gone.
+    /// Closes all idle connections to a runner.
     pub fn remove_runner(&self, runner: &RunnerId) {
         self.idle.borrow_mut().remove(runner);
     }
 
-    /// Closes connections that have rested too long or were closed by the runner.
+    /// Closes connections that were idle for too long or were closed by the runner.
     pub fn prune(&self) {
         let now = Instant::now();
         let is_usable =
--- a/crates/gateway/src/http/request.rs
+++ b/crates/gateway/src/http/request.rs
@@ -1,9 +1,8 @@
-//! Writing of HTTP/1.1 requests.
+//! Encoding of HTTP/1.1 requests.
 
 use super::Header;
 
-/// The bytes of a request with a whole body. The headers must name the host and must not
-/// concern the connection.
+/// Encodes a request with its complete body. `headers` must contain the host and no hop-by-hop headers.
 pub fn encode_request(method: &str, target: &str, headers: &[Header], body: &[u8]) -> Vec<u8> {
     const USUAL_HEAD_BYTES: usize = 512;
     let mut bytes = Vec::with_capacity(USUAL_HEAD_BYTES + body.len());
--- a/crates/gateway/src/http/response_codec.rs
+++ b/crates/gateway/src/http/response_codec.rs
@@ -1,7 +1,7 @@
-//! Decoding of HTTP/1.1 answers.
+//! Decoding of HTTP/1.1 responses.
 //!
-//! An answer's end is told by a length, by chunks, or by the end of the connection. Whoever
-//! reads the body must tell an orderly end from a reset in the last case.
+//! The end of a response is given by its length, by its chunks, or by the end of the connection. In the
+//! last case the reader of the body must distinguish an orderly close from a reset.
 
 use super::Header;
 use ntex::codec::Decoder;
@@ -9,58 +9,58 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Most headers of an answer.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 64;
-/// Most bytes of an answer's head.
+/// Maximum size of a response's head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Most bytes of a line between chunks.
+/// Maximum size of a chunk size line, the end of a chunk or a trailer line.
 const MAX_LINE_BYTES: usize = 4 * 1024;
 
-/// What came is no answer in HTTP/1.1.
+/// The received bytes are not a valid HTTP/1.1 response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResponseDecodeError {
-    /// The head cannot be read.
-    #[error("the head of the answer cannot be read")]
+    /// The head cannot be parsed.
+    #[error("response head is malformed")]
     InvalidHead,
-    /// The head is too large.
-    #[error("the head of the answer is too large")]
+    /// The head exceeds its maximum size.
+    #[error("response head is too large")]
     HeadTooLarge,
-    /// The length is told twice, or in two ways, or is no number.
-    #[error("the length of the answer is not told clearly")]
+    /// The length is given more than once or in two ways, is not a number, or exceeds what the reader accepts.
+    #[error("response length is invalid, ambiguous or over the limit")]
     InvalidLength,
-    /// A chunk cannot be read.
-    #[error("a chunk of the answer cannot be read")]
+    /// A chunk cannot be parsed.
+    #[error("response chunk is malformed")]
     InvalidChunk,
 }
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// The body has this number of bytes.
     Length(u64),
-    /// Chunks.
+    /// The body is sent in chunks; an empty chunk ends it.
     Chunked,
-    /// The end of the connection.
+    /// The body ends with the connection.
     UntilClose,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Headers in order.
+    /// Headers in the order received, with names in lower case.
     pub headers: Vec<Header>,
-    /// How the end of the body is told.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// Whether the connection may be used again.
+    /// Whether the connection may be reused after the body.
     pub keep_alive: bool,
-    /// For how long the other side keeps an idle connection, if it says so.
+    /// How long the server keeps an idle connection open; `None`: it does not say.
     pub idle_timeout: Option<Duration>,
 }
 
 impl ResponseHead {
-    /// Headers as text names and bytes.
+    /// Iterates over the headers as names and values.
     pub fn header_pairs(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// Decodes heads, passing over interim answers (1xx).
+/// Decodes response heads. Interim responses (1xx) are skipped.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseHeadDecoder;
 
@@ -155,12 +155,12 @@
     head.idle_timeout = seconds.map(Duration::from_secs);
 }
 
-/// A piece of a body.
+/// An item that [`BodyDecoder`] yields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyItem {
-    /// Some bytes.
+    /// Part of the body; never empty.
     Chunk(Bytes),
-    /// The body has ended as its framing tells.
+    /// The body has ended according to its framing.
     End,
 }
 
@@ -180,14 +180,14 @@
     UntilClose,
 }
 
-/// Decodes one body.
+/// Decodes the body of one response.
 #[derive(Debug)]
 pub struct BodyDecoder {
     state: Cell<BodyState>,
 }
 
 impl BodyDecoder {
-    /// A decoder for a body that is framed so.
+    /// Creates a decoder for a body with the given framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(length) => BodyState::Length(length),
@@ -197,7 +197,7 @@
         Self { state: Cell::new(state) }
     }
 
-    /// Whether the end of the connection ends the body.
+    /// Whether the body ends with the connection.
     pub fn ends_with_connection(&self) -> bool {
         matches!(self.state.get(), BodyState::UntilClose)
     }
@@ -280,7 +280,7 @@
     }
 }
 
-/// Takes a line and returns the length of its text; `None` if it is not whole yet.
+/// Consumes a line and returns its length without the line end; `None` if it has not arrived completely.
 fn take_line(source: &mut BytesMut) -> Result<Option<usize>, ResponseDecodeError> {
     let Some(end) = source.iter().position(|byte| *byte == b'\n') else {
         let is_too_long = source.len() > MAX_LINE_BYTES;
--- a/crates/gateway/src/http/upstream.rs
+++ b/crates/gateway/src/http/upstream.rs
@@ -1,4 +1,4 @@
-//! A connection to a runner or to the store.
+//! Connections to runners and to the store.
 
 use super::response_codec::{
     BodyDecoder, BodyItem, ResponseDecodeError, ResponseHead, ResponseHeadDecoder,
@@ -13,48 +13,48 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Written bytes that may wait for a peer that does not read. A request is written as a whole
-/// while its answer is read already, so this is above the largest request.
+/// Maximum number of written bytes that wait for a peer that does not read. A request is handed over as a whole
+/// while its response may already be read, so this must exceed the largest request.
 const WRITE_BUFFER_BYTES: usize = 64 * 1024 * 1024;
 const WRITE_BUFFER_LOW_WATERMARK_BYTES: usize = 1_024;
 const WRITE_BUFFER_CACHE_SIZE: usize = 16;
-/// Bytes that are not acknowledged for this long break the connection: a machine without
-/// power says nothing.
+/// Time after which unacknowledged bytes make the kernel close a connection. A machine that loses power
+/// does not close its connections.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why there is no connection. Nothing has been sent.
+/// Why a connection could not be opened. No byte of a request has been sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// Nobody answered in time.
-    #[error("nobody answered in time")]
+    /// The connection was not established in time.
+    #[error("connect timed out")]
     TimedOut,
-    /// The system or the other side refused.
+    /// The operating system or the peer rejected the connection.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
 
 impl ConnectError {
-    /// Whether the other side's system said that nobody listens there.
+    /// Whether the peer's operating system reported that no process listens on the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Io(error) if error.kind() == ErrorKind::ConnectionRefused)
     }
 }
 
-/// Why an answer could not be read to its end. The request may have run.
+/// Why a response could not be read to its end. The request may have run.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The other side closed the connection in order.
-    #[error("the connection was closed")]
+    /// The peer closed the connection in an orderly way.
+    #[error("connection closed by peer")]
     Closed,
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
+    /// Reading or writing failed, for example because the connection was reset.
+    #[error("connection failed: {0}")]
     Io(std::io::Error),
-    /// What came is no answer.
+    /// The received bytes are not a valid response.
     #[error("{0}")]
     Malformed(#[from] ResponseDecodeError),
 }
 
-/// Opens a stream to another process. Dropping it closes it at once.
+/// Opens a stream to another process. Dropping the stream closes it immediately.
 pub async fn open_stream(
     address: SocketAddr,
     connect_timeout: Duration,
@@ -63,19 +63,19 @@
         .await
         .map_err(|_| ConnectError::TimedOut)??;
     let stream = stream.into_std()?;
-    // A system without this option is served too, only later.
+    // Without this socket option, a dead peer is only noticed later.
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     Ok(ntex::rt::from_tcp_stream(stream, UPSTREAM_CONFIG.with(Clone::clone))?)
 }
 
-/// An open connection. Dropping it closes it at once.
+/// An open HTTP connection. Dropping it closes it immediately.
 #[derive(Debug)]
 pub struct Upstream {
     io: Io,
 }
 
 impl Upstream {
-    /// Opens a connection.
+    /// Opens a connection, or fails after `connect_timeout`.
     pub async fn open(
         address: SocketAddr,
         connect_timeout: Duration,
@@ -83,12 +83,12 @@
         Ok(Self { io: open_stream(address, connect_timeout).await? })
     }
 
-    /// Hands over bytes to be written; does not wait for the other side.
+    /// Queues bytes to be written, without waiting for the peer to read them.
     pub fn send(&self, bytes: Vec<u8>) -> Result<(), ReadError> {
         self.io.encode_bytes(Bytes::from(bytes)).map_err(ReadError::Io)
     }
 
-    /// Reads the head of the next answer.
+    /// Reads the head of the next response.
     pub async fn read_head(&self) -> Result<ResponseHead, ReadError> {
         match self.io.recv(&ResponseHeadDecoder).await {
             Ok(Some(head)) => Ok(head),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Reads the next bytes of a body; `None` at its end.
+    /// Reads the next bytes of a body. Returns `None` at its end.
     pub async fn read_body(&self, decoder: &BodyDecoder) -> Result<Option<Bytes>, ReadError> {
         match self.io.recv(decoder).await {
             Ok(Some(BodyItem::Chunk(bytes))) => Ok(Some(bytes)),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Reads a whole body of at most so many bytes; a longer one is a fault.
+    /// Reads a complete body of at most `max_bytes`. A longer body is an error.
     pub async fn read_whole_body(
         &self,
         decoder: &BodyDecoder,
@@ -124,8 +124,8 @@
         Ok(body)
     }
 
-    /// Whether another request may be sent: the connection is open, the last request was taken
-    /// whole, and nothing has come that nobody asked for.
+    /// Whether another request may be sent: the connection is open, the last request was written
+    /// completely, and no unexpected bytes have arrived.
     pub fn is_reusable(&self) -> bool {
         let unread = self.io.with_read_buf(|buffer| buffer.len());
         let unsent = self.io.with_write_buf(|buffer| buffer.len()).unwrap_or(1);
@@ -134,8 +134,8 @@
 }
 
 thread_local! {
-    /// One for all connections of a thread: each configuration has a number of its own, and the
-    /// buffers kept under it are never let go.
+    /// One configuration for all connections of a thread, because ntex gives each configuration its own id and
+    /// never frees the buffers that it keeps for an id.
     static UPSTREAM_CONFIG: SharedCfg = {
         let io = IoConfig::new().set_write_buf(
             WRITE_BUFFER_BYTES,
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -1,4 +1,4 @@
-//! Takes a request in: refuses at once what can be refused, finds its route and service.
+//! Validates a request, finds its route, tenant and service, and dispatches it.
 
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
@@ -19,56 +19,56 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A request as it came from a client, with its whole body.
+/// A request as received from a client, with its complete body.
 pub struct ClientRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query, unchanged.
+    /// Path and query as received.
     pub target: String,
-    /// Path alone.
+    /// Path without the query.
     pub path: String,
-    /// The host that the client named.
+    /// Value of the `host` header, with the port if the client named one.
     pub host: String,
-    /// Headers that may go on to a runner, before those of the system are dropped.
+    /// End-to-end headers. The gateway's own headers are removed before they are forwarded to a runner.
     pub headers: Vec<Header>,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// What matters of it.
+    /// Values that the node has parsed from the headers.
     pub metadata: RequestMetadata,
-    /// When its first byte came.
+    /// When the node began to read the head, after the first byte had arrived.
     pub received_at: Instant,
     identity: OnceCell<RequestIdentity>,
     _reservation: Option<BodyReservation>,
 }
 
-/// An answer of a runner, read whole.
+/// A runner's response that was read completely before it is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BufferedResponse {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Headers for the client.
+    /// Headers that are sent to the client.
     pub headers: Vec<Header>,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A runner's answer is to be written.
+    /// A runner's response has to be written.
     Buffered(BufferedResponse),
-    /// An answer of the node's own is to be written.
+    /// A response of the node itself has to be written.
     Local(LocalResponse),
-    /// A stream was written to its end.
+    /// A stream was written completely.
     Streamed,
-    /// A stream broke off and must be seen to have broken off.
+    /// A stream ended early. The client must be able to see that it is truncated.
     Truncated,
-    /// The client has gone.
+    /// The client disconnected before the request had ended.
     ClientDisconnected,
 }
 
 impl RequestOutcome {
-    /// Name in logs and metrics.
+    /// Name of the outcome in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Buffered(response) if response.status < 300 => "answered",
@@ -82,7 +82,8 @@
 }
 
 impl ClientRequest {
-    /// Reads a request's head; `None` if what a node must know of it cannot be read.
+    /// Parses a request's head. Returns `None` if the host or a header that the node depends on is missing or
+    /// invalid.
     pub fn new(
         head: &Request,
         body: Vec<u8>,
@@ -113,8 +114,8 @@
         })
     }
 
-    /// What stays of the request when it comes again under another id. Worked out when it is first
-    /// asked for: most requests never need it.
+    /// The identity of the request, which stays the same when it is sent again under another id. It is
+    /// computed on first use, since most requests never need it.
     pub fn identity(&self, tenant: Option<&TenantName>) -> RequestIdentity {
         *self.identity.get_or_init(|| {
             RequestIdentity::of(&RequestParts {
@@ -132,7 +133,8 @@
     headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
 }
 
-/// Answers a request; streams are written to `client` while they come.
+/// Handles a request to its end. Streams are written to `client` while they arrive; any other response is
+/// returned.
 pub async fn handle(
     node: &Rc<Node>,
     request: &ClientRequest,
@@ -142,7 +144,7 @@
         return finish(node, request, None, RequestOutcome::Local(LocalResponse::Unconfigured));
     };
     if node.is_outdated() {
-        // Its route may have been moved or removed, by a version that other nodes have.
+        // The route may have been moved or removed by a newer version that other nodes have.
         return finish(node, request, None, RequestOutcome::Local(LocalResponse::Outdated));
     }
     let Some(route) = find_route(&configuration, request) else {
@@ -160,7 +162,7 @@
     let priority = tenant.as_ref().and_then(|tenant| tenant.priority).unwrap_or(route.priority);
     let rules = match policy::placement_rules(node, request, priority, &service) {
         Ok(rules) => rules,
-        // A program that fails allows nothing: it may have been about to forbid a zone.
+        // A program that fails allows no zone, since it might have forbidden any of them.
         Err(_) => {
             return finish(
                 node,
@@ -178,8 +180,8 @@
     finish(node, request, Some(&route), end)
 }
 
-/// Only a node that would know a route says that there is none: the route may have been added by a version
-/// that it has not got yet.
+/// The response to a request without a route. `NoRoute` is returned only if the configuration is current: otherwise
+/// the route may have been added by a version that this node has not received yet.
 fn no_route_response(node: &Node) -> LocalResponse {
     match node.configuration_age().is_current(node.key_policy().config_apply_ms) {
         true => LocalResponse::NoRoute,
@@ -187,7 +189,7 @@
     }
 }
 
-/// The tenant for whom a request runs, or why it may not run.
+/// The tenant of a request (`None`: it runs without one), or the response if it is not authorized.
 fn authorize_tenant(
     node: &Node,
     configuration: &Configuration,
@@ -213,7 +215,7 @@
         .cloned()
 }
 
-/// The client's deadline or the route's time limit, whichever is shorter.
+/// The client's deadline or the route's timeout, whichever is shorter.
 fn time_limit(request: &ClientRequest, route: &Route) -> Duration {
     let deadline_ms = request.metadata.deadline_ms.unwrap_or(route.timeout_ms);
     Duration::from_millis(deadline_ms.min(route.timeout_ms))
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,32 +1,37 @@
-//! The daemon between callers and runners.
+//! The gateway between clients and the runners that serve language models.
 //!
-//! Modules in the order in which a request travels:
+//! Modules in the order in which a request passes through them:
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | [`daemon`] | starts and stops everything |
-//! | [`listener`] | takes connections |
-//! | [`connection`] | reads requests from one client's connection and writes answers |
-//! | [`intake`] | refuses what can be refused at once, finds the route |
-//! | [`policy`] | runs the operators' program |
-//! | [`dispatch`] | plans and makes attempts until the request has its final answer |
-//! | [`scheduling`] | asks the scheduler of the runners where the request is to run |
-//! | [`prefill`] | has a prompt read and keeps its handle |
-//! | [`attempt`] | one attempt at one runner |
-//! | [`broken_attempt`] | what follows for the runner of an attempt that ended early |
-//! | [`runner_probe`] | looks whether a silent runner can be reached |
-//! | [`relay`] | forwards a stream, and goes on at another runner |
-//! | [`local_responses`] | the answers that the node makes itself |
+//! | [`daemon`] | starts and stops the node |
+//! | [`listener`] | accepts connections |
+//! | [`connection`] | reads requests from a client connection and writes responses |
+//! | [`intake`] | rejects invalid requests early, finds the route and the service |
+//! | [`policy`] | runs the operators' policy program |
+//! | [`dispatch`] | plans and makes attempts until the request has its final response |
+//! | [`scheduling`] | asks the scheduler that owns the runners where the request is to run |
+//! | [`prefill`] | runs a separate prefill and keeps the KV handle that it returns |
+//! | [`attempt`] | makes one attempt on one runner |
+//! | [`broken_attempt`] | updates the state of a runner whose attempt ended early |
+//! | [`runner_probe`] | checks whether a silent runner can be reached |
+//! | [`relay`] | forwards a stream to the client, also across several runners |
+//! | [`local_responses`] | the responses that the node creates itself |
 //!
-//! Before a run is sent, [`quota`] has it paid for if its tenant has a limit.
+//! Before a run is sent, [`quota`] charges it to its tenant if the tenant has a limit.
 //!
-//! Beside them: [`entries`] takes in what lies in the store, and [`refused_entries`] says what of it cannot be
-//! used; [`authority`] holds what [`roles`], [`scaling`] and [`usage`] need before they order or
-//! report something for all nodes, [`peers`] exchanges digests with other nodes over [`json_lines`], [`watcher`] follows the store with
-//! [`platform_client`] ([`store_answers`], [`store_pages`]) or another node with [`mirror`] ([`compression`]), as old as [`copy_limits`] allows and
-//! judged by its progress ([`transfer`]), [`quarantine`] keeps
-//! the requests that end runners there, [`node`] holds what the node believes, [`clock`] says how long ago
-//! something was, [`http`] speaks HTTP to runners and to the store.
+//! The other modules:
+//!
+//! - [`entries`] applies entries of the store, and [`refused_entries`] reports those that cannot be used.
+//! - [`authority`] holds the leases that [`roles`], [`scaling`] and [`usage`] need before they give orders or
+//!   report something on behalf of all nodes.
+//! - [`peers`] exchanges digests with other nodes over [`json_lines`].
+//! - [`watcher`] follows the store through [`platform_client`] ([`store_answers`], [`store_pages`]) or through
+//!   another node with [`mirror`] ([`compression`]). [`copy_limits`] bounds the age of what is read, and
+//!   [`transfer`] measures the progress of a transfer.
+//! - [`quarantine`] keeps requests that crash runners away from them.
+//! - [`node`] holds the state of the node, [`clock`] measures elapsed time, and [`http`] speaks HTTP to runners
+//!   and to the store.
 
 pub mod attempt;
 pub mod authority;
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,7 +1,7 @@
-//! Takes connections: from clients, and on the address that tells whether the node is ready.
+//! Accepts connections from clients and on the health address.
 //!
-//! ntex's server cannot stop taking connections while it goes on with those it has, so the
-//! listeners are tokio's; each connection is an ntex stream.
+//! The server of ntex cannot stop accepting connections while it goes on serving open ones. The
+//! listeners are therefore tokio's, and each accepted connection becomes an ntex stream.
 
 use crate::connection;
 use crate::metrics;
@@ -25,25 +25,25 @@
 
 /// Path of the metrics on the health address.
 pub const METRICS_PATH: &str = "/metrics";
-/// Path of the requests under which runners have ended, on the health address. With `DELETE`, and an
-/// identity after it, one of them is taken out of quarantine.
+/// Path of the requests under which runners have crashed, on the health address. `DELETE` on this path
+/// followed by a request's identity takes that request out of quarantine.
 pub const QUARANTINE_PATH: &str = "/quarantine";
-/// Path of what is known of tenants' limits, on the health address.
+/// Path of the node's view of tenants' limits, on the health address.
 pub const QUOTA_PATH: &str = "/quota";
-/// Bytes that a client does not acknowledge for this long break its connection.
+/// Time after which unacknowledged bytes make the kernel close a client's connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which a connection of the health address may rest.
+/// Time after which an idle connection on the health address is closed.
 const HEALTH_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after a connection could not be taken, as when descriptors have run out.
+/// Delay after a failed accept, for example when the process has no file descriptors left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Takes clients' connections until the task is dropped.
+/// Accepts client connections until the task is dropped.
 pub async fn accept_clients(listener: TcpListener, node: Rc<Node>) {
     loop {
         let Some(stream) = accept(&listener).await else { continue };
         if !node.has_room_for_client() {
-            // Closed unread, so the client may try another node.
-            log::warn!(target: "listener", open = node.open_connections(); "no room for a client");
+            // The connection is closed without reading from it, so the client can safely try another node.
+            log::warn!(target: "listener", open = node.open_connections(); "connection limit reached");
             continue;
         }
         let limits = node.configuration().map(|it| it.limits).unwrap_or_default();
@@ -55,7 +55,7 @@
     }
 }
 
-/// Answers questions on the health address until the task is dropped.
+/// Serves readiness, metrics and reports on the health address until the task is dropped.
 pub async fn accept_health(listener: TcpListener, node: Rc<Node>) {
     loop {
         let Some(stream) = accept(&listener).await else { continue };
@@ -66,7 +66,7 @@
     }
 }
 
-/// Takes the next connection; `None` after a pause if it could not be taken.
+/// Accepts the next connection. Returns `None` after a delay if accepting failed.
 pub async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     match listener.accept().await {
         Ok((stream, _)) => Some(stream),
@@ -79,10 +79,10 @@
     }
 }
 
-/// Makes an ntex stream of a connection that was taken.
+/// Wraps an accepted connection in an ntex stream. Returns `None` if it cannot be registered with the runtime.
 pub fn into_ntex_io(stream: TcpStream, config: SharedCfg) -> Option<Io> {
     let stream = stream.into_std().ok()?;
-    // A system without this option is served too, only later.
+    // Without this socket option, a dead peer is only noticed later.
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     ntex::rt::from_tcp_stream(stream, config).ok()
 }
@@ -126,7 +126,7 @@
     }
 }
 
-/// An operator takes a request out of quarantine, at all nodes.
+/// Takes a request out of quarantine on all nodes, on behalf of an operator.
 fn lift_quarantine(method: &Method, identity: &str, node: &Node) -> (Response<()>, String) {
     if method != Method::DELETE {
         return text_response(StatusCode::METHOD_NOT_ALLOWED, "expected DELETE\n");
--- a/crates/gateway/src/local_responses.rs
+++ b/crates/gateway/src/local_responses.rs
@@ -1,61 +1,62 @@
-//! The answers that the node makes itself: one place for status codes.
+//! The responses that the node creates itself, with their status codes and `retry-after` values.
 
 use ntex::http::StatusCode;
 use pitchstall_serving::attempt::FinalResponse;
 
-/// Pause for clients that came while no runner could take their request, seconds.
+/// `retry-after` for requests that no runner could take, in seconds.
 const REFUSED_RETRY_AFTER_S: f64 = 0.25;
-/// Pause for clients that came before the node knew a configuration, seconds.
+/// `retry-after` for requests that arrive before the node has a configuration, in seconds.
 const UNCONFIGURED_RETRY_AFTER_S: f64 = 0.5;
 
-/// Pause for clients whose key or route this node cannot verify, seconds: they come to another node
-/// then, which most likely knows.
+/// `retry-after` for requests whose key or route this node cannot verify, in seconds. It is short because the
+/// client will most likely reach another node, which has the current configuration.
 const UNVERIFIABLE_RETRY_AFTER_S: f64 = 0.1;
 
-/// Pause for clients of a tenant whose limit nobody could be asked about, seconds: as with keys.
+/// `retry-after` for requests whose tenant's quota keeper did not answer, in seconds. It is short for the same
+/// reason as for keys.
 const QUOTA_UNKNOWN_RETRY_AFTER_S: f64 = 0.1;
 const MS_PER_S: f64 = 1_000.0;
 
-/// An answer that no runner gave.
+/// A response that the node creates without a response of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalResponse {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest,
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// It carries no key, or one that nobody holds.
+    /// The request carries no key, or one that belongs to no tenant.
     Unauthorized,
-    /// This node's copy of the configuration is too old to tell whether its key holds.
+    /// This node's configuration is too old to tell whether the key is valid.
     Unverifiable,
-    /// This node's configuration is known to be outdated, or too old to tell that there is no route.
+    /// This node's configuration is known to be outdated, or too old to tell whether the route exists.
     Outdated,
-    /// Its head or body took too long to come.
+    /// The head or the body took too long to arrive.
     RequestTimeout,
-    /// Its body is too large.
+    /// The body exceeds the configured size limit.
     BodyTooLarge,
-    /// Its head is too large.
+    /// The head exceeds the configured size limit.
     HeadTooLarge,
-    /// The node knows no configuration yet.
+    /// The node has no configuration yet.
     Unconfigured,
-    /// It has not run and will not; the client may come back.
+    /// The request has not run and will not; the client may retry it.
     Refused,
-    /// It has not run, as what its runners take from all nodes together is used up.
+    /// The request has not run, because the runners' limits on requests from all nodes are used up.
     LimitUsedUp {
-        /// Milliseconds until a runner takes one more.
+        /// Milliseconds until a runner accepts another request.
         wait_ms: u64,
     },
-    /// It has not run, as its tenant has reached its limit.
+    /// The request has not run, because its tenant has reached its limit.
     OverQuota {
-        /// Milliseconds until there is room for it.
+        /// Milliseconds until the limit allows the request.
         wait_ms: u64,
     },
-    /// It has not run, as nobody could be asked whether its tenant has reached its limit.
+    /// The request has not run, because no quota keeper could say whether its tenant has reached its limit.
     QuotaUnknown,
-    /// Runners have ended under it: it has not run, and coming back is in vain.
+    /// The request has not run, because runners have crashed under it; retrying it is of no use.
     Quarantined,
-    /// It may have run; the attempt failed.
+    /// The attempt failed; the request may have run.
     BadGateway,
-    /// It may have run; time is up.
+    /// The deadline has passed; the request may have run.
     TimedOut,
 }
 
@@ -74,7 +75,7 @@
 }
 
 impl LocalResponse {
-    /// The status.
+    /// The HTTP status code.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadRequest => StatusCode::BAD_REQUEST,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// When the client may come back, seconds.
+    /// Value of the `retry-after` header in seconds; `None`: the header is not sent.
     pub fn retry_after_s(self) -> Option<f64> {
         match self {
             Self::Refused => Some(REFUSED_RETRY_AFTER_S),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Name in logs and metrics.
+    /// Name of the response in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,8 +1,8 @@
-//! Structured logs on standard output: one JSON line a decision.
+//! Structured logging to standard output, one JSON object per line.
 //!
-//! Lines are bounded by kind (target and event): so many a second, and then one line that
-//! tells how many were left out. Writing never holds the node up: a thread of its own writes
-//! from a bounded queue, and lines that find it full are counted and left out.
+//! The rate of lines is limited for each kind (target and event). The first line of a kind in a later second says how
+//! many were dropped. Logging never blocks the node: a separate thread writes from a bounded queue, and lines that find
+//! the queue full are dropped.
 
 use crate::clock::Instant;
 use flexi_logger::writers::LogWriter;
@@ -15,13 +15,14 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Lines of one kind that are written in a second.
+/// Maximum number of lines of one kind that are written in a second.
 const MAX_LINES_PER_S: u32 = 200;
-/// Lines that may wait to be written.
+/// Maximum number of lines that wait to be written.
 const MAX_QUEUED_LINES: usize = 4_096;
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Starts the logger. The handle must live as long as the process.
+/// Starts the logger with the given levels (`info`, or levels for single modules). The handle must live as long as the
+/// process.
 pub fn start(levels: &str) -> Result<LoggerHandle, FlexiLoggerError> {
     let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     std::thread::spawn(move || write_lines(&receiver));
@@ -32,12 +33,12 @@
 fn write_lines(receiver: &Receiver<String>) {
     let mut output = std::io::stdout();
     while let Ok(line) = receiver.recv() {
-        // Nobody is left to tell when standard output is gone.
+        // There is no other place to report that standard output is closed.
         let _ = output.write_all(line.as_bytes());
     }
 }
 
-/// What one kind of line may still write in its second.
+/// Rate limit of one kind of line.
 struct RateLimit {
     window_start: Instant,
     written: u32,
@@ -49,7 +50,7 @@
         Self { window_start: now, written: 0, dropped: 0 }
     }
 
-    /// Begins a new second if it is time; returns how many lines the last one left out.
+    /// Starts a new window if the current one is over, and returns the number of lines that the old one dropped.
     fn roll_window(&mut self, now: Instant) -> u32 {
         if now.saturating_duration_since(self.window_start) < RATE_WINDOW {
             return 0;
@@ -76,7 +77,7 @@
 }
 
 impl BoundedWriter {
-    /// Whether a line may be written, and how many of its kind were left out before.
+    /// Whether a line may be written, and how many lines of its kind were dropped before it.
     fn admit(&self, target: &str, event: &str) -> (bool, u32) {
         let now = Instant::now();
         let Ok(mut limits) = self.limits.lock() else { return (false, 0) };
@@ -105,7 +106,7 @@
         line.extend(fields(record).0);
         let mut text = serde_json::Value::Object(line).to_string();
         text.push('\n');
-        // A full queue loses the line: the node must not wait for its logs.
+        // If the queue is full, the line is dropped, because the node must not wait for its logs.
         let _ = self.sender.try_send(text);
         Ok(())
     }
@@ -131,7 +132,7 @@
 
 fn fields(record: &Record<'_>) -> Fields {
     let mut fields = Fields(serde_json::Map::new());
-    // A field that cannot be shown is left out.
+    // Fields that cannot be formatted are omitted.
     let _ = record.key_values().visit(&mut fields);
     fields
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms in the text format of OpenMetrics.
+//! Metrics of a node in the OpenMetrics text format.
 
 use crate::far_traffic::FarTraffic;
 use crate::quota::figures::QuotaFigures;
@@ -12,99 +12,99 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicU64;
 
-/// Content type of the text.
+/// Content type of the rendered metrics.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Labels of a finished request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// How it ended.
+    /// Name of the outcome.
     pub outcome: &'static str,
 }
 
-/// Labels of a request that left its region.
+/// Labels of a request that was placed through another region.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CrossRegionLabels {
-    /// Why.
+    /// Why the request left its region.
     pub reason: &'static str,
 }
 
-/// Labels of what a runner says of itself.
+/// Labels of a notice that a runner gives about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct NoticeLabels {
-    /// What.
+    /// Kind of the notice.
     pub notice: &'static str,
 }
 
-/// Labels of an entry of the store that cannot be used.
+/// Labels of a store entry that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EntryLabels {
-    /// What it should have told of.
+    /// Kind of thing that the entry describes.
     pub subject: &'static str,
 }
 
-/// All metrics of a node. Counters are shared with the registry, so counting costs no look-up.
+/// All metrics of a node. Counters are shared with the registry, so counting needs no lookup.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Finished requests.
+    /// Finished requests, by outcome.
     pub requests: Family<RequestLabels, Counter>,
     /// Attempts sent to runners.
     pub attempts: Counter,
-    /// Attempts that drew on the retry budget.
+    /// Attempts that were charged to the retry budget.
     pub retries: Counter,
     /// Retries that the budget did not allow.
     pub retries_denied: Counter,
-    /// Requests that were under way at a runner when it ended.
+    /// Requests that were running on a runner when it crashed.
     pub requests_on_crashed_runners: Counter,
-    /// Requests that went into quarantine, as far as this node knows.
+    /// Requests that this node has seen enter quarantine.
     pub quarantines: Counter,
-    /// Streams that went on at another runner.
+    /// Streams that broke on one runner and may continue on another.
     pub resumes: Counter,
     /// Connections opened to runners.
     pub connections: Counter,
-    /// Requests that a scheduler has placed.
+    /// Placement replies received from schedulers in time.
     pub placements: Counter,
-    /// Choices of schedulers that were made again, as the runner takes nothing from this node.
+    /// Placements that this node rejected because the chosen runner accepts no requests from it.
     pub placements_rejected: Counter,
-    /// What runners have said of themselves in answers, once for each time that it was new.
+    /// Notices that runners gave about themselves in responses; a repeated notice counts once.
     pub runner_notices: Family<NoticeLabels, Counter>,
-    /// Attempts sent to runners that had said that they take none: always 0.
+    /// Attempts sent to runners that had announced that they accept none. Expected to stay 0.
     pub unwanted_attempts: Counter,
-    /// Requests that keepers of runners' limits let be sent.
+    /// Requests that a limit keeper allowed to be sent to a runner.
     pub limit_grants: Counter,
-    /// Requests that went elsewhere, as a runner's limit was used up.
+    /// Requests sent to another runner because a runner's limit was used up.
     pub limit_refusals: Counter,
-    /// Requests that went elsewhere, as no keeper of a runner's limit answered.
+    /// Requests sent to another runner because no limit keeper replied.
     pub limit_timeouts: Counter,
-    /// Datagrams that this program can't read: of a later or an earlier build, or damaged.
+    /// Datagrams that could not be decoded: from a later or an earlier build, or damaged.
     pub unreadable_datagrams: Counter,
-    /// Requests whose scheduler did not answer soon.
+    /// Placement queries to which the scheduler did not reply in time.
     pub placement_timeouts: Counter,
-    /// Questions that were handed on to another shard's scheduler.
+    /// Placement queries that this node forwarded to the scheduler of another shard.
     pub placements_forwarded: Counter,
-    /// Requests for which another region's scheduler was asked.
+    /// Requests for which a scheduler of another region was queried.
     pub cross_region_requests: Family<CrossRegionLabels, Counter>,
-    /// Tenants' limits.
+    /// Metrics of tenants' limits.
     pub quota: QuotaFigures,
     /// Calls to the store.
     pub store_calls: Counter,
     /// Calls to the store that failed.
     pub store_failures: Counter,
-    /// Revisions of entries of the store that could not be used.
+    /// Revisions of store entries that could not be used.
     pub refused_entries: Family<EntryLabels, Counter>,
-    /// Time for which other nodes have told of a configuration that this one has not got, seconds.
+    /// Time in seconds since another node first reported a configuration that this node has not received; 0: none.
     pub configuration_lag: Gauge<f64, AtomicU64>,
-    /// The era of the store that this node goes by.
+    /// Era of the store that this node uses.
     pub store_era: Gauge<f64, AtomicU64>,
-    /// Calls of duties that one node does for all.
+    /// Calls to the platform for duties that one node performs on behalf of all.
     pub cloud_calls: Counter,
-    /// Time to the first byte of an answer, seconds.
+    /// Time from a request's arrival to the first byte of its response, in seconds.
     pub first_byte: Histogram,
     registry: Registry,
 }
 
 impl Metrics {
-    /// Nothing counted; what goes to other regions is counted by the socket.
+    /// Creates the metrics with all values 0. `far_traffic` counts the bytes sent to other regions.
     pub fn new(far_traffic: &FarTraffic) -> Self {
         const FIRST_BUCKET_S: f64 = 0.002;
         const BUCKETS: u16 = 14;
@@ -139,7 +139,7 @@
             registry: Registry::with_prefix("pitchstall"),
         };
         metrics.register();
-        let help = "Bytes of words to nodes of other regions";
+        let help = "Bytes of datagrams sent to nodes of other regions";
         metrics.registry.register("far_bytes", help, far_traffic.bytes());
         metrics
     }
@@ -147,56 +147,72 @@
     fn register(&mut self) {
         let counters = [
             ("attempts", "Attempts sent to runners", &self.attempts),
-            ("retries", "Attempts that drew on the retry budget", &self.retries),
+            ("retries", "Attempts charged to the retry budget", &self.retries),
             ("retries_denied", "Retries that the budget did not allow", &self.retries_denied),
             (
                 "requests_under_ended_runners",
-                "Requests under way at a runner when it ended",
+                "Requests running on a runner when it crashed",
                 &self.requests_on_crashed_runners,
             ),
-            ("quarantines", "Requests that went into quarantine", &self.quarantines),
-            ("resumes", "Streams that went on at another runner", &self.resumes),
+            ("quarantines", "Requests that entered quarantine", &self.quarantines),
+            (
+                "resumes",
+                "Streams that broke on one runner and may continue on another",
+                &self.resumes,
+            ),
             ("connections", "Connections opened to runners", &self.connections),
-            ("placements_told", "Requests that a scheduler has placed", &self.placements),
+            (
+                "placements_told",
+                "Placement replies received from schedulers in time",
+                &self.placements,
+            ),
             (
                 "placements_dropped",
-                "Choices of schedulers that were made again",
+                "Placements rejected because the runner accepts no requests from this node",
                 &self.placements_rejected,
             ),
             (
                 "unwanted_attempts",
-                "Attempts sent to runners that had said that they take none",
+                "Attempts sent to runners that had announced that they accept none",
                 &self.unwanted_attempts,
             ),
-            ("limit_grants", "Requests sent to runners that name a limit", &self.limit_grants),
+            (
+                "limit_grants",
+                "Requests allowed by the keeper of a runner's limit",
+                &self.limit_grants,
+            ),
             (
                 "limit_refusals",
-                "Requests that went elsewhere as a runner's limit was used up",
+                "Requests sent to another runner because a runner's limit was used up",
                 &self.limit_refusals,
             ),
             (
                 "limit_unanswered",
-                "Requests that went elsewhere as no keeper of a runner's limit answered",
+                "Requests sent to another runner because no limit keeper replied",
                 &self.limit_timeouts,
             ),
             (
                 "words_unread",
-                "Datagrams of other nodes that cannot be read",
+                "Datagrams of other nodes that could not be decoded",
                 &self.unreadable_datagrams,
             ),
             (
                 "placements_missed",
-                "Requests whose scheduler did not answer soon",
+                "Placement queries without a timely reply",
                 &self.placement_timeouts,
             ),
             (
                 "placements_handed_on",
-                "Questions handed on to another scheduler",
+                "Placement queries forwarded to another scheduler",
                 &self.placements_forwarded,
             ),
             ("store_calls", "Calls to the store", &self.store_calls),
             ("store_failures", "Calls to the store that failed", &self.store_failures),
-            ("cloud_calls", "Calls of duties that one node does for all", &self.cloud_calls),
+            (
+                "cloud_calls",
+                "Calls to the platform for duties performed on behalf of all nodes",
+                &self.cloud_calls,
+            ),
         ];
         for (name, help, counter) in counters {
             self.registry.register(name, help, counter.clone());
@@ -207,23 +223,23 @@
         let cross_region_requests = self.cross_region_requests.clone();
         self.registry.register(
             "left_region",
-            "Requests that left their region",
+            "Requests for which a scheduler of another region was queried",
             cross_region_requests,
         );
         let runner_notices = self.runner_notices.clone();
-        let help = "What runners have newly said of themselves in answers";
+        let help = "New notices that runners gave about themselves in responses";
         self.registry.register("runner_notices", help, runner_notices);
         let refused_entries = self.refused_entries.clone();
-        let help = "Revisions of entries of the store that could not be used";
+        let help = "Revisions of store entries that could not be used";
         self.registry.register("entries_refused", help, refused_entries);
         let help =
-            "Time for which others have told of a configuration that is not in force here, seconds";
+            "Time since another node first reported a configuration that this node lacks, in seconds";
         let configuration_lag = self.configuration_lag.clone();
         self.registry.register("configuration_behind_seconds", help, configuration_lag);
-        let help = "Era of the store that this node goes by";
+        let help = "Era of the store that this node uses";
         self.registry.register("store_era", help, self.store_era.clone());
         let first_byte = self.first_byte.clone();
-        let help = "Time to the first byte of an answer, seconds";
+        let help = "Time to the first byte of a response, in seconds";
         self.registry.register("first_byte_seconds", help, first_byte);
     }
 
@@ -232,24 +248,24 @@
         self.requests.get_or_create(&RequestLabels { outcome }).inc();
     }
 
-    /// Counts a revision of an entry that could not be used.
+    /// Counts a revision of a store entry that could not be used.
     pub fn on_refused_entry(&self, subject: &'static str) {
         self.refused_entries.get_or_create(&EntryLabels { subject }).inc();
     }
 
-    /// Counts what a runner has said of itself.
+    /// Counts a new notice of a runner about itself.
     pub fn on_runner_notice(&self, notice: &'static str) {
         self.runner_notices.get_or_create(&NoticeLabels { notice }).inc();
     }
 
-    /// Counts a request that left its region.
+    /// Counts a request for which a scheduler of another region was queried.
     pub fn on_cross_region_request(&self, reason: CrossRegionReason) {
         self.cross_region_requests
             .get_or_create(&CrossRegionLabels { reason: reason.name() })
             .inc();
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub fn render(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -1,7 +1,7 @@
-//! The operators' policy program, as the node runs it.
+//! Runs the operators' policy program.
 //!
-//! It is compiled once, when the settings are read, and run once for each request. It can only
-//! narrow where a request may run; a program that fails refuses the request.
+//! The program is compiled once, when the settings are read, and runs once per request. It can only
+//! restrict where a request may run. If it fails, the request is refused.
 
 use crate::intake::ClientRequest;
 use crate::node::Node;
@@ -10,23 +10,23 @@
 use pitchstall_serving::ids::{ServiceName, ZoneId};
 use std::collections::BTreeSet;
 
-/// What a program decided for a request.
+/// Where a request may run and with which priority.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlacementRules {
-    /// Zones that are left; `None`: all.
+    /// Zones in which the request may run; `None`: all zones.
     pub zones: Option<BTreeSet<ZoneId>>,
-    /// Rank; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// A program that is ready to run.
+/// A compiled program.
 pub struct PolicyProgram {
     engine: PolicyEngine,
     policy: Policy,
 }
 
 impl PolicyProgram {
-    /// Reads and compiles the program that the settings name, if they name one.
+    /// Reads and compiles the program that the settings name; `None` if they name none.
     pub fn read(section: &PolicySection) -> Result<Option<Self>, SettingsError> {
         let Some(path) = &section.program else { return Ok(None) };
         let source = std::fs::read_to_string(path)
@@ -39,7 +39,8 @@
     }
 }
 
-/// What the program in force decides for a request that has a rank without it.
+/// Runs the current program for a request. `priority` applies if there is no program or if it decides
+/// none.
 pub fn placement_rules(
     node: &Node,
     request: &ClientRequest,
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -1,4 +1,5 @@
-//! Has a prompt read by a prefill runner, and keeps the handle until it is taken or freed.
+//! Runs the prefill of a prompt on a prefill runner and holds the KV handle until a decode runner uses it or it is
+//! released.
 
 use crate::attempt::{self, AttemptEnd, AttemptParams, Prepared};
 use crate::broken_attempt::{on_broken, BrokenAttempt};
@@ -18,21 +19,21 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time to free a handle. One that is not freed lapses by itself.
+/// Maximum time for releasing a handle. A handle that is not released expires by itself.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The KV cache of a prompt that was read. Freed when dropped, unless it was taken.
+/// The KV cache of a prefilled prompt. Its handle is released on drop, unless a decode runner has used it.
 pub struct PrefilledPrompt {
-    /// The handle.
+    /// Handle of the KV cache on the prefill runner.
     pub handle: KvHandle,
-    /// Zone of the runner that keeps it.
+    /// Zone of the prefill runner.
     pub zone: ZoneId,
     runner: RunnerId,
     is_transferred: Cell<bool>,
 }
 
 impl PrefilledPrompt {
-    /// A decode runner has taken it over.
+    /// Records that a decode runner has taken over the KV cache, so that its handle is not released.
     pub fn mark_transferred(&self) {
         self.is_transferred.set(true);
     }
@@ -56,32 +57,32 @@
         connection.read_head().await.ok()
     };
     let freed = matches!(timeout(RELEASE_TIMEOUT, exchange).await, Ok(Some(_)));
-    log::info!(target: "reading", runner = runner.as_str(), handle = name, freed; "handle freed");
+    log::info!(target: "reading", runner = runner.as_str(), handle = name, freed; "handle released");
 }
 
-/// How the reading of a prompt ended.
+/// How a prefill ended.
 pub enum PrefillOutcome {
-    /// It was read.
+    /// The prompt was prefilled.
     Prefilled(PrefilledPrompt),
-    /// The runner declined it.
+    /// The runner declined the request without running it.
     Declined,
-    /// It failed; reading may be repeated.
+    /// The prefill failed and may be repeated.
     Failed,
 }
 
-/// The request whose prompt is to be read.
+/// A prefill to run.
 pub struct PrefillRequest<'a> {
-    /// The request.
+    /// The client's request.
     pub request: &'a ClientRequest,
-    /// Its service.
+    /// Service of the request.
     pub service: &'a ServiceName,
-    /// Its prompt.
+    /// Prompt of the request.
     pub prompt: &'a Prompt,
-    /// Who is to read it.
+    /// The chosen prefill runner.
     pub choice: &'a RunnerChoice,
 }
 
-/// Sends a request to be read only.
+/// Sends a request to a prefill runner and waits for the KV handle.
 pub async fn run_prefill(
     node: &Rc<Node>,
     demand: &PrefillRequest<'_>,
@@ -101,7 +102,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
             let (request, error) = (demand.request.metadata.id.as_str(), error.to_string());
-            log::info!(target: "reading", request, runner = runner.as_str(), error; "broken off");
+            log::info!(target: "reading", request, runner = runner.as_str(), error; "response interrupted");
             let tenant = params.tenant.as_ref();
             let broken = BrokenAttempt { request: demand.request, tenant, runner: &runner };
             on_broken(node, broken);
@@ -112,7 +113,8 @@
     let prefill_result =
         if response.status == 200 { paths::parse_prompt_read(&response.body) } else { None };
     let Some(prefill_result) = prefill_result else { return PrefillOutcome::Failed };
-    // The handle holds whichever life has given it; what else is believed of this one is over.
+    // The handle is valid whichever incarnation of the runner returned it. If it is not the known incarnation, the
+    // state recorded for that one no longer applies.
     match runner.matches_start(prefill_result.born_ms) {
         true => node.on_parts_held(&runner, demand.prompt.shared_prefix()),
         false => node.on_other_life(&runner, prefill_result.born_ms),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Forwards a stream's events to the client as they come.
+//! Forwards the events of a stream to the client as they arrive.
 
 use crate::attempt::Answering;
 use crate::clock::Instant;
@@ -8,18 +8,18 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Where a stream stands towards its client, over all of its runs.
+/// State of a stream towards its client, across all runs of the request.
 pub struct StreamState {
-    /// Joins the runs.
+    /// Drops events that an earlier run has already delivered.
     pub deduplicator: EventDeduplicator,
-    /// Whether the client has the head.
+    /// Whether the head of the response has been written.
     pub is_head_sent: bool,
-    /// When the client got the last event.
+    /// When the last events were forwarded to the client; `None`: none yet.
     pub last_event_at: Option<Instant>,
 }
 
 impl StreamState {
-    /// A stream of which the client has what it says it has.
+    /// Creates the state of a stream. `last_event_id` is the last event that the client has, according to its request.
     pub fn new(last_event_id: Option<u64>) -> Self {
         Self {
             deduplicator: EventDeduplicator::after(last_event_id),
@@ -29,32 +29,32 @@
     }
 }
 
-/// How a run of a stream ended.
+/// How the relay of one run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayOutcome {
-    /// As its framing tells: whole.
+    /// The response ended as its framing requires.
     Complete,
-    /// The runner broke it off.
+    /// The runner ended the response early.
     ConnectionLost,
-    /// Nothing has come for the longest pause; the run may go on all the same.
+    /// No bytes arrived for the maximum pause. The run may still continue.
     Stalled,
-    /// The request's time is up.
+    /// The deadline of the request has passed.
     DeadlineExceeded,
-    /// The client has gone.
+    /// The client has disconnected.
     ClientDisconnected,
 }
 
-/// Time limits of a run.
+/// Time limits for relaying a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayLimits {
-    /// When the request's time is up.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// Longest pause between events before the run counts as silent.
+    /// Longest time without any bytes before the run counts as stalled.
     pub max_pause: Duration,
 }
 
-/// Forwards one run of a stream. Only whole events pass, so that another run can follow. What is left
-/// of an event stays in `splitter`: a run that was silent can be followed on.
+/// Forwards one run of a stream. Only complete events are forwarded, so that another run can continue the stream.
+/// Bytes of an incomplete event stay in `splitter`, so that relaying a stalled run can be resumed.
 pub async fn relay(
     answering: &Answering,
     client: &ClientConnection,
@@ -116,8 +116,8 @@
     Ok(())
 }
 
-/// The body has ended. Without a length, the end of the connection is also what a runner that
-/// stops in the middle of an event leaves behind.
+/// Handles the end of the body. If the body ends with the connection and an event is incomplete, the runner has
+/// stopped in the middle of that event.
 async fn finish(
     answering: &Answering,
     splitter: &EventSplitter,
--- a/crates/gateway/src/runner_probe.rs
+++ b/crates/gateway/src/runner_probe.rs
@@ -1,4 +1,4 @@
-//! Settles doubts about runners by opening connections to them.
+//! Checks whether silent runners can be reached by opening connections to them.
 
 use crate::clock::Instant;
 use crate::http::{ConnectError, Upstream};
@@ -8,14 +8,15 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time to open a connection to a runner. Runners are tens of milliseconds away at most; one that takes longer is full,
-/// dark or cut off, and another may be tried since nothing has been sent.
+/// Maximum time for opening a connection to a runner. Runners are tens of milliseconds away at most. One that takes
+/// longer is overloaded, down or cut off, and since nothing has been sent, another runner may be tried.
 pub const RUNNER_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// A look that took so many times its limit was held up by the node itself.
+/// A probe that took more than this multiple of its timeout was delayed by the node itself, so its failure says
+/// nothing about the runner.
 const NODE_STALL_FACTOR: u32 = 2;
 
-/// Looks whether a runner can be reached, unless it has shown that since `since_us`, or
-/// somebody is looking. The connection is kept for the next request.
+/// Starts a check whether a runner can be reached, unless the runner has shown that since `since_us` or another check
+/// is under way. A connection that opens goes to the pool for the next request.
 pub fn probe(node: &Rc<Node>, runner: &RunnerId, since_us: u64) {
     let mut fleet = node.fleet.borrow_mut();
     let is_due = fleet.update_suspicion(runner, |suspicion| suspicion.begin_probe(since_us));
@@ -39,7 +40,8 @@
     }
 }
 
-/// Doubts a runner whenever nothing has come from it for so long. Ends never.
+/// Probes a runner after `after`, and then at intervals that double each time. Never completes; the caller drops it
+/// when the runner responds.
 pub async fn probe_while_silent(node: &Rc<Node>, runner: &RunnerId, after: Duration) {
     let mut interval = after;
     loop {
@@ -50,7 +52,7 @@
     }
 }
 
-/// Ends when a runner that was not suspected is.
+/// Completes when a runner becomes suspected of having failed. Never completes if the runner is suspected already.
 pub async fn wait_until_suspected(node: &Node, runner: &RunnerId) {
     let is_suspected = || {
         let fleet = node.fleet.borrow();
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a node: TOML, checked as a whole before anything starts.
+//! The settings file of a node: TOML that is validated completely before the node starts.
 
 use pitchstall_policy::PolicyError;
 use pitchstall_serving::capacity_planner::CapacityPolicy;
@@ -11,154 +11,154 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who the node is.
+    /// Identity of the node.
     pub node: NodeSection,
-    /// Where it listens.
+    /// Addresses on which the node listens.
     pub listen: ListenSection,
-    /// Where the platform's store is.
+    /// The platform's store.
     pub store: StoreSection,
-    /// What the users bound.
+    /// Time and retry bounds set by the users of the service.
     pub bounds: BoundsSection,
-    /// The platform's interface for duties of the whole system; none: there are none.
+    /// The platform's interface for duties that one node performs on behalf of all; `None`: there are no such duties.
     pub cloud: Option<CloudSection>,
-    /// Bounds on how many runners are ordered.
+    /// Bounds on the number of runners that are ordered.
     #[serde(default)]
     pub capacity: CapacitySection,
-    /// What the machine has.
+    /// Resources of the machine.
     #[serde(default)]
     pub machine: MachineSection,
-    /// How far tenants' limits may be exceeded.
+    /// Tolerance for exceeding tenants' limits.
     #[serde(default)]
     pub quota: QuotaSection,
     /// The operators' policy program.
     #[serde(default)]
     pub policy: PolicySection,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSection,
 }
 
-/// Who the node is.
+/// Identity of the node.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSection {
-    /// Its name.
+    /// Name of the node, which identifies it to other nodes.
     pub name: String,
-    /// Its zone.
+    /// Zone in which the node runs.
     pub zone: String,
-    /// The regions of the zones, this one's among them; a zone that is not named is a region of its own.
+    /// The region of each zone, including this node's zone. A zone without an entry is a region of its own.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// Addresses of some other machines, `IP:port`, for a start while the store is away. They may be
-    /// stale. Only the IP counts: nodes listen for each other at the same port everywhere.
+    /// Addresses of some other machines (`IP:port`), for a start while the store is unavailable. They may be
+    /// stale. Only the IP is used, because all nodes use the same port for peers.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Where the node listens, `IP:port`.
+/// Addresses on which the node listens (`IP:port`).
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSection {
-    /// For callers.
+    /// Address for clients.
     pub callers: SocketAddr,
-    /// For questions whether it takes callers, and for metrics.
+    /// Address for readiness checks, metrics and reports.
     pub health: SocketAddr,
-    /// For other nodes.
+    /// Address for other nodes, UDP and TCP.
     pub peers: SocketAddr,
 }
 
-/// Where the platform's store is.
+/// The platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSection {
-    /// `IP:port`.
+    /// Address of the store (`IP:port`).
     pub address: SocketAddr,
 }
 
-/// What the users bound.
+/// Time and retry bounds set by the users of the service.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoundsSection {
-    /// Time without faults after which a node counts as in touch, milliseconds.
+    /// Time without faults after which a node counts as in contact, in milliseconds.
     pub contact_ms: u64,
-    /// Time from a planned stop to the forced one, seconds.
+    /// Grace period from a planned stop to the forced stop, in seconds.
     pub grace_s: f64,
-    /// Time that must lie between orders of two nodes to a runner, milliseconds.
+    /// Minimum time between orders of two different nodes to the same runner, in milliseconds.
     pub lease_ms: u64,
-    /// Extra attempts for each request, over all nodes.
+    /// Number of extra attempts allowed per request, over all nodes.
     pub retry_ratio: f64,
-    /// Extra attempts besides, over all nodes.
+    /// Number of extra attempts allowed in addition, over all nodes.
     pub retry_slack: f64,
-    /// Time within which a configuration is in force at all nodes, milliseconds.
+    /// Time within which all nodes apply a new configuration, in milliseconds.
     #[serde(default = "default_config_apply_ms")]
     pub config_apply_ms: u64,
-    /// Whether a node that has lost touch with the store stops serving keys after `revoke_ms`.
+    /// Whether a node that has lost contact with the store stops accepting keys after `revoke_ms`.
     #[serde(default)]
     pub revoke_strict: bool,
-    /// Time after which a key that was taken away is not served any more, milliseconds.
+    /// Time after which a revoked key is no longer accepted, in milliseconds. Required if `revoke_strict` is set.
     pub revoke_ms: Option<u64>,
 }
 
-/// The users' deployments allow 2 s and more.
+/// The strictest of the users' deployments allows 2 s.
 fn default_config_apply_ms() -> u64 {
     2_000
 }
 
-/// The platform's interface for duties that one node does for all.
+/// The platform's interface for duties that one node performs on behalf of all.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CloudSection {
-    /// `IP:port`.
+    /// Address of the interface (`IP:port`).
     pub address: SocketAddr,
-    /// What there is to do.
+    /// The duties to perform.
     pub duties: Vec<Duty>,
-    /// When usage is reported; none: it is not.
+    /// When usage is reported; `None`: it is not reported.
     pub usage: Option<UsageSection>,
 }
 
 impl CloudSection {
-    /// Whether there is such a duty.
+    /// Whether the settings list a duty.
     pub fn has(&self, duty: Duty) -> bool {
         self.duties.contains(&duty)
     }
 }
 
-/// Something that one node does for all.
+/// A duty that one node performs on behalf of all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum Duty {
-    /// To report how many requests of each tenant began to run.
+    /// Reports how many requests of each tenant have started to run.
     #[serde(rename = "usage_report")]
     Usage,
-    /// To order how many runners there are.
+    /// Adjusts the number of runners through orders to the platform.
     #[serde(rename = "autoscale")]
     Scaling,
-    /// Something that this version does not know.
+    /// A duty that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// Windows that are shorter could not be told apart by clocks of different machines.
+/// Minimum length of a window. Shorter windows could not be distinguished by the clocks of different machines.
 const MIN_WINDOW_S: f64 = 0.1;
 
 /// When usage is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageSection {
-    /// Length of the windows for which requests are counted, seconds.
+    /// Length of the windows for which requests are counted, in seconds.
     pub window_s: f64,
-    /// Time after the end of a window within which its report is due, seconds.
+    /// Time after the end of a window within which its report is due, in seconds.
     pub due_s: f64,
 }
 
-/// Bounds on how many runners are ordered, where they can be.
+/// Bounds on the number of runners that are ordered, on platforms where runners can be ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CapacitySection {
-    /// Whether runners that may be taken away are ordered.
+    /// Whether preemptible runners are ordered.
     pub preemptible: bool,
-    /// Share of the runners found at first that stand on ones that stay.
+    /// Minimum share of reserved (not preemptible) runners, relative to the number of runners found at start; 0 to 1.
     pub least_reserved: f64,
-    /// Runners beyond those found at first, as a share of them.
+    /// Number of runners beyond those found at start, as a share of them; -0.9 to 10.
     pub headroom: f64,
 }
 
@@ -173,34 +173,34 @@
     }
 }
 
-/// How far the sum over all nodes may lie above a tenant's limit.
+/// How far the sum over all nodes may exceed a tenant's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuotaSection {
-    /// Length of the windows in which that is judged, seconds.
+    /// Length of the windows for which the excess is judged, in seconds.
     pub window_s: f64,
-    /// Share of what the limit allows in a window.
+    /// Allowed excess as a share of what the limit allows in a window; 0 to 10.
     pub overage: f64,
-    /// Units, requests or tokens, besides.
+    /// Allowed excess in addition, in units of the limit (requests or tokens).
     pub slack: u64,
 }
 
 impl Default for QuotaSection {
-    /// The strictest that the users' deployments ask for a window, and nothing above the limit.
+    /// The shortest window that the users' deployments require, and no excess.
     fn default() -> Self {
         Self { window_s: 8.0, overage: 0.0, slack: 0 }
     }
 }
 
-/// What the machine has.
+/// Resources of the machine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineSection {
-    /// Memory for this process, megabytes.
+    /// Memory available to this process, in megabytes.
     pub memory_mb: u64,
-    /// File descriptors for this process.
+    /// Number of file descriptors available to this process.
     pub file_descriptors: u64,
-    /// Share of a processor for this process, in cores.
+    /// Processor share available to this process, in cores.
     #[serde(default = "default_processor_share")]
     pub processor_share: f64,
 }
@@ -219,15 +219,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySection {
-    /// File with the program; none: requests may go to every zone.
+    /// File with the program; `None`: requests may run in every zone.
     pub program: Option<PathBuf>,
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSection {
-    /// Levels, as `info` or `info,pitchstall_gateway=debug`.
+    /// Log levels, such as `info` or `info,pitchstall_gateway=debug`.
     pub levels: String,
 }
 
@@ -237,7 +237,7 @@
     }
 }
 
-/// Settings cannot be used.
+/// Why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -245,15 +245,15 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The file is not what is expected.
+    /// The file is not valid TOML or does not match the expected structure.
     #[error("{path}: {cause}")]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// Line, column and what is expected.
+        /// Line, column and the expected value.
         cause: Box<toml::de::Error>,
     },
     /// The policy program does not compile.
@@ -261,7 +261,7 @@
     Policy {
         /// The program's file.
         path: PathBuf,
-        /// Why.
+        /// The error of the compiler.
         cause: PolicyError,
     },
     /// A value is out of its range.
@@ -269,22 +269,22 @@
     Value {
         /// The file.
         path: PathBuf,
-        /// Section and field.
+        /// Section and name of the field.
         field: &'static str,
-        /// What is expected.
+        /// The expected value.
         expected: &'static str,
     },
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|cause| SettingsError::Unreadable { path: path.to_owned(), cause })?;
         Self::parse(path, &text)
     }
 
-    /// Checks the text of a file.
+    /// Parses and validates the text of a settings file. `path` is used in error messages only.
     pub fn parse(path: &Path, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|cause| SettingsError::Invalid {
             path: path.to_owned(),
@@ -311,7 +311,7 @@
             (
                 !bounds.revoke_strict || bounds.revoke_ms.is_some(),
                 "bounds.revoke_ms",
-                "a time, as revoke_strict is set",
+                "a time, because revoke_strict is set",
             ),
             (
                 usage.is_none_or(|it| it.window_s >= MIN_WINDOW_S),
--- a/crates/gateway/tests/connection_pool.rs
+++ b/crates/gateway/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! How long connections to runners are trusted to rest.
+//! Limits on the idle time of pooled connections to runners.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -23,7 +23,7 @@
     limit.on_stale_connection(400 * MILLI, now);
     assert_eq!(limit.at(now), Some(240 * MILLI));
     limit.on_stale_connection(900 * MILLI, now);
-    assert_eq!(limit.at(now), Some(240 * MILLI), "a longer rest teaches nothing new");
+    assert_eq!(limit.at(now), Some(240 * MILLI), "a longer idle time does not raise the limit");
     let later = limit.at(now + Duration::from_secs(4)).unwrap();
     assert!((470 * MILLI..490 * MILLI).contains(&later), "{later:?}");
     assert!(limit.at(now + Duration::from_secs(4_000)).unwrap() > Duration::from_secs(10));
@@ -36,7 +36,8 @@
     assert_eq!(limit.at(Instant::now()), None);
 }
 
-/// The runner answers the first request of each connection and resets it at the next.
+/// The runner responds to the first request of each connection and resets the connection at the second, like a runner
+/// that has dropped an idle connection silently.
 #[test]
 fn after_one_stale_connection_no_request_uses_another_idle_one() {
     let known = Mutex::new(HashSet::new());
@@ -49,7 +50,7 @@
     let runner = runner.unwrap();
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let mut statuses = Vec::new();
-    // Each rest is longer than the one before it, however slow this machine is.
+    // Each idle time is longer than the previous one, even on a slow machine.
     let mut idle_time = 200 * MILLI;
     for number in 0..5 {
         let mut client = node.client();
@@ -59,6 +60,6 @@
         std::thread::sleep(idle_time);
         idle_time = began.elapsed() * 3 / 2;
     }
-    // The second is lost: it may have run. The others go on new connections.
+    // The second request is lost and may have run. The later ones use new connections.
     assert_eq!(statuses, [200, 502, 200, 200, 200]);
 }
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests through a node, against runners that behave and runners that do not.
+//! Requests through a node to runners that behave correctly and runners that misbehave.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -86,14 +86,14 @@
 }
 
 #[test_case("POST /booking/1 HTTP/1.1\r\nHost: desk.example\r\nX-Pitchstall-Request-Id: a\r\n\
-    Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400; "two ways to tell the length")]
+    Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400; "two framings")]
 #[test_case("POST /booking/1 HTTP/1.1\r\nHost: desk.example\r\nX-Pitchstall-Request-Id: a\r\n\
     Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcde", 400; "two lengths")]
 #[test_case("POST /booking/1 HTTP/1.1\r\nHost: desk.example\r\n\r\n", 400; "no id")]
 #[test_case("POST /booking/1 HTTP/1.1\r\nHost: desk.example\r\nX-Pitchstall-Request-Id: a\r\n\
     X-Pitchstall-Request-Id: b\r\n\r\n", 400; "two ids")]
 #[test_case("POST /booking/1 HTTP/1.1\r\nHost: desk.example\r\nX-Pitchstall-Request-Id: a\r\n\
-    X-Pitchstall-Deadline-Ms: soon\r\n\r\n", 400; "a deadline that is no number")]
+    X-Pitchstall-Deadline-Ms: soon\r\n\r\n", 400; "a deadline that is not a number")]
 #[test_case("POST /booking/1 HTTP/1.1\r\nHost: desk.example\r\nX-Pitchstall-Request-Id: a\r\n\
     Content-Length: 70000\r\n\r\n", 413; "a body over the limit")]
 #[test_case("no HTTP at all\r\n\r\n", 400; "no HTTP")]
@@ -135,19 +135,19 @@
         let mut client = node.client();
         client.request("POST", "/booking/1", &format!("id-{number}"), "", b"x");
         let response = client.read_response();
-        // The budget is earned by requests, so a refusal may come before it allows a retry.
+        // Requests fill the retry budget, so a refusal may be returned before it allows a retry.
         assert!(matches!(response.status, 200 | 503), "{}", response.status);
         assert_eq!(response.status == 503, response.header("retry-after").is_some());
     }
     assert!(!free.requests().is_empty());
 }
 
-#[test_case(Reaction::RawThenClose(Vec::new()); "closed unanswered")]
-#[test_case(Reaction::RawThenReset(Vec::new()); "reset unanswered")]
-#[test_case(Reaction::Raw(b"what is this\r\n\r\n".to_vec()); "no answer in HTTP")]
-#[test_case(Reaction::RawThenClose(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhal".to_vec()); "not signed and cut")]
+#[test_case(Reaction::RawThenClose(Vec::new()); "closed without a response")]
+#[test_case(Reaction::RawThenReset(Vec::new()); "reset without a response")]
+#[test_case(Reaction::Raw(b"what is this\r\n\r\n".to_vec()); "no HTTP response")]
+#[test_case(Reaction::RawThenClose(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhal".to_vec()); "unsigned and truncated")]
 #[test_case(Reaction::Raw(answer_bytes(200, &[], b"whose?")); "a success without a signature")]
-#[test_case(Reaction::Raw(answer_bytes(503, &[], b"")); "a refusal that promises nothing")]
+#[test_case(Reaction::Raw(answer_bytes(503, &[], b"")); "a refusal without a promise that it has not run")]
 fn a_request_that_may_have_run_is_neither_retried_nor_reported_as_refused(reaction: Reaction) {
     let runs = std::sync::Arc::new(AtomicUsize::new(0));
     let counted = runs.clone();
@@ -328,9 +328,9 @@
     client.request("POST", "/draft/1", "id-1", "", b"x");
     let response = client.read_response();
     assert!(!response.complete);
-    assert_eq!(response.text(), events(0..=4), "only whole events pass");
+    assert_eq!(response.text(), events(0..=4), "only complete events are forwarded");
     assert!(client.is_closed_by_node());
-    // The node may also have asked the runner what it keeps; that is no run.
+    // The node may also have asked the runner for its cache listing, which is not a run.
     let is_run = |request: &&ReceivedRequest| request.header("x-pitchstall-request-id").is_some();
     assert_eq!(runner.requests().iter().filter(is_run).count(), 1, "it may not run twice");
 }
@@ -346,7 +346,7 @@
     let two = RunnerStandIn::start("i-2", breaking).unwrap();
     let runners = [(&one, "llm", Some("decode")), (&two, "llm", Some("decode"))];
     let node = Fixture::with_runners(&runners);
-    // Requests earn the budget for the one that is resumed.
+    // These requests fill the retry budget for the stream that is resumed below.
     let mut client = node.client();
     for number in 0..3 {
         let id = format!("earn-{number}");
@@ -456,7 +456,7 @@
     }
     let is_slow = |request: &&ReceivedRequest| request.path() == "/booking/slow";
     wait_for("both to be there", || runner.requests().iter().filter(is_slow).count() == 2);
-    assert_eq!(ask("/marker/1"), 503, "refused, since it surely has not run");
+    assert_eq!(ask("/marker/1"), 503, "refused, because it has certainly not run");
 }
 
 #[test]
@@ -467,7 +467,7 @@
     })
     .unwrap();
     let node = Fixture::with_runners(&[(&slow, "llm", Some("decode"))]);
-    // Earns what a retry costs.
+    // Gives the node a runner whose requests fill the retry budget.
     let desk = desk(|_| ok("booked"));
     node.add_runner(&desk, "desk", None);
     let mut client = node.client();
--- a/crates/gateway/tests/policy.rs
+++ b/crates/gateway/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The operators' policy program, run by a node.
+//! Policy programs of operators, run by a node.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use support::{configuration, Fixture};
 
-/// The stand-ins' runners are in zone `north`, and so is the node.
+/// The node and the stand-in runners are all in zone `north`.
 const FORBIDS_ITS_ZONE: &str = "#{ zones: zones.filter(|other| other != zone) }";
 
 fn node_with_program(name: &str, program: &str, runner: &RunnerStandIn) -> (Fixture, PathBuf) {
--- a/crates/gateway/tests/response_codec.rs
+++ b/crates/gateway/tests/response_codec.rs
@@ -1,4 +1,4 @@
-//! Decoding of answers, however their bytes come.
+//! Decoding of responses whose bytes arrive in pieces of any size.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use ntex::codec::Decoder;
@@ -42,7 +42,7 @@
     assert_eq!(ResponseHeadDecoder.decode(&mut source), Err(ResponseDecodeError::HeadTooLarge));
 }
 
-/// Feeds bytes in pieces and returns the body, and whether it has ended.
+/// Decodes bytes that arrive in pieces, and returns the body and whether it has ended.
 fn decode(
     framing: Framing,
     bytes: &[u8],
@@ -77,7 +77,7 @@
         }
         bytes.extend_from_slice(b"0\r\ntrailer: x\r\n\r\n");
         prop_assert_eq!(decode(Framing::Chunked, &bytes, piece), Ok((chunks.concat(), true)));
-        // Without its last byte it has not ended.
+        // Without its last byte, the body has not ended.
         let cut = &bytes[..bytes.len() - 1];
         prop_assert_eq!(decode(Framing::Chunked, cut, piece).map(|(_, ended)| ended), Ok(false));
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node among stand-ins, and a client that sees every byte.
+//! A node with stand-ins for the store and the runners, and a client that exposes every byte of the response.
 #![allow(dead_code, clippy::unwrap_used, clippy::panic, missing_docs)]
 
 use ntex::rt::{DefaultRuntime, System};
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// No test waits longer for something that should happen.
+/// Maximum time that a test waits for an expected condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const HOST: &str = "desk.example";
@@ -28,8 +28,8 @@
     }
 }
 
-/// A loopback address that no other fixture has, of this process or another: ports that are
-/// free now may be taken by the time they are used.
+/// A loopback address that no other fixture of this or another process uses. Picking free ports instead would be a
+/// race: a port that is free now may be taken by the time it is used.
 fn unique_loopback_ip() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
@@ -37,7 +37,7 @@
     Ipv4Addr::new(127, 1 + high % 200, low, NEXT.fetch_add(1, Ordering::SeqCst)).into()
 }
 
-/// A machine's address, before its node starts.
+/// The address of a node, reserved before the node starts.
 #[derive(Clone, Copy)]
 pub struct NodeAddress {
     ip: IpAddr,
@@ -48,7 +48,7 @@
         Self { ip: unique_loopback_ip() }
     }
 
-    /// Where other nodes reach the node.
+    /// Address at which other nodes reach the node.
     pub fn peers(&self) -> SocketAddr {
         SocketAddr::new(self.ip, PEERS_PORT)
     }
@@ -66,8 +66,8 @@
     })
 }
 
-/// Routes `booking` (not repeatable), `lookup` (repeatable), `draft` (a stream) and
-/// `summary` (a stream that may be resumed).
+/// Routes `booking` (not idempotent), `lookup` (idempotent), `draft` (a stream) and `summary` (a
+/// resumable stream).
 pub fn configuration(version: u64) -> Value {
     let mut summary = route("summary", "streaming", "llm");
     summary["resumable"] = true.into();
@@ -92,7 +92,7 @@
     })
 }
 
-/// The same with many routes more, one of them `added`: some 800 KB.
+/// The same configuration with 4,200 more routes and the route `added`, about 800 KB in total.
 pub fn large_configuration(version: u64) -> Value {
     const MANY_ROUTES: usize = 4_200;
     let mut large = configuration(version);
@@ -110,7 +110,7 @@
     client.read_response().status == 200
 }
 
-/// A runner's entry as it writes it, where the platform does not tell when runners start.
+/// A runner's registry entry on a platform that does not report when runners start.
 pub fn runner_entry(runner: &RunnerStandIn, service: &str, zone: &str, state: &str) -> Value {
     json!({
         "service": service, "address": runner.address().to_string(), "zone": zone,
@@ -118,12 +118,12 @@
     })
 }
 
-/// A whole answer in JSON.
+/// A complete JSON response with status 200.
 pub fn json_response(text: &str) -> Reaction {
     Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
 }
 
-/// A prefill runner that takes orders, tells that it has taken three before, and goes on reading prompts.
+/// A prefill runner that accepts orders, reports that it has accepted three before, and stays in the prefill stage.
 pub fn prefill_runner(id: &str) -> RunnerStandIn {
     RunnerStandIn::start(id, |request| match request.target.as_str() {
         "/v1/report" => json_response(r#"{"stage":"prefill","busy":false,"seq":3,"queued":0}"#),
@@ -144,32 +144,32 @@
 }
 
 impl Fixture {
-    /// A node before an empty store.
+    /// Starts a node with an empty store.
     pub fn start() -> Self {
         Self::start_with("")
     }
 
-    /// A node before an empty store, with further sections in its settings.
+    /// Starts a node with an empty store and further sections in its settings.
     pub fn start_with(sections: &str) -> Self {
         Self::start_node(StoreStandIn::start().unwrap(), "node-1", sections)
     }
 
-    /// Another node before the same store.
+    /// Starts another node with the same store.
     pub fn start_peer(&self, name: &str) -> Self {
         Self::start_node(self.store.clone(), name, "")
     }
 
-    /// Another node before the same store, with further sections in its settings.
+    /// Starts another node with the same store and further sections in its settings.
     pub fn start_peer_with(&self, name: &str, sections: &str) -> Self {
         Self::start_node(self.store.clone(), name, sections)
     }
 
-    /// A node before a store that has been served before.
+    /// Starts a node with a store that other nodes have used before.
     pub fn start_with_store(store: StoreStandIn, name: &str) -> Self {
         Self::start_node(store, name, "")
     }
 
-    /// Another node before the same store, which knows this one's machine.
+    /// Starts another node with the same store and with this node as its seed.
     pub fn start_seeded_peer(&self, name: &str) -> Self {
         Self::start_node_at(
             self.store.clone(),
@@ -179,7 +179,7 @@
         )
     }
 
-    /// A node before an empty store that is told these lines of its own section.
+    /// Starts a node with an empty store and further lines in the `[node]` section of its settings.
     pub fn start_with_node_lines(node: &str) -> Self {
         Self::start_node_at(StoreStandIn::start().unwrap(), "node-1", node, "")
     }
@@ -193,7 +193,7 @@
         Self::start_at(NodeAddress::new(), store, store_address, name, node, sections)
     }
 
-    /// A node in a place, which sees the store at an address.
+    /// Starts a node at an address. The node reaches the store at `store_address`, which may be a proxy.
     pub fn start_at(
         address: NodeAddress,
         store: StoreStandIn,
@@ -222,14 +222,14 @@
         });
         let thread = Some(thread);
         let fixture = Self { store, clients, health, peers, file, signals, thread };
-        // The addresses are bound one after the other.
+        // The node binds its addresses one after the other.
         let is_listening = |address| TcpStream::connect(address).is_ok();
         wait_for("the node to listen", || is_listening(clients) && is_listening(health));
         fixture
     }
 
-    /// A node that knows the configuration and the runners given with their services and
-    /// stages.
+    /// Starts a node and waits until it is ready with the default configuration and the given runners, each with its
+    /// service and stage.
     pub fn with_runners(runners: &[(&RunnerStandIn, &str, Option<&str>)]) -> Self {
         let fixture = Self::start();
         fixture.store.put("op/config", &configuration(3));
@@ -275,7 +275,7 @@
 
     pub fn wait_until_ready(&self) {
         wait_for("the node to be ready", || self.is_ready());
-        // What was written before it was ready may come a moment later by the watch.
+        // Entries written before the node was ready may arrive through the watch a moment later.
         std::thread::sleep(Duration::from_millis(100));
     }
 
@@ -287,7 +287,7 @@
         self.signals.request_stop();
     }
 
-    /// Waits until the node has ended by itself.
+    /// Waits until the node has stopped by itself.
     pub fn join(mut self) {
         self.thread.take().unwrap().join().unwrap();
     }
@@ -300,13 +300,13 @@
     }
 }
 
-/// An answer as it stood on the wire.
+/// A response as received on the wire.
 #[derive(Clone, Debug, Default)]
 pub struct RawResponse {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether its framing says that it is whole.
+    /// Whether the response is complete according to its framing.
     pub complete: bool,
 }
 
@@ -360,12 +360,12 @@
         }
     }
 
-    /// Whether the node has closed the connection, after waiting for it.
+    /// Waits for further bytes and returns whether the node has closed the connection instead.
     pub fn is_closed_by_node(&mut self) -> bool {
         !self.read_more()
     }
 
-    /// Reads until a text has come, and leaves it unread.
+    /// Reads until a text has arrived, and leaves it in the buffer.
     pub fn wait_for_text(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.unread).contains(text) {
             assert!(self.read_more(), "the connection ended before {text:?}");
@@ -430,7 +430,7 @@
     RawResponse { status, headers: headers.collect(), ..RawResponse::default() }
 }
 
-/// A request on a connection of its own, without an id.
+/// Sends a GET request without an id on a new connection.
 pub fn get(address: SocketAddr, path: &str) -> RawResponse {
     let mut client = RawClient::connect(address);
     client.send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
