--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -85,15 +85,15 @@
 /// Sends a request to a prefill runner and waits for the KV handle.
 pub async fn run_prefill(
     node: &Rc<Node>,
-    demand: &PrefillRequest<'_>,
+    prefill: &PrefillRequest<'_>,
     prepared: Prepared,
     params: &AttemptParams,
 ) -> PrefillOutcome {
     let started_at = Instant::now();
     let runner = prepared.record().id.clone();
-    let tokens = demand.choice.prefill_tokens();
+    let tokens = prefill.choice.prefill_tokens();
     let was_unqueued = node.has_nothing_else_to_read(&runner, tokens);
-    let answering = match attempt::send(node, demand.request, prepared, params).await {
+    let answering = match attempt::send(node, prefill.request, prepared, params).await {
         AttemptEnd::Answering(answering) => answering,
         AttemptEnd::Declined => return PrefillOutcome::Declined,
         AttemptEnd::Silent | AttemptEnd::Lost => return PrefillOutcome::Failed,
@@ -101,10 +101,10 @@
     let response = match timeout(params.head_limit, answering.read_whole()).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
-            let (request, error) = (demand.request.metadata.id.as_str(), error.to_string());
+            let (request, error) = (prefill.request.metadata.id.as_str(), error.to_string());
             log::info!(target: "reading", request, runner = runner.as_str(), error; "response interrupted");
             let tenant = params.tenant.as_ref();
-            let broken = BrokenAttempt { request: demand.request, tenant, runner: &runner };
+            let broken = BrokenAttempt { request: prefill.request, tenant, runner: &runner };
             on_broken(node, broken);
             return PrefillOutcome::Failed;
         }
@@ -116,13 +116,13 @@
     // The handle is valid whichever incarnation of the runner returned it. If it is not the known incarnation, the
     // state recorded for that one no longer applies.
     match runner.matches_start(prefill_result.born_ms) {
-        true => node.on_parts_held(&runner, demand.prompt.shared_prefix()),
+        true => node.on_parts_held(&runner, prefill.prompt.shared_prefix()),
         false => node.on_other_life(&runner, prefill_result.born_ms),
     }
     let name = prefill_result.what;
     let elapsed_ms = started_at.elapsed().as_secs_f64() * 1_000.0;
     let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
-    node.on_read_in(demand.service, &runner, sample);
+    node.on_read_in(prefill.service, &runner, sample);
     let handle = KvHandle { address: answering.record.address, name };
     let zone = answering.record.zone.clone();
     answering.give_back(node);
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -40,8 +40,8 @@
     assert_eq!(received.target, "/booking/a%20b?x=1&y");
     assert_eq!(received.body, b"a booking");
     assert_eq!(received.header("x-pitchstall-expect-instance"), Some("i-desk"));
-    let left: u64 = received.header("x-pitchstall-deadline-ms").unwrap().parse().unwrap();
-    assert!((1..=3_000).contains(&left));
+    let remaining_ms: u64 = received.header("x-pitchstall-deadline-ms").unwrap().parse().unwrap();
+    assert!((1..=3_000).contains(&remaining_ms));
     assert_eq!(received.headers.iter().filter(|(name, _)| name == "x-own").count(), 2);
 }
 
@@ -357,9 +357,11 @@
     let response = client.read_response();
     assert!(response.complete);
     assert_eq!(response.text(), events(0..=9));
-    let seen = [one.requests(), two.requests()].concat();
-    let of_it = seen.iter().filter(|it| it.header("x-pitchstall-request-id") == Some("id-1"));
-    let mut after: Vec<_> = of_it.map(|it| it.header("last-event-id").map(str::to_owned)).collect();
+    let received = [one.requests(), two.requests()].concat();
+    let runs_of_request =
+        received.iter().filter(|it| it.header("x-pitchstall-request-id") == Some("id-1"));
+    let mut after: Vec<_> =
+        runs_of_request.map(|it| it.header("last-event-id").map(str::to_owned)).collect();
     after.sort();
     assert_eq!(after, [None, Some("4".to_owned())]);
 }
@@ -409,11 +411,11 @@
     let prompt =
         "X-Pitchstall-Token-Count: 9000,80\r\nX-Pitchstall-Prefix-Hash: a1:6000,b2:3000\r\n";
     client.request("POST", "/draft/1", "id-1", prompt, b"x");
-    let asked = || decode.requests().iter().any(|it| it.method == "POST");
-    wait_for("the decode runner to be asked", asked);
+    let has_request = || decode.requests().iter().any(|it| it.method == "POST");
+    wait_for("the decode runner to be asked", has_request);
     drop(client);
-    let freed = || prefill.requests().iter().any(|it| it.target == "/v1/kv-handle/h1");
-    wait_for("the handle to be freed", freed);
+    let is_released = || prefill.requests().iter().any(|it| it.target == "/v1/kv-handle/h1");
+    wait_for("the handle to be freed", is_released);
 }
 
 #[test]
@@ -438,25 +440,25 @@
         _ => ok("booked"),
     });
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
-    let mut few = support::configuration(5);
-    few["services"][0]["max_conns"] = 3.into();
+    let mut limited = support::configuration(5);
+    limited["services"][0]["max_conns"] = 3.into();
     let mut marker = support::route("marker", "idempotent", "desk");
     marker["timeout_ms"] = 4_000.into();
-    few["routes"].as_array_mut().unwrap().push(marker);
-    node.store.put("op/config", &few);
-    let ask = |path: &str| {
+    limited["routes"].as_array_mut().unwrap().push(marker);
+    node.store.put("op/config", &limited);
+    let send_request = |path: &str| {
         let mut client = node.client();
         client.request("GET", path, "id", "", b"");
         client.read_response().status
     };
-    wait_for("the configuration", || ask("/marker/1") == 200);
+    wait_for("the configuration", || send_request("/marker/1") == 200);
     let mut slow = [node.client(), node.client()];
     for (number, client) in slow.iter_mut().enumerate() {
         client.request("POST", "/booking/slow", &format!("slow-{number}"), "", b"x");
     }
     let is_slow = |request: &&ReceivedRequest| request.path() == "/booking/slow";
     wait_for("both to be there", || runner.requests().iter().filter(is_slow).count() == 2);
-    assert_eq!(ask("/marker/1"), 503, "refused, because it has certainly not run");
+    assert_eq!(send_request("/marker/1"), 503, "refused, because it has certainly not run");
 }
 
 #[test]
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -24,10 +24,10 @@
 #[test_case("[store]", "[stores]", "unknown field `stores`"; "a section that does not exist")]
 #[test_case("quimper-hall = \"finistere\"", "quimper-hall = \"\"", "node.regions: expected the name of a region for each zone"; "a region without a name")]
 #[test_case("quimper-hall = \"finistere\"", "\"\" = \"finistere\"", "node.regions: expected the name of a region for each zone"; "a zone without a name")]
-fn an_invalid_setting_is_rejected_with_its_location(right: &str, wrong: &str, expected: &str) {
+fn an_invalid_setting_is_rejected_with_its_location(valid: &str, invalid: &str, expected: &str) {
     let text = example();
-    assert!(text.contains(right));
-    let error = Settings::parse(Path::new("serve.toml"), &text.replacen(right, wrong, 1));
+    assert!(text.contains(valid));
+    let error = Settings::parse(Path::new("serve.toml"), &text.replacen(valid, invalid, 1));
     let message = error.unwrap_err().to_string();
     assert!(message.contains(expected), "{message}");
     assert!(message.starts_with("serve.toml"), "{message}");
