--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -1,8 +1,8 @@
-//! Starts the node and stops it without cutting a request.
+//! Starts the node and stops it without interrupting a request.
 //!
-//! A planned stop: the node says at once that it is not ready, so that no new clients are
-//! sent to it. For some time they still come and are served. Then it takes no more, closes
-//! idle connections, and ends with the last open request.
+//! On a planned stop the node reports at once that it is not ready, so that no new clients are
+//! routed to it. Clients that still connect are served during the first part of the grace period.
+//! The node then stops accepting connections, closes idle ones, and exits after the last open request.
 
 use crate::authority;
 use crate::cache_listing;
@@ -31,37 +31,37 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::sleep;
 
-/// Between two looks at the signals.
-const SIGNAL_POLL: Duration = Duration::from_millis(50);
-/// Between two looks at the settings file.
-const FILE_POLL: Duration = Duration::from_millis(500);
-/// Between two looks at idle connections.
-const PRUNE_EVERY: Duration = Duration::from_millis(1_000);
-/// Part of the grace time in which new clients are still taken.
-const TAKING_SHARE: f64 = 0.3;
-/// Part of the grace time after which the process ends, whatever is open.
-const ENDING_SHARE: f64 = 0.96;
-
-/// The daemon failed.
+/// Interval between checks for received signals.
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks for a changed settings file.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between removals of idle connections that are no longer usable.
+const PRUNE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Share of the grace period in which new connections are still accepted.
+const ACCEPTING_GRACE_SHARE: f64 = 0.3;
+/// Share of the grace period after which the process exits even if requests are open.
+const SHUTDOWN_GRACE_SHARE: f64 = 0.96;
+
+/// An error that prevents the daemon from running.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// An address cannot be listened on.
-    #[error("{address} cannot be listened on: {cause}")]
+    /// The node cannot listen on an address of its settings.
+    #[error("cannot listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: std::net::SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The settings name a policy program that cannot be used.
+    /// The policy program that the settings name cannot be read or does not compile.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Signals cannot be handled.
-    #[error("signals cannot be handled: {0}")]
+    /// A signal handler cannot be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(std::io::Error),
 }
 
-/// Signals that have come.
+/// Flags for the signals that the process has received. Clones share the flags.
 #[derive(Clone, Default)]
 pub struct Signals {
     stop: Arc<AtomicBool>,
@@ -69,7 +69,7 @@
 }
 
 impl Signals {
-    /// Registers for the process's signals.
+    /// Registers handlers for SIGTERM and SIGINT (stop) and for SIGHUP (reload the settings).
     pub fn register() -> Result<Self, DaemonError> {
         let signals = Self::default();
         let flags = [(SIGTERM, &signals.stop), (SIGINT, &signals.stop), (SIGHUP, &signals.reload)];
@@ -79,7 +79,7 @@
         Ok(signals)
     }
 
-    /// Asks for a planned stop.
+    /// Requests a planned stop, as SIGTERM does.
     pub fn request_stop(&self) {
         self.stop.store(true, Ordering::Release);
     }
@@ -93,17 +93,17 @@
     }
 }
 
-/// Runs a node until it is asked to stop and has finished its work.
+/// Runs a node until it is asked to stop and its open requests have finished or the grace period has passed.
 pub async fn run(settings: Settings, path: PathBuf, signals: Signals) -> Result<(), DaemonError> {
-    let callers = bind(settings.listen.callers).await?;
-    let health = bind(settings.listen.health).await?;
-    let datagrams = bind_datagrams(settings.listen.peers).await?;
-    let followers = bind(settings.listen.peers).await?;
+    let client_listener = bind(settings.listen.callers).await?;
+    let health_listener = bind(settings.listen.health).await?;
+    let peer_socket = bind_datagrams(settings.listen.peers).await?;
+    let follower_listener = bind(settings.listen.peers).await?;
     let name = settings.node.name.clone();
     let zone = settings.node.zone.clone();
     log::info!(target: "process", name, zone; "started");
     let program = PolicyProgram::read(&settings.policy)?;
-    let socket = PeerSocket::new(Rc::new(datagrams));
+    let socket = PeerSocket::new(Rc::new(peer_socket));
     let node = Node::new(settings, socket.clone());
     node.adopt_policy_program(program);
     node.log_topology();
@@ -123,19 +123,19 @@
     ntex::rt::spawn(quota::slots::keep(node.clone()));
     ntex::rt::spawn(scaling::order_runners(node.clone()));
     ntex::rt::spawn(cache_listing::list_own_shards(node.clone()));
-    ntex::rt::spawn(mirror::accept_followers(followers, node.clone()));
-    ntex::rt::spawn(listener::accept_health(health, node.clone()));
-    ntex::rt::spawn(prune(node.clone()));
-    let taking = ntex::rt::spawn(listener::accept_clients(callers, node.clone()));
+    ntex::rt::spawn(mirror::accept_followers(follower_listener, node.clone()));
+    ntex::rt::spawn(listener::accept_health(health_listener, node.clone()));
+    ntex::rt::spawn(prune_connections(node.clone()));
+    let accept_task = ntex::rt::spawn(listener::accept_clients(client_listener, node.clone()));
     wait_for_stop(&node, &path, &signals).await;
-    let begun = Instant::now();
+    let stop_requested_at = Instant::now();
     node.begin_stop();
     log::info!(target: "process", open = node.open_requests(); "stopping");
     let grace = Duration::from_secs_f64(node.settings().bounds.grace_s);
-    sleep(grace.mul_f64(TAKING_SHARE)).await;
-    taking.cancel();
+    sleep(grace.mul_f64(ACCEPTING_GRACE_SHARE)).await;
+    accept_task.cancel();
     node.begin_closing();
-    wait_for_connections(&node, begun + grace.mul_f64(ENDING_SHARE)).await;
+    wait_for_connections(&node, stop_requested_at + grace.mul_f64(SHUTDOWN_GRACE_SHARE)).await;
     log::info!(target: "process", open = node.open_requests(); "stopped");
     Ok(())
 }
@@ -148,9 +148,9 @@
     UdpSocket::bind(address).await.map_err(|cause| DaemonError::Listen { address, cause })
 }
 
-async fn prune(node: Rc<Node>) {
+async fn prune_connections(node: Rc<Node>) {
     loop {
-        sleep(PRUNE_EVERY).await;
+        sleep(PRUNE_INTERVAL).await;
         node.pool.prune();
     }
 }
@@ -158,31 +158,31 @@
 async fn wait_for_stop(node: &Node, path: &Path, signals: &Signals) {
     let mut file = SettingsFile::new(path);
     while !signals.stop_requested() {
-        sleep(SIGNAL_POLL).await;
-        // The file may change without a signal.
+        sleep(SIGNAL_POLL_INTERVAL).await;
+        // The platform may replace the file without sending a signal.
         if signals.take_reload() || file.has_changed() {
             reload(node, path);
         }
     }
 }
 
-/// Tells when a settings file has changed.
+/// Detects changes of a settings file by its modification time.
 struct SettingsFile<'a> {
     path: &'a Path,
     modified: Option<SystemTime>,
-    looked_at: Instant,
+    checked_at: Instant,
 }
 
 impl<'a> SettingsFile<'a> {
     fn new(path: &'a Path) -> Self {
-        Self { path, modified: modified(path), looked_at: Instant::now() }
+        Self { path, modified: modified(path), checked_at: Instant::now() }
     }
 
     fn has_changed(&mut self) -> bool {
-        if self.looked_at.elapsed() < FILE_POLL {
+        if self.checked_at.elapsed() < SETTINGS_POLL_INTERVAL {
             return false;
         }
-        self.looked_at = Instant::now();
+        self.checked_at = Instant::now();
         let before = std::mem::replace(&mut self.modified, modified(self.path));
         self.modified.is_some() && self.modified != before
     }
@@ -192,40 +192,44 @@
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
 
-/// Takes a changed settings file into force. A file that is not valid changes nothing; names
-/// and addresses of this node hold from the next start.
+/// Applies a changed settings file. An invalid file changes nothing. Changes of the `[node]` section except
+/// its regions, and of the `[listen]` section, take effect at the next start.
 fn reload(node: &Node, path: &Path) {
-    let known = node.settings();
-    let (mut settings, program) = match read_all(path) {
+    let current = node.settings();
+    let (mut settings, program) = match read_settings_and_program(path) {
         Ok(read) => read,
         Err(error) => {
             let error = error.to_string();
-            log::error!(target: "process", error; "reload refused");
+            log::error!(target: "process", error; "settings reload failed");
             return;
         }
     };
     node.adopt_policy_program(program);
-    let known_node = NodeSection { regions: settings.node.regions.clone(), ..known.node.clone() };
-    let needs_restart = settings.node != known_node || settings.listen != known.listen;
-    settings.node = known_node;
-    settings.listen = known.listen.clone();
-    let changed = settings != *known;
+    let current_node =
+        NodeSection { regions: settings.node.regions.clone(), ..current.node.clone() };
+    let needs_restart = settings.node != current_node || settings.listen != current.listen;
+    settings.node = current_node;
+    settings.listen = current.listen.clone();
+    let changed = settings != *current;
     node.adopt_settings(settings);
     log::info!(target: "process", changed, needs_restart; "reloaded");
 }
 
-fn read_all(path: &Path) -> Result<(Settings, Option<PolicyProgram>), SettingsError> {
+fn read_settings_and_program(
+    path: &Path,
+) -> Result<(Settings, Option<PolicyProgram>), SettingsError> {
     let settings = Settings::read(path)?;
     let program = PolicyProgram::read(&settings.policy)?;
     Ok((settings, program))
 }
 
-/// Not only for open requests: one may be being read just now.
-async fn wait_for_connections(node: &Node, latest: Instant) {
+/// Waits until all client connections are closed. Waiting for open requests is not enough, because a
+/// connection may be in the middle of reading one.
+async fn wait_for_connections(node: &Node, deadline: Instant) {
     const POLL: Duration = Duration::from_millis(10);
-    while node.open_connections() > 0 && Instant::now() < latest {
+    while node.open_connections() > 0 && Instant::now() < deadline {
         sleep(POLL).await;
     }
-    // The last answers leave the socket buffers.
+    // Gives the last responses time to leave the socket buffers.
     sleep(POLL * 5).await;
 }
--- /dev/null
+++ b/crates/gateway/src/http/response_codec.rs
@@ -0,0 +1,294 @@
+//! Decoding of HTTP/1.1 responses.
+//!
+//! The end of a response is given by its length, by its chunks, or by the end of the connection. In the
+//! last case the reader of the body must distinguish an orderly close from a reset.
+
+use super::Header;
+use ntex::codec::Decoder;
+use ntex::util::{Bytes, BytesMut};
+use std::cell::Cell;
+use std::time::Duration;
+
+/// Maximum number of headers of a response.
+const MAX_HEADERS: usize = 64;
+/// Maximum size of a response's head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Maximum size of a chunk size line, the end of a chunk or a trailer line.
+const MAX_LINE_BYTES: usize = 4 * 1024;
+
+/// The received bytes are not a valid HTTP/1.1 response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ResponseDecodeError {
+    /// The head cannot be parsed.
+    #[error("response head is malformed")]
+    InvalidHead,
+    /// The head exceeds its maximum size.
+    #[error("response head is too large")]
+    HeadTooLarge,
+    /// The length is given more than once or in two ways, is not a number, or exceeds what the reader accepts.
+    #[error("response length is invalid, ambiguous or over the limit")]
+    InvalidLength,
+    /// A chunk cannot be parsed.
+    #[error("response chunk is malformed")]
+    InvalidChunk,
+}
+
+/// How the end of a body is determined.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Framing {
+    /// The body has this number of bytes.
+    Length(u64),
+    /// The body is sent in chunks; an empty chunk ends it.
+    Chunked,
+    /// The body ends with the connection.
+    UntilClose,
+}
+
+/// The head of a response.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ResponseHead {
+    /// The HTTP status code.
+    pub status: u16,
+    /// Headers in the order received, with names in lower case.
+    pub headers: Vec<Header>,
+    /// How the end of the body is determined.
+    pub framing: Framing,
+    /// Whether the connection may be reused after the body.
+    pub keep_alive: bool,
+    /// How long the server keeps an idle connection open; `None`: it does not say.
+    pub idle_timeout: Option<Duration>,
+}
+
+impl ResponseHead {
+    /// Iterates over the headers as names and values.
+    pub fn header_pairs(&self) -> impl Iterator<Item = (&str, &[u8])> {
+        self.headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
+    }
+
+    fn header_text(&self, wanted: &str) -> Option<&str> {
+        let (_, value) = self.headers.iter().find(|(name, _)| name == wanted)?;
+        std::str::from_utf8(value).ok().map(str::trim)
+    }
+}
+
+/// Decodes response heads. Interim responses (1xx) are skipped.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ResponseHeadDecoder;
+
+impl Decoder for ResponseHeadDecoder {
+    type Item = ResponseHead;
+    type Error = ResponseDecodeError;
+
+    fn decode(&self, source: &mut BytesMut) -> Result<Option<ResponseHead>, ResponseDecodeError> {
+        loop {
+            let Some((length, head)) = parse_head(source)? else {
+                let is_too_large = source.len() > MAX_HEAD_BYTES;
+                return if is_too_large {
+                    Err(ResponseDecodeError::HeadTooLarge)
+                } else {
+                    Ok(None)
+                };
+            };
+            source.advance_to(length);
+            if head.status >= 200 {
+                return Ok(Some(head));
+            }
+        }
+    }
+}
+
+fn parse_head(source: &[u8]) -> Result<Option<(usize, ResponseHead)>, ResponseDecodeError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    let parsed = response.parse(source).map_err(|_| ResponseDecodeError::InvalidHead)?;
+    let httparse::Status::Complete(length) = parsed else { return Ok(None) };
+    let status = response.code.ok_or(ResponseDecodeError::InvalidHead)?;
+    let to_owned_header =
+        |header: &httparse::Header<'_>| (header.name.to_ascii_lowercase(), header.value.to_vec());
+    let mut head = ResponseHead {
+        status,
+        headers: response.headers.iter().map(to_owned_header).collect(),
+        framing: Framing::UntilClose,
+        keep_alive: response.version == Some(1),
+        idle_timeout: None,
+    };
+    head.framing = framing_of(&head)?;
+    read_connection_headers(&mut head);
+    Ok(Some((length, head)))
+}
+
+fn framing_of(head: &ResponseHead) -> Result<Framing, ResponseDecodeError> {
+    if matches!(head.status, 100..=199 | 204 | 304) {
+        return Ok(Framing::Length(0));
+    }
+    let lengths: Vec<&Header> =
+        head.headers.iter().filter(|(name, _)| name == "content-length").collect();
+    let coding = head.header_text("transfer-encoding");
+    match (coding, lengths.as_slice()) {
+        (Some(coding), []) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
+        (None, []) => Ok(Framing::UntilClose),
+        (None, [(_, value)]) => {
+            let text =
+                std::str::from_utf8(value).map_err(|_| ResponseDecodeError::InvalidLength)?.trim();
+            let is_decimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+            if !is_decimal {
+                return Err(ResponseDecodeError::InvalidLength);
+            }
+            text.parse().map(Framing::Length).map_err(|_| ResponseDecodeError::InvalidLength)
+        }
+        _ => Err(ResponseDecodeError::InvalidLength),
+    }
+}
+
+fn read_connection_headers(head: &mut ResponseHead) {
+    if let Some(connection) = head.header_text("connection") {
+        let has_option = |wanted: &str| {
+            connection.split(',').any(|word| word.trim().eq_ignore_ascii_case(wanted))
+        };
+        head.keep_alive = !has_option("close") && (head.keep_alive || has_option("keep-alive"));
+    }
+    head.keep_alive &= head.framing != Framing::UntilClose;
+    let seconds = head.header_text("keep-alive").and_then(|text| {
+        let parameter = text.split(',').find_map(|word| word.trim().strip_prefix("timeout="));
+        parameter.and_then(|seconds| seconds.trim().parse::<u64>().ok())
+    });
+    head.idle_timeout = seconds.map(Duration::from_secs);
+}
+
+/// An item that [`BodyDecoder`] yields.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum BodyItem {
+    /// Part of the body; never empty.
+    Chunk(Bytes),
+    /// The body has ended according to its framing.
+    End,
+}
+
+#[derive(Clone, Copy, Debug)]
+enum ChunkState {
+    Size,
+    Data(u64),
+    DataEnd,
+    Trailer,
+    Done,
+}
+
+#[derive(Clone, Copy, Debug)]
+enum BodyState {
+    Length(u64),
+    Chunked(ChunkState),
+    UntilClose,
+}
+
+/// Decodes the body of one response.
+#[derive(Debug)]
+pub struct BodyDecoder {
+    state: Cell<BodyState>,
+}
+
+impl BodyDecoder {
+    /// Creates a decoder for a body with the given framing.
+    pub fn new(framing: Framing) -> Self {
+        let state = match framing {
+            Framing::Length(length) => BodyState::Length(length),
+            Framing::Chunked => BodyState::Chunked(ChunkState::Size),
+            Framing::UntilClose => BodyState::UntilClose,
+        };
+        Self { state: Cell::new(state) }
+    }
+
+    /// Whether the body ends with the connection.
+    pub fn ends_with_connection(&self) -> bool {
+        matches!(self.state.get(), BodyState::UntilClose)
+    }
+}
+
+impl Decoder for BodyDecoder {
+    type Item = BodyItem;
+    type Error = ResponseDecodeError;
+
+    fn decode(&self, source: &mut BytesMut) -> Result<Option<BodyItem>, ResponseDecodeError> {
+        match self.state.get() {
+            BodyState::Length(0) => Ok(Some(BodyItem::End)),
+            BodyState::Length(remaining) => {
+                let bytes = take_up_to(source, remaining);
+                self.state.set(BodyState::Length(remaining - bytes.len() as u64));
+                Ok(non_empty_chunk(bytes))
+            }
+            BodyState::UntilClose => Ok(non_empty_chunk(source.split_to(source.len()))),
+            BodyState::Chunked(state) => {
+                let (state, item) = decode_chunked(state, source)?;
+                self.state.set(BodyState::Chunked(state));
+                Ok(item)
+            }
+        }
+    }
+}
+
+fn take_up_to(source: &mut BytesMut, max_bytes: u64) -> Bytes {
+    let length = usize::try_from(max_bytes).unwrap_or(usize::MAX).min(source.len());
+    source.split_to(length)
+}
+
+fn non_empty_chunk(bytes: Bytes) -> Option<BodyItem> {
+    (!bytes.is_empty()).then_some(BodyItem::Chunk(bytes))
+}
+
+fn decode_chunked(
+    mut state: ChunkState,
+    source: &mut BytesMut,
+) -> Result<(ChunkState, Option<BodyItem>), ResponseDecodeError> {
+    loop {
+        state = match state {
+            ChunkState::Size => match parse_chunk_size(source)? {
+                Some(0) => ChunkState::Trailer,
+                Some(size) => ChunkState::Data(size),
+                None => return Ok((state, None)),
+            },
+            ChunkState::Data(0) => ChunkState::DataEnd,
+            ChunkState::Data(remaining) => {
+                let bytes = take_up_to(source, remaining);
+                let state = ChunkState::Data(remaining - bytes.len() as u64);
+                return Ok((state, non_empty_chunk(bytes)));
+            }
+            ChunkState::DataEnd => match take_line(source)? {
+                Some(0) => ChunkState::Size,
+                Some(_) => return Err(ResponseDecodeError::InvalidChunk),
+                None => return Ok((state, None)),
+            },
+            ChunkState::Trailer => match take_line(source)? {
+                Some(0) => ChunkState::Done,
+                Some(_) => ChunkState::Trailer,
+                None => return Ok((state, None)),
+            },
+            ChunkState::Done => return Ok((state, Some(BodyItem::End))),
+        };
+    }
+}
+
+fn parse_chunk_size(source: &mut BytesMut) -> Result<Option<u64>, ResponseDecodeError> {
+    match httparse::parse_chunk_size(source) {
+        Ok(httparse::Status::Complete((length, size))) => {
+            source.advance_to(length);
+            Ok(Some(size))
+        }
+        Ok(httparse::Status::Partial) if source.len() > MAX_LINE_BYTES => {
+            Err(ResponseDecodeError::InvalidChunk)
+        }
+        Ok(httparse::Status::Partial) => Ok(None),
+        Err(_) => Err(ResponseDecodeError::InvalidChunk),
+    }
+}
+
+/// Consumes a line and returns its length without the line end; `None` if it has not arrived completely.
+fn take_line(source: &mut BytesMut) -> Result<Option<usize>, ResponseDecodeError> {
+    let Some(end) = source.iter().position(|byte| *byte == b'\n') else {
+        let is_too_long = source.len() > MAX_LINE_BYTES;
+        return if is_too_long { Err(ResponseDecodeError::InvalidChunk) } else { Ok(None) };
+    };
+    if end == 0 || source[end - 1] != b'\r' {
+        return Err(ResponseDecodeError::InvalidChunk);
+    }
+    source.advance_to(end + 1);
+    Ok(Some(end - 1))
+}
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -1,10 +1,10 @@
-//! Takes a request in: refuses at once what can be refused, finds its route and service.
+//! Validates a request, finds its route, tenant and service, and dispatches it.
 
-use crate::answers::OwnAnswer;
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
 use crate::dispatch::Dispatch;
-use crate::http::{is_connection_header, named_by_connection, Header};
+use crate::http::{connection_options, is_hop_by_hop_header, Header};
+use crate::local_responses::LocalResponse;
 use crate::node::{BodyReservation, Node};
 use crate::policy;
 use ntex::http::Request;
@@ -19,102 +19,103 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A request as it came from a client, with its whole body.
+/// A request as received from a client, with its complete body.
 pub struct ClientRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query, unchanged.
+    /// Path and query as received.
     pub target: String,
-    /// Path alone.
+    /// Path without the query.
     pub path: String,
-    /// The host that the client named.
+    /// Value of the `host` header, with the port if the client named one.
     pub host: String,
-    /// Headers that may go on to a runner, before those of the system are dropped.
+    /// End-to-end headers. The gateway's own headers are removed before they are forwarded to a runner.
     pub headers: Vec<Header>,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// What matters of it.
-    pub facts: RequestMetadata,
-    /// When its first byte came.
-    pub received: Instant,
+    /// Values that the node has parsed from the headers.
+    pub metadata: RequestMetadata,
+    /// When the node began to read the head, after the first byte had arrived.
+    pub received_at: Instant,
     identity: OnceCell<RequestIdentity>,
     _reservation: Option<BodyReservation>,
 }
 
-/// An answer of a runner, read whole.
+/// A runner's response that was read completely before it is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeAnswer {
-    /// The status.
+pub struct BufferedResponse {
+    /// The HTTP status code.
     pub status: u16,
-    /// Headers for the client.
+    /// Headers that are sent to the client.
     pub headers: Vec<Header>,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RequestEnd {
-    /// A runner's answer is to be written.
-    Whole(WholeAnswer),
-    /// An answer of the node's own is to be written.
-    Own(OwnAnswer),
-    /// A stream was written to its end.
+pub enum RequestOutcome {
+    /// A runner's response has to be written.
+    Buffered(BufferedResponse),
+    /// A response of the node itself has to be written.
+    Local(LocalResponse),
+    /// A stream was written completely.
     Streamed,
-    /// A stream broke off and must be seen to have broken off.
-    Cut,
-    /// The client has gone.
-    ClientGone,
+    /// A stream ended early. The client must be able to see that it is truncated.
+    Truncated,
+    /// The client disconnected before the request had ended.
+    ClientDisconnected,
 }
 
-impl RequestEnd {
-    /// Name in logs and metrics.
+impl RequestOutcome {
+    /// Name of the outcome in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Whole(answer) if answer.status < 300 => "answered",
-            Self::Whole(_) => "runner_failed",
-            Self::Own(answer) => answer.name(),
+            Self::Buffered(response) if response.status < 300 => "answered",
+            Self::Buffered(_) => "runner_failed",
+            Self::Local(response) => response.name(),
             Self::Streamed => "streamed",
-            Self::Cut => "cut",
-            Self::ClientGone => "client_gone",
+            Self::Truncated => "cut",
+            Self::ClientDisconnected => "client_gone",
         }
     }
 }
 
 impl ClientRequest {
-    /// Reads a request's head; `None` if what a node must know of it cannot be read.
+    /// Parses a request's head. Returns `None` if the host or a header that the node depends on is missing or
+    /// invalid.
     pub fn new(
         head: &Request,
         body: Vec<u8>,
-        received: Instant,
+        received_at: Instant,
         reservation: Option<BodyReservation>,
     ) -> Option<Self> {
-        let pairs = head.headers().iter();
-        let all: Vec<Header> = pairs
+        let entries = head.headers().iter();
+        let all_headers: Vec<Header> = entries
             .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
             .collect();
-        let facts = headers::parse_request(pair_refs(&all)).ok()?;
-        let named = named_by_connection(&all);
-        let host = all.iter().find(|(name, _)| name == "host")?;
+        let metadata = headers::parse_request(header_pairs(&all_headers)).ok()?;
+        let options = connection_options(&all_headers);
+        let host = all_headers.iter().find(|(name, _)| name == "host")?;
         let host = std::str::from_utf8(&host.1).ok()?.to_owned();
-        let end_to_end = |header: &Header| !is_connection_header(&header.0, &named);
+        let end_to_end = |header: &Header| !is_hop_by_hop_header(&header.0, &options);
         let uri = head.uri();
         Some(Self {
             method: head.method().as_str().to_owned(),
             target: uri.path_and_query().map_or("/", |it| it.as_str()).to_owned(),
             path: uri.path().to_owned(),
             host,
-            headers: all.into_iter().filter(end_to_end).collect(),
+            headers: all_headers.into_iter().filter(end_to_end).collect(),
             body,
-            facts,
-            received,
+            metadata,
+            received_at,
             identity: OnceCell::new(),
             _reservation: reservation,
         })
     }
 
-    /// What stays of the request when it comes again under another id. Worked out when it is first
-    /// asked for: most requests never need it.
+    /// The identity of the request, which stays the same when it is sent again under another id. It is
+    /// computed on first use, since most requests never need it.
     pub fn identity(&self, tenant: Option<&TenantName>) -> RequestIdentity {
         *self.identity.get_or_init(|| {
             RequestIdentity::of(&RequestParts {
@@ -128,40 +129,50 @@
     }
 }
 
-fn pair_refs(headers: &[Header]) -> impl Iterator<Item = (&str, &[u8])> {
+fn header_pairs(headers: &[Header]) -> impl Iterator<Item = (&str, &[u8])> {
     headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
 }
 
-/// Answers a request; streams are written to `client` while they come.
-pub async fn answer(
+/// Handles a request to its end. Streams are written to `client` while they arrive; any other response is
+/// returned.
+pub async fn handle(
     node: &Rc<Node>,
     request: &ClientRequest,
     client: &ClientConnection,
-) -> RequestEnd {
+) -> RequestOutcome {
     let Some(configuration) = node.configuration() else {
-        return finish(node, request, None, RequestEnd::Own(OwnAnswer::Unconfigured));
+        return finish(node, request, None, RequestOutcome::Local(LocalResponse::Unconfigured));
     };
     if node.is_outdated() {
-        // Its route may have been moved or removed, by a version that other nodes have.
-        return finish(node, request, None, RequestEnd::Own(OwnAnswer::Outdated));
+        // The route may have been moved or removed by a newer version that other nodes have.
+        return finish(node, request, None, RequestOutcome::Local(LocalResponse::Outdated));
     }
-    let Some(route) = route_of(&configuration, request) else {
-        return finish(node, request, None, RequestEnd::Own(without_route(node)));
+    let Some(route) = find_route(&configuration, request) else {
+        return finish(node, request, None, RequestOutcome::Local(no_route_response(node)));
     };
-    let tenant = match access(node, &configuration, &route, request) {
+    let tenant = match authorize_tenant(node, &configuration, &route, request) {
         Ok(tenant) => tenant,
-        Err(answer) => return finish(node, request, Some(&route), RequestEnd::Own(answer)),
+        Err(response) => {
+            return finish(node, request, Some(&route), RequestOutcome::Local(response))
+        }
     };
     let Some(service) = node.next_service(&route) else {
-        return finish(node, request, Some(&route), RequestEnd::Own(OwnAnswer::Refused));
+        return finish(node, request, Some(&route), RequestOutcome::Local(LocalResponse::Refused));
     };
     let priority = tenant.as_ref().and_then(|tenant| tenant.priority).unwrap_or(route.priority);
-    let rules = match policy::rules_for(node, request, priority, &service) {
+    let rules = match policy::placement_rules(node, request, priority, &service) {
         Ok(rules) => rules,
-        // A program that fails allows nothing: it may have been about to forbid a zone.
-        Err(_) => return finish(node, request, Some(&route), RequestEnd::Own(OwnAnswer::Refused)),
+        // A program that fails allows no zone, since it might have forbidden any of them.
+        Err(_) => {
+            return finish(
+                node,
+                request,
+                Some(&route),
+                RequestOutcome::Local(LocalResponse::Refused),
+            )
+        }
     };
-    let deadline = request.received + time_allowed(request, &route);
+    let deadline = request.received_at + time_limit(request, &route);
     node.with_budget(&service, SharedRetryBudget::on_request);
     let dispatch = Dispatch::new(node, request, &route, service, rules, &configuration, deadline);
     let dispatch = dispatch.for_tenant(tenant);
@@ -169,33 +180,33 @@
     finish(node, request, Some(&route), end)
 }
 
-/// Only a node that would know a route says that there is none: the route may have been added by a version
-/// that it has not got yet.
-fn without_route(node: &Node) -> OwnAnswer {
+/// The response to a request without a route. `NoRoute` is returned only if the configuration is current: otherwise
+/// the route may have been added by a version that this node has not received yet.
+fn no_route_response(node: &Node) -> LocalResponse {
     match node.configuration_age().is_current(node.key_policy().config_apply_ms) {
-        true => OwnAnswer::NoRoute,
-        false => OwnAnswer::Outdated,
+        true => LocalResponse::NoRoute,
+        false => LocalResponse::Outdated,
     }
 }
 
-/// The tenant for whom a request runs, or why it may not run.
-fn access(
+/// The tenant of a request (`None`: it runs without one), or the response if it is not authorized.
+fn authorize_tenant(
     node: &Node,
     configuration: &Configuration,
     route: &Route,
     request: &ClientRequest,
-) -> Result<Option<Rc<Tenant>>, OwnAnswer> {
-    let credential = request.facts.credential;
-    let (copy, policy) = (node.configuration_age(), node.key_policy());
-    match authorize(&configuration.tenants, route.is_public, credential, copy, policy) {
+) -> Result<Option<Rc<Tenant>>, LocalResponse> {
+    let credential = request.metadata.credential;
+    let (age, policy) = (node.configuration_age(), node.key_policy());
+    match authorize(&configuration.tenants, route.is_public, credential, age, policy) {
         Access::Open => Ok(None),
         Access::Granted(tenant) => Ok(Some(tenant)),
-        Access::Denied => Err(OwnAnswer::Unauthorized),
-        Access::Unverifiable => Err(OwnAnswer::Unverifiable),
+        Access::Denied => Err(LocalResponse::Unauthorized),
+        Access::Unverifiable => Err(LocalResponse::Unverifiable),
     }
 }
 
-fn route_of(configuration: &Configuration, request: &ClientRequest) -> Option<Rc<Route>> {
+fn find_route(configuration: &Configuration, request: &ClientRequest) -> Option<Rc<Route>> {
     let without_port = request.host.split_once(':').map(|(host, _)| host);
     let routes = &configuration.routes;
     routes
@@ -204,9 +215,9 @@
         .cloned()
 }
 
-/// The client's deadline or the route's time limit, whichever is shorter.
-fn time_allowed(request: &ClientRequest, route: &Route) -> Duration {
-    let deadline_ms = request.facts.deadline_ms.unwrap_or(route.timeout_ms);
+/// The client's deadline or the route's timeout, whichever is shorter.
+fn time_limit(request: &ClientRequest, route: &Route) -> Duration {
+    let deadline_ms = request.metadata.deadline_ms.unwrap_or(route.timeout_ms);
     Duration::from_millis(deadline_ms.min(route.timeout_ms))
 }
 
@@ -214,13 +225,13 @@
     node: &Node,
     request: &ClientRequest,
     route: Option<&Route>,
-    end: RequestEnd,
-) -> RequestEnd {
+    end: RequestOutcome,
+) -> RequestOutcome {
     let outcome = end.name();
     node.metrics.on_request(outcome);
-    let id = request.facts.id.as_str();
+    let id = request.metadata.id.as_str();
     let route = route.map_or("", |route| route.name.as_str());
-    let elapsed_ms = u64::try_from(request.received.elapsed().as_millis()).unwrap_or(u64::MAX);
+    let elapsed_ms = u64::try_from(request.received_at.elapsed().as_millis()).unwrap_or(u64::MAX);
     let version = node.configuration().map_or(0, |it| it.version);
     log::info!(target: "request", request = id, route, outcome, elapsed_ms, version; "finished");
     end
--- /dev/null
+++ b/crates/gateway/src/prefill.rs
@@ -0,0 +1,135 @@
+//! Runs the prefill of a prompt on a prefill runner and holds the KV handle until a decode runner uses it or it is
+//! released.
+
+use crate::attempt::{self, AttemptEnd, AttemptParams, Prepared};
+use crate::broken_attempt::{on_broken, BrokenAttempt};
+use crate::clock::Instant;
+use crate::http::request::encode_request;
+use crate::http::Upstream;
+use crate::intake::ClientRequest;
+use crate::node::Node;
+use pitchstall_platform_adapter::paths;
+use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
+use pitchstall_serving::placement::RunnerChoice;
+use pitchstall_serving::prefill_speed::PrefillSample;
+use pitchstall_serving::prefix::Prompt;
+use pitchstall_serving::request::KvHandle;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// Maximum time for releasing a handle. A handle that is not released expires by itself.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+/// The KV cache of a prefilled prompt. Its handle is released on drop, unless a decode runner has used it.
+pub struct PrefilledPrompt {
+    /// Handle of the KV cache on the prefill runner.
+    pub handle: KvHandle,
+    /// Zone of the prefill runner.
+    pub zone: ZoneId,
+    runner: RunnerId,
+    is_transferred: Cell<bool>,
+}
+
+impl PrefilledPrompt {
+    /// Records that a decode runner has taken over the KV cache, so that its handle is not released.
+    pub fn mark_transferred(&self) {
+        self.is_transferred.set(true);
+    }
+}
+
+impl Drop for PrefilledPrompt {
+    fn drop(&mut self) {
+        if !self.is_transferred.get() {
+            let name = self.handle.name.clone();
+            ntex::rt::spawn(release_handle(self.handle.address, name, self.runner.clone()));
+        }
+    }
+}
+
+async fn release_handle(address: std::net::SocketAddr, name: String, runner: RunnerId) {
+    let exchange = async {
+        let connection = Upstream::open(address, RELEASE_TIMEOUT).await.ok()?;
+        let headers = [("host".to_owned(), address.to_string().into_bytes())];
+        let target = paths::free_handle(&name);
+        connection.send(encode_request("DELETE", &target, &headers, &[])).ok()?;
+        connection.read_head().await.ok()
+    };
+    let freed = matches!(timeout(RELEASE_TIMEOUT, exchange).await, Ok(Some(_)));
+    log::info!(target: "reading", runner = runner.as_str(), handle = name, freed; "handle released");
+}
+
+/// How a prefill ended.
+pub enum PrefillOutcome {
+    /// The prompt was prefilled.
+    Prefilled(PrefilledPrompt),
+    /// The runner declined the request without running it.
+    Declined,
+    /// The prefill failed and may be repeated.
+    Failed,
+}
+
+/// A prefill to run.
+pub struct PrefillRequest<'a> {
+    /// The client's request.
+    pub request: &'a ClientRequest,
+    /// Service of the request.
+    pub service: &'a ServiceName,
+    /// Prompt of the request.
+    pub prompt: &'a Prompt,
+    /// The chosen prefill runner.
+    pub choice: &'a RunnerChoice,
+}
+
+/// Sends a request to a prefill runner and waits for the KV handle.
+pub async fn run_prefill(
+    node: &Rc<Node>,
+    prefill: &PrefillRequest<'_>,
+    prepared: Prepared,
+    params: &AttemptParams,
+) -> PrefillOutcome {
+    let started_at = Instant::now();
+    let runner = prepared.record().id.clone();
+    let tokens = prefill.choice.prefill_tokens();
+    let was_unqueued = node.has_nothing_else_to_read(&runner, tokens);
+    let answering = match attempt::send(node, prefill.request, prepared, params).await {
+        AttemptEnd::Answering(answering) => answering,
+        AttemptEnd::Declined => return PrefillOutcome::Declined,
+        AttemptEnd::Silent | AttemptEnd::Lost => return PrefillOutcome::Failed,
+    };
+    let response = match timeout(params.head_limit, answering.read_whole()).await {
+        Ok(Ok(response)) => response,
+        Ok(Err(error)) => {
+            let (request, error) = (prefill.request.metadata.id.as_str(), error.to_string());
+            log::info!(target: "reading", request, runner = runner.as_str(), error; "response interrupted");
+            let tenant = params.tenant.as_ref();
+            let broken = BrokenAttempt { request: prefill.request, tenant, runner: &runner };
+            on_broken(node, broken);
+            return PrefillOutcome::Failed;
+        }
+        Err(_) => return PrefillOutcome::Failed,
+    };
+    let prefill_result =
+        if response.status == 200 { paths::parse_prompt_read(&response.body) } else { None };
+    let Some(prefill_result) = prefill_result else { return PrefillOutcome::Failed };
+    // The handle is valid whichever incarnation of the runner returned it. If it is not the known incarnation, the
+    // state recorded for that one no longer applies.
+    match runner.matches_start(prefill_result.born_ms) {
+        true => node.on_parts_held(&runner, prefill.prompt.shared_prefix()),
+        false => node.on_other_life(&runner, prefill_result.born_ms),
+    }
+    let name = prefill_result.what;
+    let elapsed_ms = started_at.elapsed().as_secs_f64() * 1_000.0;
+    let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
+    node.on_read_in(prefill.service, &runner, sample);
+    let handle = KvHandle { address: answering.record.address, name };
+    let zone = answering.record.zone.clone();
+    answering.give_back(node);
+    PrefillOutcome::Prefilled(PrefilledPrompt {
+        handle,
+        zone,
+        runner,
+        is_transferred: Cell::new(false),
+    })
+}
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node among stand-ins, and a client that sees every byte.
+//! A node with stand-ins for the store and the runners, and a client that exposes every byte of the response.
 #![allow(dead_code, clippy::unwrap_used, clippy::panic, missing_docs)]
 
 use ntex::rt::{DefaultRuntime, System};
@@ -14,47 +14,47 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// No test waits longer for something that should happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for an expected condition.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const HOST: &str = "desk.example";
 
 /// Waits until a condition holds.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A loopback address that no other fixture has, of this process or another: ports that are
-/// free now may be taken by the time they are used.
-fn own_loopback_ip() -> IpAddr {
+/// A loopback address that no other fixture of this or another process uses. Picking free ports instead would be a
+/// race: a port that is free now may be taken by the time it is used.
+fn unique_loopback_ip() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let [_, _, high, low] = process.to_be_bytes();
     Ipv4Addr::new(127, 1 + high % 200, low, NEXT.fetch_add(1, Ordering::SeqCst)).into()
 }
 
-/// A machine's address, before its node starts.
+/// The address of a node, reserved before the node starts.
 #[derive(Clone, Copy)]
-pub struct Place {
+pub struct NodeAddress {
     ip: IpAddr,
 }
 
-impl Place {
+impl NodeAddress {
     pub fn new() -> Self {
-        Self { ip: own_loopback_ip() }
+        Self { ip: unique_loopback_ip() }
     }
 
-    /// Where other nodes reach the node.
+    /// Address at which other nodes reach the node.
     pub fn peers(&self) -> SocketAddr {
         SocketAddr::new(self.ip, PEERS_PORT)
     }
 }
 
-const CALLERS_PORT: u16 = 18_081;
+const CLIENTS_PORT: u16 = 18_081;
 const HEALTH_PORT: u16 = 18_082;
 const PEERS_PORT: u16 = 18_083;
 
@@ -66,8 +66,8 @@
     })
 }
 
-/// Routes `booking` (not repeatable), `lookup` (repeatable), `draft` (a stream) and
-/// `summary` (a stream that may be resumed).
+/// Routes `booking` (not idempotent), `lookup` (idempotent), `draft` (a stream) and `summary` (a
+/// resumable stream).
 pub fn configuration(version: u64) -> Value {
     let mut summary = route("summary", "streaming", "llm");
     summary["resumable"] = true.into();
@@ -92,7 +92,7 @@
     })
 }
 
-/// The same with many routes more, one of them `added`: some 800 KB.
+/// The same configuration with 4,200 more routes and the route `added`, about 800 KB in total.
 pub fn large_configuration(version: u64) -> Value {
     const MANY_ROUTES: usize = 4_200;
     let mut large = configuration(version);
@@ -107,10 +107,10 @@
 pub fn serves(node: &Fixture, name: &str) -> bool {
     let mut client = node.client();
     client.request("GET", &format!("/{name}/1"), "id", "", b"");
-    client.read_answer().status == 200
+    client.read_response().status == 200
 }
 
-/// A runner's entry as it writes it, where the platform does not tell when runners start.
+/// A runner's registry entry on a platform that does not report when runners start.
 pub fn runner_entry(runner: &RunnerStandIn, service: &str, zone: &str, state: &str) -> Value {
     json!({
         "service": service, "address": runner.address().to_string(), "zone": zone,
@@ -118,16 +118,16 @@
     })
 }
 
-/// A whole answer in JSON.
-pub fn json_answer(text: &str) -> Reaction {
+/// A complete JSON response with status 200.
+pub fn json_response(text: &str) -> Reaction {
     Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
 }
 
-/// A prefill runner that takes orders, tells that it has taken three before, and goes on reading prompts.
+/// A prefill runner that accepts orders, reports that it has accepted three before, and stays in the prefill stage.
 pub fn prefill_runner(id: &str) -> RunnerStandIn {
     RunnerStandIn::start(id, |request| match request.target.as_str() {
-        "/v1/report" => json_answer(r#"{"stage":"prefill","busy":false,"seq":3,"queued":0}"#),
-        "/v1/kv-list" => json_answer(r#"{"epoch":"e","next_token":0,"held":[]}"#),
+        "/v1/report" => json_response(r#"{"stage":"prefill","busy":false,"seq":3,"queued":0}"#),
+        "/v1/kv-list" => json_response(r#"{"epoch":"e","next_token":0,"held":[]}"#),
         _ => Reaction::Answer { status: 202, body: Vec::new() },
     })
     .unwrap()
@@ -135,7 +135,7 @@
 
 pub struct Fixture {
     pub store: StoreStandIn,
-    pub callers: SocketAddr,
+    pub clients: SocketAddr,
     pub health: SocketAddr,
     pub peers: SocketAddr,
     pub file: PathBuf,
@@ -144,33 +144,33 @@
 }
 
 impl Fixture {
-    /// A node before an empty store.
+    /// Starts a node with an empty store.
     pub fn start() -> Self {
         Self::start_with("")
     }
 
-    /// A node before an empty store, with further sections in its settings.
+    /// Starts a node with an empty store and further sections in its settings.
     pub fn start_with(sections: &str) -> Self {
         Self::start_node(StoreStandIn::start().unwrap(), "node-1", sections)
     }
 
-    /// Another node before the same store.
-    pub fn start_beside(&self, name: &str) -> Self {
+    /// Starts another node with the same store.
+    pub fn start_peer(&self, name: &str) -> Self {
         Self::start_node(self.store.clone(), name, "")
     }
 
-    /// Another node before the same store, with further sections in its settings.
-    pub fn start_beside_with(&self, name: &str, sections: &str) -> Self {
+    /// Starts another node with the same store and further sections in its settings.
+    pub fn start_peer_with(&self, name: &str, sections: &str) -> Self {
         Self::start_node(self.store.clone(), name, sections)
     }
 
-    /// A node before a store that has been served before.
-    pub fn start_before(store: StoreStandIn, name: &str) -> Self {
+    /// Starts a node with a store that other nodes have used before.
+    pub fn start_with_store(store: StoreStandIn, name: &str) -> Self {
         Self::start_node(store, name, "")
     }
 
-    /// Another node before the same store, which knows this one's machine.
-    pub fn start_seeded(&self, name: &str) -> Self {
+    /// Starts another node with the same store and with this node as its seed.
+    pub fn start_seeded_peer(&self, name: &str) -> Self {
         Self::start_node_at(
             self.store.clone(),
             name,
@@ -179,8 +179,8 @@
         )
     }
 
-    /// A node before an empty store that is told these lines of its own section.
-    pub fn start_told(node: &str) -> Self {
+    /// Starts a node with an empty store and further lines in the `[node]` section of its settings.
+    pub fn start_with_node_lines(node: &str) -> Self {
         Self::start_node_at(StoreStandIn::start().unwrap(), "node-1", node, "")
     }
 
@@ -189,47 +189,47 @@
     }
 
     fn start_node_at(store: StoreStandIn, name: &str, node: &str, sections: &str) -> Self {
-        let address = store.address();
-        Self::start_in(Place::new(), store, address, name, node, sections)
+        let store_address = store.address();
+        Self::start_at(NodeAddress::new(), store, store_address, name, node, sections)
     }
 
-    /// A node in a place, which sees the store at an address.
-    pub fn start_in(
-        place: Place,
+    /// Starts a node at an address. The node reaches the store at `store_address`, which may be a proxy.
+    pub fn start_at(
+        address: NodeAddress,
         store: StoreStandIn,
         store_address: SocketAddr,
         name: &str,
         node: &str,
         sections: &str,
     ) -> Self {
-        let at = |port: u16| SocketAddr::new(place.ip, port);
-        let (callers, health, peers) = (at(CALLERS_PORT), at(HEALTH_PORT), at(PEERS_PORT));
+        let at = |port: u16| SocketAddr::new(address.ip, port);
+        let (clients, health, peers) = (at(CLIENTS_PORT), at(HEALTH_PORT), at(PEERS_PORT));
         let text = format!(
             "[node]\nname = \"{name}\"\nzone = \"north\"\n{node}\
-             [listen]\ncallers = \"{callers}\"\nhealth = \"{health}\"\npeers = \"{peers}\"\n\
+             [listen]\ncallers = \"{clients}\"\nhealth = \"{health}\"\npeers = \"{peers}\"\n\
              [store]\naddress = \"{store_address}\"\n\
              [bounds]\ncontact_ms = 1000\ngrace_s = 5.0\nlease_ms = 200\nretry_ratio = 1.2\nretry_slack = 4.0\n{sections}",
         );
-        let file = std::env::temp_dir().join(format!("pitchstall-{}.toml", callers.ip()));
+        let file = std::env::temp_dir().join(format!("pitchstall-{}.toml", clients.ip()));
         std::fs::write(&file, &text).unwrap();
         let settings = Settings::read(&file).unwrap();
         let signals = Signals::default();
-        let handed = signals.clone();
+        let node_signals = signals.clone();
         let path = file.clone();
         let thread = std::thread::spawn(move || {
-            let run = daemon::run(settings, path, handed);
+            let run = daemon::run(settings, path, node_signals);
             System::build().name("node").build(DefaultRuntime).block_on(run).unwrap();
         });
         let thread = Some(thread);
-        let fixture = Self { store, callers, health, peers, file, signals, thread };
-        // The addresses are bound one after the other.
-        let listens = |address| TcpStream::connect(address).is_ok();
-        wait_for("the node to listen", || listens(callers) && listens(health));
+        let fixture = Self { store, clients, health, peers, file, signals, thread };
+        // The node binds its addresses one after the other.
+        let is_listening = |address| TcpStream::connect(address).is_ok();
+        wait_for("the node to listen", || is_listening(clients) && is_listening(health));
         fixture
     }
 
-    /// A node that knows the configuration and the runners given with their services and
-    /// stages.
+    /// Starts a node and waits until it is ready with the default configuration and the given runners, each with its
+    /// service and stage.
     pub fn with_runners(runners: &[(&RunnerStandIn, &str, Option<&str>)]) -> Self {
         let fixture = Self::start();
         fixture.store.put("op/config", &configuration(3));
@@ -275,19 +275,19 @@
 
     pub fn wait_until_ready(&self) {
         wait_for("the node to be ready", || self.is_ready());
-        // What was written before it was ready may come a moment later by the watch.
+        // Entries written before the node was ready may arrive through the watch a moment later.
         std::thread::sleep(Duration::from_millis(100));
     }
 
     pub fn client(&self) -> RawClient {
-        RawClient::connect(self.callers)
+        RawClient::connect(self.clients)
     }
 
     pub fn request_stop(&self) {
         self.signals.request_stop();
     }
 
-    /// Waits until the node has ended by itself.
+    /// Waits until the node has stopped by itself.
     pub fn join(mut self) {
         self.thread.take().unwrap().join().unwrap();
     }
@@ -300,17 +300,17 @@
     }
 }
 
-/// An answer as it stood on the wire.
+/// A response as received on the wire.
 #[derive(Clone, Debug, Default)]
-pub struct RawAnswer {
+pub struct RawResponse {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether its framing says that it is whole.
+    /// Whether the response is complete according to its framing.
     pub complete: bool,
 }
 
-impl RawAnswer {
+impl RawResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
@@ -328,7 +328,7 @@
 impl RawClient {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self { stream, unread: Vec::new() }
     }
 
@@ -360,42 +360,42 @@
         }
     }
 
-    /// Whether the node has closed the connection, after waiting for it.
+    /// Waits for further bytes and returns whether the node has closed the connection instead.
     pub fn is_closed_by_node(&mut self) -> bool {
         !self.read_more()
     }
 
-    /// Reads until a text has come, and leaves it unread.
+    /// Reads until a text has arrived, and leaves it in the buffer.
     pub fn wait_for_text(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.unread).contains(text) {
             assert!(self.read_more(), "the connection ended before {text:?}");
         }
     }
 
-    pub fn read_answer(&mut self) -> RawAnswer {
+    pub fn read_response(&mut self) -> RawResponse {
         let head_end = loop {
             let end = self.unread.windows(4).position(|window| window == b"\r\n\r\n");
             match end {
                 Some(end) => break end + 4,
                 None if self.read_more() => {}
-                None => return RawAnswer::default(),
+                None => return RawResponse::default(),
             }
         };
         let head: Vec<u8> = self.unread.drain(..head_end).collect();
-        let mut answer = parse_head(&String::from_utf8(head).unwrap());
-        if answer.header("transfer-encoding") == Some("chunked") {
-            self.read_chunks(&mut answer);
+        let mut response = parse_head(&String::from_utf8(head).unwrap());
+        if response.header("transfer-encoding") == Some("chunked") {
+            self.read_chunks(&mut response);
         } else {
-            let length = answer.header("content-length").map_or(0, |it| it.parse().unwrap());
+            let length = response.header("content-length").map_or(0, |it| it.parse().unwrap());
             while self.unread.len() < length && self.read_more() {}
-            answer.complete = self.unread.len() >= length;
+            response.complete = self.unread.len() >= length;
             let length = length.min(self.unread.len());
-            answer.body = self.unread.drain(..length).collect();
+            response.body = self.unread.drain(..length).collect();
         }
-        answer
+        response
     }
 
-    fn read_chunks(&mut self, answer: &mut RawAnswer) {
+    fn read_chunks(&mut self, response: &mut RawResponse) {
         loop {
             let line_end = loop {
                 match self.unread.windows(2).position(|window| window == b"\r\n") {
@@ -406,33 +406,33 @@
             };
             let line = String::from_utf8(self.unread[..line_end].to_vec()).unwrap();
             let size = usize::from_str_radix(line.trim(), 16).unwrap();
-            let whole = line_end + 2 + size + 2;
-            while self.unread.len() < whole {
+            let chunk_end = line_end + 2 + size + 2;
+            while self.unread.len() < chunk_end {
                 if !self.read_more() {
                     return;
                 }
             }
-            answer.body.extend_from_slice(&self.unread[line_end + 2..line_end + 2 + size]);
-            self.unread.drain(..whole);
+            response.body.extend_from_slice(&self.unread[line_end + 2..line_end + 2 + size]);
+            self.unread.drain(..chunk_end);
             if size == 0 {
-                answer.complete = true;
+                response.complete = true;
                 return;
             }
         }
     }
 }
 
-fn parse_head(text: &str) -> RawAnswer {
+fn parse_head(text: &str) -> RawResponse {
     let mut lines = text.split("\r\n");
     let status = lines.next().unwrap().split(' ').nth(1).unwrap().parse().unwrap();
     let headers = lines.filter_map(|line| line.split_once(": "));
     let headers = headers.map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()));
-    RawAnswer { status, headers: headers.collect(), ..RawAnswer::default() }
+    RawResponse { status, headers: headers.collect(), ..RawResponse::default() }
 }
 
-/// A request on a connection of its own, without an id.
-pub fn get(address: SocketAddr, path: &str) -> RawAnswer {
+/// Sends a GET request without an id on a new connection.
+pub fn get(address: SocketAddr, path: &str) -> RawResponse {
     let mut client = RawClient::connect(address);
     client.send(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
-    client.read_answer()
+    client.read_response()
 }
