--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -10,7 +10,7 @@
 use crate::listener;
 use crate::mirror;
 use crate::node::Node;
-use crate::peer_words::PeerSocket;
+use crate::peer_messages::PeerSocket;
 use crate::peers::Peers;
 use crate::policy::PolicyProgram;
 use crate::quarantine;
@@ -120,7 +120,7 @@
     ntex::rt::spawn(roles::order_changes(node.clone()));
     ntex::rt::spawn(quarantine::keep_written(node.clone()));
     ntex::rt::spawn(usage::report(node.clone()));
-    ntex::rt::spawn(quota::slots::keep(node.clone()));
+    ntex::rt::spawn(quota::candidate::keep(node.clone()));
     ntex::rt::spawn(scaling::order_runners(node.clone()));
     ntex::rt::spawn(cache_listing::list_own_shards(node.clone()));
     ntex::rt::spawn(mirror::accept_followers(followers, node.clone()));
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -2,7 +2,7 @@
 
 use super::planning::Plan;
 use super::Dispatch;
-use crate::quota::asking::{self, Payment, Spent, Unpaid};
+use crate::quota::requester::{self, Payment, Spent, Unpaid};
 use crate::runner_limits;
 use pitchstall_serving::attempt::EndReason;
 use pitchstall_serving::retry_budget::{ArrivalCost, SharedRetryBudget};
@@ -63,7 +63,7 @@
         match &self.run_cost {
             Some(run) if self.payment.is_none() => {
                 let request = &self.request.facts.id;
-                asking::pay(self.node, request, run).await.map(Some).map_err(reason_of)
+                requester::pay(self.node, request, run).await.map(Some).map_err(reason_of)
             }
             _ => Ok(None),
         }
@@ -79,7 +79,7 @@
         let lapsed = self.payment.take();
         let run = if lapsed.is_some() { &run.granted_before() } else { run };
         drop(lapsed);
-        let paid = asking::pay(self.node, &self.request.facts.id, run).await;
+        let paid = requester::pay(self.node, &self.request.facts.id, run).await;
         self.payment = Some(paid.map_err(reason_of)?);
         Ok(())
     }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -17,7 +17,7 @@
 use crate::intake::{ClientRequest, RequestEnd, WholeAnswer};
 use crate::node::Node;
 use crate::policy::PlacementRules;
-use crate::quota::asking::{Payment, RunCost, Spent};
+use crate::quota::requester::{Payment, RunCost, Spent};
 use crate::relay::{relay, RelayEnd, RelayLimits, StreamState};
 use crate::usage::BeginMark;
 use pitchstall_serving::attempt::{final_response, EndReason, Execution};
--- a/crates/gateway/src/held_parts.rs
+++ b/crates/gateway/src/held_parts.rs
@@ -5,7 +5,7 @@
 //! go: then nothing is taken over, and they are read.
 
 use crate::node::Node;
-use crate::peer_words::PeerWord;
+use crate::peer_messages::PeerWord;
 use crate::shard_scheduler::schedulers_of_other_regions;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::prefix::PromptPart;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters and histograms in the text format of OpenMetrics.
 
-use crate::far_traffic::FarTraffic;
-use crate::quota::figures::QuotaFigures;
+use crate::cross_region_traffic::FarTraffic;
+use crate::quota::metrics::QuotaFigures;
 use pitchstall_serving::scheduling::CrossRegionReason;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::EncodeLabelSet;
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -1,7 +1,7 @@
 //! What a node takes in of runners that ended under requests, and which requests it sends to none.
 
 use super::Node;
-use crate::peer_words::PeerWord;
+use crate::peer_messages::PeerWord;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::quarantine::{Crash, CrashChange, CrashMessage, CrashRecord};
 use pitchstall_serving::request_identity::RequestIdentity;
--- a/crates/gateway/src/peer_words.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -1,6 +1,6 @@
 //! What nodes say to each other by datagrams: one JSON line each.
 
-use crate::far_traffic::FarTraffic;
+use crate::cross_region_traffic::FarTraffic;
 use pitchstall_serving::digest::Digest;
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::membership::Member;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -8,7 +8,7 @@
 use crate::clock::Instant;
 use crate::held_parts;
 use crate::node::{machine_wall_ms, Node};
-use crate::peer_words::{PeerSocket, PeerWord, MOST_DATAGRAM_BYTES};
+use crate::peer_messages::{PeerSocket, PeerWord, MOST_DATAGRAM_BYTES};
 use crate::platform_client::PlatformClient;
 use crate::quarantine;
 use crate::quota::{self, RegistrationLease};
@@ -132,11 +132,11 @@
             PeerWord::UsageQuestion(question) => usage::on_question(&self.node, &question),
             PeerWord::Crash(word) => quarantine::on_word(&self.node, word),
             PeerWord::QuotaQuestion(question) => {
-                quota::keeping::on_word(&self.node, &question, from)
+                quota::keeper::on_word(&self.node, &question, from)
             }
-            PeerWord::QuotaAnswer(answer) => quota::asking::on_answer(&self.node, &answer),
-            PeerWord::QuotaTaken(keeper) => quota::keeping::on_taken(&self.node, &keeper),
-            PeerWord::QuotaReturn(word) => quota::keeping::on_return(&self.node, &word),
+            PeerWord::QuotaAnswer(answer) => quota::requester::on_answer(&self.node, &answer),
+            PeerWord::QuotaTaken(keeper) => quota::keeper::on_taken(&self.node, &keeper),
+            PeerWord::QuotaReturn(word) => quota::keeper::on_return(&self.node, &word),
             PeerWord::LimitQuestion(question) => {
                 runner_limits::on_question(&self.node, &question, from)
             }
--- a/crates/gateway/src/quota/keeping.rs
+++ b/crates/gateway/src/quota/keeper.rs
@@ -1,9 +1,9 @@
 //! Answers questions as a keeper, and takes back what was not used.
 
-use super::asking::{deliver_question, on_answer};
 use super::own_address;
+use super::requester::{deliver_question, on_answer};
 use crate::node::Node;
-use crate::peer_words::PeerWord;
+use crate::peer_messages::PeerWord;
 use pitchstall_serving::quota::{QuotaQuery, QuotaRefund, QuotaReply, QuotaVerdict};
 use pitchstall_serving::quota_keeper::KeeperAction;
 use pitchstall_serving::quota_slots::KeeperId;
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -2,25 +2,25 @@
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | [`asking`] | asks keepers, and gives back what was not used |
-//! | [`keeping`] | answers questions as a keeper |
-//! | [`slots`] | takes keepers' keys in the store, and gives them up |
+//! | [`requester`] | asks keepers, and gives back what was not used |
+//! | [`keeper`] | answers questions as a keeper |
+//! | [`candidate`] | takes keepers' keys in the store, and gives them up |
 //! | [`holders`] | which node holds which keeper, and whether it answers |
-//! | [`figures`] | metrics by tenant |
+//! | [`metrics`] | metrics by tenant |
 //! | [`report`] | what operators are shown |
 //!
 //! Who pays what is decided in [`pitchstall_serving::quota_keeper`], whom to ask in
 //! [`pitchstall_serving::quota_requester`]. Nothing is said, asked or kept while no tenant has a limit.
 
-pub mod asking;
-pub mod figures;
+pub mod candidate;
 pub mod holders;
-pub mod keeping;
+pub mod keeper;
+pub mod metrics;
 pub mod report;
-pub mod slots;
+pub mod requester;
 
-use self::asking::Waiting;
 use self::holders::Holders;
+use self::requester::Waiting;
 use crate::node::Node;
 use crate::settings::Settings;
 use pitchstall_serving::digest::HeldKeeper;
--- a/crates/gateway/src/quota/asking.rs
+++ b/crates/gateway/src/quota/requester.rs
@@ -1,9 +1,9 @@
 //! Has runs paid for by the tenant's keepers before they are sent.
 
-use super::keeping;
+use super::keeper;
 use super::{bounds, own_address};
 use crate::node::{topology_of, Node};
-use crate::peer_words::PeerWord;
+use crate::peer_messages::PeerWord;
 use pitchstall_serving::quota::{QuotaQuery, QuotaRefund, QuotaReply, QuotaVerdict, TenantLimit};
 use pitchstall_serving::quota_outcome::{QuotaGrant, QuotaOutcome};
 use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
@@ -237,7 +237,7 @@
 pub(super) fn deliver_question(node: &Node, question: QuotaQuery) {
     let address = node.quotas.holders.borrow().asked_at(&question.keeper, node.now_us());
     match address {
-        Some(address) if address == own_address(node) => keeping::on_question(node, &question),
+        Some(address) if address == own_address(node) => keeper::on_question(node, &question),
         Some(address) => {
             node.scheduling.socket.send(&PeerWord::QuotaQuestion(question), &[address]);
         }
@@ -284,7 +284,7 @@
     for word in words {
         let address = node.quotas.holders.borrow().address_of(&word.keeper);
         match address {
-            Some(address) if address == own_address(node) => keeping::on_return(node, &word),
+            Some(address) if address == own_address(node) => keeper::on_return(node, &word),
             Some(address) => {
                 node.scheduling.socket.send(&PeerWord::QuotaReturn(word), &[address]);
             }
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -6,7 +6,7 @@
 
 use crate::missed_answers::MissedAnswers;
 use crate::node::Node;
-use crate::peer_words::PeerWord;
+use crate::peer_messages::PeerWord;
 use crate::shard_scheduler::possible_shards;
 use pitchstall_serving::digest::silence_timeout_us;
 use pitchstall_serving::ids::{NodeId, RunnerId};
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -7,7 +7,7 @@
 use crate::held_parts::UntoldReadings;
 use crate::missed_answers::MissedAnswers;
 use crate::node::Node;
-use crate::peer_words::{PeerSocket, PeerWord};
+use crate::peer_messages::{PeerSocket, PeerWord};
 use pitchstall_serving::fleet::{Eligible, Scope};
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName};
 use pitchstall_serving::placement::{prefill_home, Demand, PrefillPlan, RunnerChoice};
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -6,7 +6,7 @@
 
 use crate::held_parts;
 use crate::node::Node;
-use crate::peer_words::PeerWord;
+use crate::peer_messages::PeerWord;
 use crate::runner_limits;
 use crate::scheduling::{choose_here, elsewhere, named, scheduler_of, PlacementDemand};
 use crate::verification::verify;
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Instant;
 use crate::node::Node;
-use crate::peer_words::PeerWord;
+use crate::peer_messages::PeerWord;
 use crate::platform_client::PlatformClient;
 use crate::refused_entries::EntryFault;
 use crate::settings::{Duty, UsageSection};
--- a/crates/gateway/tests/words_of_other_builds.rs
+++ b/crates/gateway/tests/message_compatibility.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pitchstall_gateway::peer_words::PeerWord;
+use pitchstall_gateway::peer_messages::PeerWord;
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
 use serde_json::{json, Value};
 use std::net::UdpSocket;
