--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -22,22 +22,22 @@
 use tokio::time::sleep;
 
 /// Limit of a call to the store.
-const STORE_LIMIT: Duration = Duration::from_millis(1_000);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Between two looks whether the regions have become several.
-const REGIONS_POLL: Duration = Duration::from_millis(1_000);
+const REGIONS_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Shortest lease.
 const MIN_TTL_MS: u64 = 3_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 
 /// This node's authority over one subject.
 #[derive(Debug, Default)]
-pub struct Holding {
+pub struct LocalAuthority {
     holder: RefCell<AuthorityHolder>,
 }
 
-impl Holding {
+impl LocalAuthority {
     /// The fencing token, while orders may be given.
-    pub fn fence_to_order(&self, now_us: u64) -> Option<FencingToken> {
+    pub fn fence_for_orders(&self, now_us: u64) -> Option<FencingToken> {
         self.holder.borrow().fence_for_orders(now_us)
     }
 
@@ -67,14 +67,14 @@
 }
 
 /// What this node holds for ordering roles under a subject.
-pub fn roles_holding<'a>(node: &'a Node, subject: &AuthoritySubject) -> &'a Holding {
+pub fn local_roles_authority<'a>(node: &'a Node, subject: &AuthoritySubject) -> &'a LocalAuthority {
     match subject {
         AuthoritySubject::Fleet => &node.authority,
         AuthoritySubject::Roles(_) => &node.roles_authority,
     }
 }
 
-struct Authority {
+struct AuthorityTask {
     node: Rc<Node>,
     client: PlatformClient,
     subject: AuthoritySubject,
@@ -83,54 +83,54 @@
 }
 
 /// Holds the authority over the fleet whenever it can, until the node stops.
-pub async fn hold_fleet(node: Rc<Node>) {
-    let mut authority = Authority::new(node, AuthoritySubject::Fleet);
+pub async fn hold_fleet_authority(node: Rc<Node>) {
+    let mut authority = AuthorityTask::new(node, AuthoritySubject::Fleet);
     while !authority.node.is_stopping() {
         authority.step().await;
     }
-    authority.hand_over().await;
+    authority.release().await;
 }
 
 /// Holds the authority over the roles of this node's region whenever it can, where there are
 /// several regions, until the node stops. The regions may change with the settings.
-pub async fn hold_roles(node: Rc<Node>) {
+pub async fn hold_roles_authority(node: Rc<Node>) {
     while !node.is_stopping() {
         let subject = roles_subject(&node);
         if subject == AuthoritySubject::Fleet {
-            sleep(REGIONS_POLL).await;
+            sleep(REGIONS_POLL_INTERVAL).await;
             continue;
         }
-        let mut authority = Authority::new(node.clone(), subject);
+        let mut authority = AuthorityTask::new(node.clone(), subject);
         while !node.is_stopping() && roles_subject(&node) == authority.subject {
             authority.step().await;
         }
-        authority.hand_over().await;
+        authority.release().await;
     }
 }
 
-impl Authority {
+impl AuthorityTask {
     fn new(node: Rc<Node>, subject: AuthoritySubject) -> Self {
         let name = subject.region().map_or_else(|| "fleet".to_owned(), ToString::to_string);
         Self { node, client: PlatformClient::default(), subject, name }
     }
 
     fn with_holder<R>(&self, update: impl FnOnce(&mut AuthorityHolder) -> R) -> R {
-        update(&mut roles_holding(&self.node, &self.subject).holder.borrow_mut())
+        update(&mut local_roles_authority(&self.node, &self.subject).holder.borrow_mut())
     }
 
     async fn step(&mut self) {
         let now_us = self.node.now_us();
-        let chance = rand::rng().random_range(0.0..1.0);
-        match self.with_holder(|holder| holder.step(now_us, chance)) {
+        let jitter_fraction = rand::rng().random_range(0.0..1.0);
+        match self.with_holder(|holder| holder.step(now_us, jitter_fraction)) {
             AuthorityStep::Wait(us) => sleep(Duration::from_micros(us)).await,
-            AuthorityStep::Poll => self.try_take().await,
+            AuthorityStep::Poll => self.try_acquire().await,
             AuthorityStep::Renew(lease) => self.renew(lease).await,
             AuthorityStep::StepDown(lease) => {
-                self.lose("a higher fencing token was seen");
+                self.on_lost("a higher fencing token was seen");
                 self.end_lease(lease).await;
             }
         }
-        self.look_for_the_end();
+        self.check_expiry();
     }
 
     fn times(&self) -> LeaseTimes {
@@ -148,15 +148,15 @@
         (is_fleet && self.node.settings().cloud.is_some()) || has_engines(&self.node)
     }
 
-    async fn try_take(&mut self) {
+    async fn try_acquire(&mut self) {
         // Only nodes that read the store look who has the authority, and only at that of their own
         // region: each look is a call.
-        let is_mirror = self.node.members.borrow().is_store_reader();
-        if !self.node.is_ready() || !self.has_duties() || !is_mirror {
+        let is_store_reader = self.node.members.borrow().is_store_reader();
+        if !self.node.is_ready() || !self.has_duties() || !is_store_reader {
             return;
         }
-        let look = store::read_authority(&self.subject);
-        match self.call(&look).await.map(|answer| answer.status) {
+        let read = store::read_authority(&self.subject);
+        match self.call(&read).await.map(|response| response.status) {
             Some(StoreStatus::Done) => {
                 return self.with_holder(AuthorityHolder::on_holder_observed)
             }
@@ -171,14 +171,14 @@
         let lease = StoreLease { era: granted.era, number };
         let node = self.node.settings().node.name.clone();
         // Without an answer the key may be ours unknown to us: the lease lapses by itself.
-        let take = store::take_authority(&self.subject, &node, lease.number);
-        let Some(taken) = self.call(&take).await.filter(StoreAnswer::is_done) else { return };
-        let Some(revision) = readable("authority", store::parse_transaction(&taken.body)) else {
+        let acquire = store::take_authority(&self.subject, &node, lease.number);
+        let Some(acquired) = self.call(&acquire).await.filter(StoreAnswer::is_done) else { return };
+        let Some(revision) = readable("authority", store::parse_transaction(&acquired.body)) else {
             return;
         };
-        let acquired_at = StoreRevision::new(taken.era, revision);
-        if taken.era != lease.era || taken.era != self.node.store_era() {
-            return self.undo(acquired_at).await;
+        let acquired_at = StoreRevision::new(acquired.era, revision);
+        if acquired.era != lease.era || acquired.era != self.node.store_era() {
+            return self.undo_acquisition(acquired_at).await;
         }
         let fence = FencingToken::new(acquired_at);
         let now_us = self.node.now_us();
@@ -192,20 +192,20 @@
 
     /// The store came back older between the granting of the lease and the writing of the key, which hangs on whatever
     /// lease has that number now.
-    async fn undo(&mut self, acquired_at: StoreRevision) {
+    async fn undo_acquisition(&mut self, acquired_at: StoreRevision) {
         let remove = store::remove_authority(&self.subject, acquired_at.number());
-        let status = self.call(&remove).await.map(|answer| answer.status);
+        let status = self.call(&remove).await.map(|response| response.status);
         log::warn!(target: "authority", subject = self.name.as_str(), status:?; "taken in another era");
     }
 
     async fn renew(&mut self, lease: StoreLease) {
         let sent_at_us = self.node.now_us();
-        let answer = self.call(&store::keep_lease(lease.number)).await;
-        if answer.as_ref().is_some_and(|answer| answer.era != lease.era) {
+        let response = self.call(&store::keep_lease(lease.number)).await;
+        if response.as_ref().is_some_and(|response| response.era != lease.era) {
             // Whatever it says, it is of another lease.
-            return self.lose("the lease is of another era of the store");
+            return self.on_lost("the lease is of another era of the store");
         }
-        match answer.map(|answer| answer.status) {
+        match response.map(|response| response.status) {
             Some(StoreStatus::Done) => {
                 let (now_us, times) = (self.node.now_us(), self.times());
                 if self.with_holder(|holder| holder.on_renewed(sent_at_us, now_us, times)) {
@@ -213,12 +213,12 @@
                     log::info!(target: "authority", subject, lease; "the lease was renewed after all");
                 }
             }
-            Some(StoreStatus::Absent) => self.lose("the lease is over"),
+            Some(StoreStatus::Absent) => self.on_lost("the lease is over"),
             _ => {}
         }
     }
 
-    fn look_for_the_end(&mut self) {
+    fn check_expiry(&mut self) {
         let now_us = self.node.now_us();
         if self.with_holder(|holder| holder.check_expiry(now_us)) {
             let fence = self.with_holder(|holder| holder.fence()).map(FencingToken::number);
@@ -227,7 +227,7 @@
         }
     }
 
-    fn lose(&mut self, reason: &str) {
+    fn on_lost(&mut self, reason: &str) {
         if let Some((_, fence)) = self.with_holder(AuthorityHolder::on_lost) {
             let fence = fence.number();
             log::warn!(target: "authority", subject = self.name.as_str(), fence, reason; "lost");
@@ -235,7 +235,7 @@
     }
 
     /// Ends the lease, so that another node can take over at once.
-    async fn hand_over(&mut self) {
+    async fn release(&mut self) {
         if let Some((lease, fence)) = self.with_holder(AuthorityHolder::on_lost) {
             self.end_lease(lease).await;
             let fence = fence.number();
@@ -253,6 +253,6 @@
     }
 
     async fn call(&mut self, call: &PlatformCall) -> Option<StoreAnswer> {
-        self.node.call_store(&mut self.client, call, STORE_LIMIT).await
+        self.node.call_store(&mut self.client, call, STORE_TIMEOUT).await
     }
 }
--- a/crates/gateway/src/cross_region_traffic.rs
+++ b/crates/gateway/src/cross_region_traffic.rs
@@ -9,40 +9,40 @@
 
 /// Labels of words to other regions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct WordLabels {
+pub struct MessageLabels {
     /// The kind of word.
     pub word: &'static str,
 }
 
 /// Words to nodes of other regions.
 #[derive(Debug, Default)]
-pub struct FarTraffic {
-    far: RefCell<HashSet<SocketAddr>>,
-    bytes: Family<WordLabels, Counter>,
+pub struct CrossRegionTraffic {
+    remote_addresses: RefCell<HashSet<SocketAddr>>,
+    bytes: Family<MessageLabels, Counter>,
 }
 
-impl FarTraffic {
+impl CrossRegionTraffic {
     /// A node is of another region, or of this one.
-    pub fn on_peer(&self, address: SocketAddr, is_far: bool) {
-        let mut far = self.far.borrow_mut();
-        if is_far {
-            far.insert(address);
+    pub fn set_region(&self, address: SocketAddr, is_remote: bool) {
+        let mut remote_addresses = self.remote_addresses.borrow_mut();
+        if is_remote {
+            remote_addresses.insert(address);
         } else {
-            far.remove(&address);
+            remote_addresses.remove(&address);
         }
     }
 
     /// A word of so many bytes was sent to each of these nodes.
     pub fn on_sent(&self, word: &'static str, bytes: usize, to: &[SocketAddr]) {
-        let far = self.far.borrow();
-        let sent = to.iter().filter(|address| far.contains(address)).count();
+        let remote_addresses = self.remote_addresses.borrow();
+        let sent = to.iter().filter(|address| remote_addresses.contains(address)).count();
         if sent > 0 {
-            self.bytes.get_or_create(&WordLabels { word }).inc_by((sent * bytes) as u64);
+            self.bytes.get_or_create(&MessageLabels { word }).inc_by((sent * bytes) as u64);
         }
     }
 
     /// The counter, for the registry.
-    pub fn bytes(&self) -> Family<WordLabels, Counter> {
+    pub fn bytes(&self) -> Family<MessageLabels, Counter> {
         self.bytes.clone()
     }
 }
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -115,12 +115,12 @@
     ntex::rt::spawn(peers.clone().announce());
     ntex::rt::spawn(shard_scheduler::tell_loads(node.clone()));
     ntex::rt::spawn(peers.register());
-    ntex::rt::spawn(authority::hold_fleet(node.clone()));
-    ntex::rt::spawn(authority::hold_roles(node.clone()));
+    ntex::rt::spawn(authority::hold_fleet_authority(node.clone()));
+    ntex::rt::spawn(authority::hold_roles_authority(node.clone()));
     ntex::rt::spawn(roles::order_changes(node.clone()));
-    ntex::rt::spawn(quarantine::keep_written(node.clone()));
-    ntex::rt::spawn(usage::report(node.clone()));
-    ntex::rt::spawn(quota::candidate::keep(node.clone()));
+    ntex::rt::spawn(quarantine::persist_crashes(node.clone()));
+    ntex::rt::spawn(usage::run_reporter(node.clone()));
+    ntex::rt::spawn(quota::candidate::run(node.clone()));
     ntex::rt::spawn(scaling::order_runners(node.clone()));
     ntex::rt::spawn(cache_listing::list_own_shards(node.clone()));
     ntex::rt::spawn(mirror::accept_followers(followers, node.clone()));
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -2,7 +2,7 @@
 
 use super::planning::Plan;
 use super::Dispatch;
-use crate::quota::requester::{self, Payment, Spent, Unpaid};
+use crate::quota::requester::{self, QuotaRejection, QuotaReservation, SentReservation};
 use crate::runner_limits;
 use pitchstall_serving::attempt::EndReason;
 use pitchstall_serving::retry_budget::{ArrivalCost, SharedRetryBudget};
@@ -10,7 +10,7 @@
 /// What came of asking whether a planned run may be sent.
 pub(super) enum Admission {
     /// It may; what was spent on it, if its tenant has a limit.
-    Paid(Option<Spent>),
+    Paid(Option<SentReservation>),
     /// Its runner takes nothing from this node any more. Nothing has been spent.
     Withheld,
 }
@@ -33,8 +33,8 @@
         if !self.is_permitted(plan).await {
             return Ok(Admission::Withheld);
         }
-        let is_paid =
-            self.run_cost.is_none() || self.payment.as_ref().is_some_and(Payment::is_usable);
+        let is_paid = self.run_cost.is_none()
+            || self.payment.as_ref().is_some_and(QuotaReservation::is_usable);
         if !is_paid || !self.node.may_send_to(&plan.choice.runner) {
             return Ok(Admission::Withheld);
         }
@@ -45,7 +45,7 @@
         if !self.pay(cost) {
             return Err(EndReason::Refused);
         }
-        Ok(Admission::Paid(self.payment.take().map(Payment::spend)))
+        Ok(Admission::Paid(self.payment.take().map(QuotaReservation::mark_sent)))
     }
 
     /// Whether the runner takes one request more of what it has named as its limit.
@@ -59,11 +59,11 @@
 
     /// Has the next run paid for by the tenant's keepers, if it is not; `None`: it is, or costs
     /// nothing.
-    pub(super) async fn payment_to_make(&self) -> Result<Option<Payment>, EndReason> {
+    pub(super) async fn payment_to_make(&self) -> Result<Option<QuotaReservation>, EndReason> {
         match &self.run_cost {
             Some(run) if self.payment.is_none() => {
                 let request = &self.request.facts.id;
-                requester::pay(self.node, request, run).await.map(Some).map_err(reason_of)
+                requester::reserve(self.node, request, run).await.map(Some).map_err(reason_of)
             }
             _ => Ok(None),
         }
@@ -73,13 +73,13 @@
     /// is given back and asked for anew.
     pub(super) async fn ensure_paid(&mut self) -> Result<(), EndReason> {
         let Some(run) = &self.run_cost else { return Ok(()) };
-        if self.payment.as_ref().is_some_and(Payment::is_usable) {
+        if self.payment.as_ref().is_some_and(QuotaReservation::is_usable) {
             return Ok(());
         }
         let lapsed = self.payment.take();
-        let run = if lapsed.is_some() { &run.granted_before() } else { run };
+        let run = if lapsed.is_some() { &run.with_top_priority() } else { run };
         drop(lapsed);
-        let paid = requester::pay(self.node, &self.request.facts.id, run).await;
+        let paid = requester::reserve(self.node, &self.request.facts.id, run).await;
         self.payment = Some(paid.map_err(reason_of)?);
         Ok(())
     }
@@ -97,9 +97,9 @@
     }
 }
 
-fn reason_of(unpaid: Unpaid) -> EndReason {
+fn reason_of(unpaid: QuotaRejection) -> EndReason {
     match unpaid {
-        Unpaid::OverQuota { wait_ms } => EndReason::OverQuota { wait_ms },
-        Unpaid::Unreachable => EndReason::QuotaUnknown,
+        QuotaRejection::OverQuota { wait_ms } => EndReason::OverQuota { wait_ms },
+        QuotaRejection::Unreachable => EndReason::QuotaUnknown,
     }
 }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -17,9 +17,9 @@
 use crate::intake::{ClientRequest, RequestEnd, WholeAnswer};
 use crate::node::Node;
 use crate::policy::PlacementRules;
-use crate::quota::requester::{Payment, RunCost, Spent};
+use crate::quota::requester::{QuotaReservation, RunCost, SentReservation};
 use crate::relay::{relay, RelayEnd, RelayLimits, StreamState};
-use crate::usage::BeginMark;
+use crate::usage::StartRecorder;
 use pitchstall_serving::attempt::{final_response, EndReason, Execution};
 use pitchstall_serving::configuration::{Configuration, EngineSpec, RequestKind, Route};
 use pitchstall_serving::event_stream::EventSplitter;
@@ -67,7 +67,7 @@
     /// What a run costs the tenant; `None`: nothing.
     run_cost: Option<RunCost>,
     /// The next run, if it is paid for by the tenant's keepers.
-    payment: Option<Payment>,
+    payment: Option<QuotaReservation>,
     /// Whether the request has been counted as begun.
     is_counted: bool,
     /// Whether the next attempt is paid for: it was when the one before was left.
@@ -179,13 +179,13 @@
         let mut begin = self.begin_mark(sent_at);
         let end = attempt::send(self.node, self.request, prepared, &params).await;
         match (&end, spent) {
-            (AttemptEnd::Declined, spent) => self.payment = spent.map(Spent::not_run),
-            (_, Some(spent)) => spent.on_begun(),
+            (AttemptEnd::Declined, spent) => self.payment = spent.map(SentReservation::on_not_run),
+            (_, Some(spent)) => spent.on_started(),
             (_, None) => {}
         }
         match end {
             AttemptEnd::Answering(answering) => {
-                begin.on_answer();
+                begin.on_response();
                 self.is_counted = true;
                 if let Some(prompt) = &plan.prompt {
                     prompt.on_taken();
@@ -201,7 +201,7 @@
                 Step::Again
             }
             AttemptEnd::Lost | AttemptEnd::Silent => {
-                begin.on_lost();
+                begin.on_no_response();
                 self.is_counted = true;
                 self.on_lost(plan.choice.runner)
             }
@@ -218,10 +218,10 @@
     }
 
     /// Counts the request for its tenant when it begins to run; once, however often it is repeated.
-    fn begin_mark(&self, sent_at: Instant) -> BeginMark {
+    fn begin_mark(&self, sent_at: Instant) -> StartRecorder {
         let tenant = self.tenant.as_ref().filter(|_| !self.is_counted);
         let tenant = tenant.map(|tenant| tenant.name.clone());
-        BeginMark::new(self.node, tenant, sent_at, self.engine.is_none())
+        StartRecorder::new(self.node, tenant, sent_at, self.engine.is_none())
     }
 
     fn time_left(&self) -> Duration {
--- a/crates/gateway/src/held_parts.rs
+++ b/crates/gateway/src/held_parts.rs
@@ -5,7 +5,7 @@
 //! go: then nothing is taken over, and they are read.
 
 use crate::node::Node;
-use crate::peer_messages::PeerWord;
+use crate::peer_messages::PeerMessage;
 use crate::shard_scheduler::schedulers_of_other_regions;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::prefix::PromptPart;
@@ -38,7 +38,7 @@
         return;
     }
     let to = schedulers_of_other_regions(node);
-    node.scheduling.socket.send(&PeerWord::PartsRead(readings), &to);
+    node.scheduling.socket.send(&PeerMessage::CachedPrefixes(readings), &to);
 }
 
 /// Takes in another region's readings.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters and histograms in the text format of OpenMetrics.
 
-use crate::cross_region_traffic::FarTraffic;
-use crate::quota::metrics::QuotaFigures;
+use crate::cross_region_traffic::CrossRegionTraffic;
+use crate::quota::metrics::QuotaMetrics;
 use pitchstall_serving::scheduling::CrossRegionReason;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -85,7 +85,7 @@
     /// Requests for which another region's scheduler was asked.
     pub left_region: Family<LeavingLabels, Counter>,
     /// Tenants' limits.
-    pub quota: QuotaFigures,
+    pub quota: QuotaMetrics,
     /// Calls to the store.
     pub store_calls: Counter,
     /// Calls to the store that failed.
@@ -105,7 +105,7 @@
 
 impl Metrics {
     /// Nothing counted; what goes to other regions is counted by the socket.
-    pub fn new(far_traffic: &FarTraffic) -> Self {
+    pub fn new(cross_region_traffic: &CrossRegionTraffic) -> Self {
         const FIRST_BUCKET_S: f64 = 0.002;
         const BUCKETS: u16 = 14;
         let mut metrics = Self {
@@ -128,7 +128,7 @@
             placements_missed: Counter::default(),
             placements_handed_on: Counter::default(),
             left_region: Family::default(),
-            quota: QuotaFigures::default(),
+            quota: QuotaMetrics::default(),
             store_calls: Counter::default(),
             store_failures: Counter::default(),
             refused_entries: Family::default(),
@@ -140,7 +140,7 @@
         };
         metrics.register();
         let help = "Bytes of words to nodes of other regions";
-        metrics.registry.register("far_bytes", help, far_traffic.bytes());
+        metrics.registry.register("far_bytes", help, cross_region_traffic.bytes());
         metrics
     }
 
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -1,7 +1,7 @@
 //! What a node takes in of runners that ended under requests, and which requests it sends to none.
 
 use super::Node;
-use crate::peer_messages::PeerWord;
+use crate::peer_messages::PeerMessage;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::quarantine::{Crash, CrashChange, CrashMessage, CrashRecord};
 use pitchstall_serving::request_identity::RequestIdentity;
@@ -84,7 +84,7 @@
 
     fn tell_all(&self, word: CrashMessage) {
         let others = self.members.borrow().other_addresses();
-        self.scheduling.socket.send(&PeerWord::Crash(word), &others);
+        self.scheduling.socket.send(&PeerMessage::CrashMessage(word), &others);
     }
 
     /// Logs that a request goes into quarantine.
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -9,7 +9,7 @@
 
 pub use work::{BodyReservation, OpenConnection, OpenRequest};
 
-use crate::authority::Holding;
+use crate::authority::LocalAuthority;
 use crate::clock::Instant;
 use crate::http::ConnectionPool;
 use crate::metrics::Metrics;
@@ -23,7 +23,7 @@
 use crate::settings::Settings;
 use crate::shard_scheduler;
 use crate::store_answers::StoreAnswer;
-use crate::unknown_headers::UnknownWords;
+use crate::unknown_headers::UnknownHeaders;
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store;
 use pitchstall_serving::configuration::{Configuration, Route};
@@ -93,9 +93,9 @@
     /// Told when connections that rest are to be closed.
     pub stopping: Notify,
     /// This node's authority over what one node does for all.
-    pub authority: Holding,
+    pub authority: LocalAuthority,
     /// This node's authority over the roles in its region, where there are several regions.
-    pub roles_authority: Holding,
+    pub roles_authority: LocalAuthority,
     /// Requests of tenants that began to run, here and at other nodes.
     pub usage: RefCell<UsageLedger>,
     /// Attempts that broke, until it is known whether their runners ended.
@@ -113,7 +113,7 @@
     /// Entries of the store that cannot be used.
     pub refused_entries: RefusedEntries,
     /// What runners say in ways that are not known here.
-    pub unknown_words: RefCell<UnknownWords>,
+    pub unknown_words: RefCell<UnknownHeaders>,
     /// Whether runners' entries tell when their runners started.
     pub tells_starts: Cell<bool>,
     /// This start of the node, drawn at random: the time of day may jump back.
@@ -171,7 +171,7 @@
             zone,
             fleet: RefCell::new(fleet),
             pool: ConnectionPool::default(),
-            metrics: Metrics::new(socket.far_traffic()),
+            metrics: Metrics::new(socket.cross_region_traffic()),
             suspicion_changed: Notify::new(),
             role_ordered: Notify::new(),
             fleet_changed: Notify::new(),
@@ -187,8 +187,8 @@
             store_confirmed: Notify::new(),
             store_suspected: Notify::new(),
             stopping: Notify::new(),
-            authority: Holding::default(),
-            roles_authority: Holding::default(),
+            authority: LocalAuthority::default(),
+            roles_authority: LocalAuthority::default(),
             usage: RefCell::default(),
             crash_evidence: RefCell::default(),
             quarantine: RefCell::default(),
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -140,7 +140,7 @@
     /// A runner says something of itself in a way that this program does not know: operators hear of each name once.
     fn on_unknown_words(&self, runner: &RunnerId, names: &[String]) {
         for name in names {
-            if self.unknown_words.borrow_mut().note(name) {
+            if self.unknown_words.borrow_mut().record(name) {
                 log::warn!(target: "fleet", runner = runner.as_str(), header = name.as_str(); "unknown word of a runner");
             }
             self.metrics.on_notice("unknown");
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -1,6 +1,6 @@
 //! What nodes say to each other by datagrams: one JSON line each.
 
-use crate::cross_region_traffic::FarTraffic;
+use crate::cross_region_traffic::CrossRegionTraffic;
 use pitchstall_serving::digest::Digest;
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::membership::Member;
@@ -17,11 +17,11 @@
 use tokio::net::UdpSocket;
 
 /// Largest datagram.
-pub const MOST_DATAGRAM_BYTES: usize = 60_000;
+pub const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// A word of one node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum PeerWord {
+pub enum PeerMessage {
     /// The node is there.
     #[serde(rename = "digest")]
     Digest(Digest),
@@ -33,77 +33,77 @@
     Members(Vec<(NodeId, Member)>),
     /// Where is this request to run?
     #[serde(rename = "ask")]
-    Question(PlacementQuery),
+    PlacementQuery(PlacementQuery),
     /// There.
     #[serde(rename = "place")]
-    Answer(PlacementReply),
+    PlacementReply(PlacementReply),
     /// What became of a request that was placed.
     #[serde(rename = "progress")]
-    Progress(ProgressMessage),
+    ProgressMessage(ProgressMessage),
     /// The loads of a shard.
     #[serde(rename = "loads")]
-    Loads(ShardLoads),
+    ShardLoads(ShardLoads),
     /// What the runners of a region have to do.
     #[serde(rename = "region")]
     RegionLoads(RegionLoads),
     /// Shared parts of prompts that runners of a region have read.
     #[serde(rename = "parts")]
-    PartsRead(Vec<CachedPrefixMessage>),
+    CachedPrefixes(Vec<CachedPrefixMessage>),
     /// How many requests of each tenant began?
     #[serde(rename = "usage?")]
-    UsageQuestion(UsageQuery),
+    UsageQuery(UsageQuery),
     /// Runners that ended, and what was under way there.
     #[serde(rename = "crash")]
-    Crash(CrashMessage),
+    CrashMessage(CrashMessage),
     /// May a run of this cost begin?
     #[serde(rename = "quota?")]
-    QuotaQuestion(QuotaQuery),
+    QuotaQuery(QuotaQuery),
     /// Whether it may.
     #[serde(rename = "quota")]
-    QuotaAnswer(QuotaReply),
+    QuotaReply(QuotaReply),
     /// This keeper has a question that was handed on to it.
     #[serde(rename = "quota+")]
-    QuotaTaken(KeeperId),
+    QuotaForwardAck(KeeperId),
     /// It has not begun.
     #[serde(rename = "quota-")]
-    QuotaReturn(QuotaRefund),
+    QuotaRefund(QuotaRefund),
     /// May one request be sent to a runner that names a limit?
     #[serde(rename = "limit?")]
-    LimitQuestion(LimitQuery),
+    LimitQuery(LimitQuery),
     /// Whether it may.
     #[serde(rename = "limit")]
-    LimitAnswer(LimitReply),
+    LimitReply(LimitReply),
     /// A runner has said what it takes.
     #[serde(rename = "limit+")]
-    LimitWord(LimitMessage),
+    LimitMessage(LimitMessage),
     /// So many.
     #[serde(rename = "usage")]
-    Usage(UsageMessage),
+    UsageMessage(UsageMessage),
 }
 
-impl PeerWord {
+impl PeerMessage {
     /// Its kind, for metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Digest(_) => "digest",
             Self::Hello(_) => "hello",
             Self::Members(_) => "members",
-            Self::Question(_) => "question",
-            Self::Answer(_) => "answer",
-            Self::Progress(_) => "progress",
-            Self::Loads(_) => "loads",
+            Self::PlacementQuery(_) => "question",
+            Self::PlacementReply(_) => "answer",
+            Self::ProgressMessage(_) => "progress",
+            Self::ShardLoads(_) => "loads",
             Self::RegionLoads(_) => "region_loads",
-            Self::PartsRead(_) => "parts_read",
-            Self::UsageQuestion(_) => "usage_question",
-            Self::Crash(_) => "crash",
-            Self::QuotaQuestion(_) => "quota_question",
-            Self::QuotaAnswer(_) => "quota_answer",
-            Self::QuotaTaken(_) => "quota_taken",
-            Self::QuotaReturn(_) => "quota_return",
-            Self::LimitQuestion(_) => "limit_question",
-            Self::LimitAnswer(_) => "limit_answer",
-            Self::LimitWord(_) => "limit_word",
-            Self::Usage(_) => "usage",
+            Self::CachedPrefixes(_) => "parts_read",
+            Self::UsageQuery(_) => "usage_question",
+            Self::CrashMessage(_) => "crash",
+            Self::QuotaQuery(_) => "quota_question",
+            Self::QuotaReply(_) => "quota_answer",
+            Self::QuotaForwardAck(_) => "quota_taken",
+            Self::QuotaRefund(_) => "quota_return",
+            Self::LimitQuery(_) => "limit_question",
+            Self::LimitReply(_) => "limit_answer",
+            Self::LimitMessage(_) => "limit_word",
+            Self::UsageMessage(_) => "usage",
         }
     }
 }
@@ -112,26 +112,26 @@
 #[derive(Clone)]
 pub struct PeerSocket {
     socket: Rc<UdpSocket>,
-    far: Rc<FarTraffic>,
+    cross_region_traffic: Rc<CrossRegionTraffic>,
 }
 
 impl PeerSocket {
     /// Sends through the socket.
     pub fn new(socket: Rc<UdpSocket>) -> Self {
-        Self { socket, far: Rc::default() }
+        Self { socket, cross_region_traffic: Rc::default() }
     }
 
     /// What goes to nodes of other regions.
-    pub fn far_traffic(&self) -> &FarTraffic {
-        &self.far
+    pub fn cross_region_traffic(&self) -> &CrossRegionTraffic {
+        &self.cross_region_traffic
     }
 
     /// Sends a word to some nodes; returns its length in bytes.
-    pub fn send(&self, word: &PeerWord, to: &[SocketAddr]) -> usize {
-        let line = match serde_json::to_vec(word) {
-            Ok(line) if line.len() <= MOST_DATAGRAM_BYTES => line,
-            Ok(line) => {
-                log::warn!(target: "peers", bytes = line.len(); "a word is too long");
+    pub fn send(&self, message: &PeerMessage, to: &[SocketAddr]) -> usize {
+        let datagram = match serde_json::to_vec(message) {
+            Ok(datagram) if datagram.len() <= MAX_DATAGRAM_BYTES => datagram,
+            Ok(datagram) => {
+                log::warn!(target: "peers", bytes = datagram.len(); "a word is too long");
                 return 0;
             }
             Err(error) => {
@@ -140,14 +140,14 @@
                 return 0;
             }
         };
-        self.far.on_sent(word.kind(), line.len(), to);
+        self.cross_region_traffic.on_sent(message.kind(), datagram.len(), to);
         for address in to {
-            if let Err(error) = self.socket.try_send_to(&line, *address) {
+            if let Err(error) = self.socket.try_send_to(&datagram, *address) {
                 let (to, error) = (address.to_string(), error.to_string());
                 log::debug!(target: "peers", to, error; "a word was not sent");
             }
         }
-        line.len()
+        datagram.len()
     }
 
     /// Receives the next datagram into `buffer`.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -8,7 +8,7 @@
 use crate::clock::Instant;
 use crate::held_parts;
 use crate::node::{machine_wall_ms, Node};
-use crate::peer_messages::{PeerSocket, PeerWord, MOST_DATAGRAM_BYTES};
+use crate::peer_messages::{PeerMessage, PeerSocket, MAX_DATAGRAM_BYTES};
 use crate::platform_client::PlatformClient;
 use crate::quarantine;
 use crate::quota::{self, RegistrationLease};
@@ -34,30 +34,30 @@
 use tokio::time::{sleep, timeout};
 
 /// Pause after a datagram could not be received.
-const RECEIVE_PAUSE: Duration = Duration::from_millis(120);
+const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(120);
 /// Between two digests of a node. What they tell is not urgent, but for role changes, which are
 /// told to all at once.
-const DIGEST_EVERY: Duration = Duration::from_millis(1_000);
+const DIGEST_INTERVAL: Duration = Duration::from_millis(1_000);
 /// A node that has not been heard or listed for this long is forgotten.
-const PEER_LIFE: Duration = Duration::from_secs(60);
+const PEER_TTL: Duration = Duration::from_secs(60);
 /// Nodes that one which knows nobody is told of: enough to follow the store by, and the others tell
 /// of themselves in their digests.
-const MEMBERS_TOLD: usize = 64;
+const MAX_MEMBERS_IN_REPLY: usize = 64;
 /// Time to live of a node's registration. Keepers of tenants' limits grant for most of it without a
 /// word from the store, so it is longer than stores are usually away.
 const REGISTRATION_TTL_MS: u64 = 30_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 /// Between two renewals of the registration.
-const RENEW_EVERY: Duration = Duration::from_secs(5);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 /// Time within which a node registers again once the store has come back from an older copy, spread over it so that a
 /// fleet's writes do not come at once.
-const REGISTER_AGAIN_WITHIN: Duration = Duration::from_millis(700);
+const MAX_REREGISTRATION_DELAY: Duration = Duration::from_millis(700);
 /// Renewals between two readings of the list.
-const RENEWALS_A_LISTING: u32 = 6;
+const RENEWALS_PER_LISTING: u32 = 6;
 /// Pause after a call to the store failed.
-const STORE_PAUSE: Duration = Duration::from_millis(1_000);
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 /// Limit of a call to the store.
-const STORE_LIMIT: Duration = Duration::from_millis(1_500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
 
 struct Peer {
     address: SocketAddr,
-    heard_at: Instant,
+    last_received_at: Instant,
 }
 
 /// The other nodes that are known.
@@ -85,9 +85,9 @@
 #[derive(Default)]
 struct PeerState {
     peers: HashMap<NodeId, Peer>,
-    order: DigestTracker,
+    digest_tracker: DigestTracker,
     sequence: u64,
-    turns: DigestRotation,
+    rotation: DigestRotation,
 }
 
 impl Peers {
@@ -100,14 +100,14 @@
 
     /// Receives words until the task is dropped.
     pub async fn receive(self: Rc<Self>) {
-        let mut buffer = vec![0; MOST_DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.receive(&mut buffer).await else {
-                sleep(RECEIVE_PAUSE).await;
+                sleep(RECEIVE_RETRY_PAUSE).await;
                 continue;
             };
-            match serde_json::from_slice::<PeerWord>(&buffer[..length]) {
-                Ok(word) => self.on_word(word, from),
+            match serde_json::from_slice::<PeerMessage>(&buffer[..length]) {
+                Ok(message) => self.on_message(message, from),
                 // A later build may say what this one does not know; nothing else is lost by it.
                 Err(error) => {
                     self.node.metrics.unread_words.inc();
@@ -118,31 +118,31 @@
         }
     }
 
-    fn on_word(&self, word: PeerWord, from: SocketAddr) {
-        match word {
-            PeerWord::Digest(digest) => self.on_digest(&digest, from),
-            PeerWord::Hello(digest) => self.on_hello(&digest, from),
-            PeerWord::Members(members) => self.on_members(&members),
-            PeerWord::Question(question) => shard_scheduler::on_question(&self.node, question),
-            PeerWord::Answer(answer) => scheduling::on_answer(&self.node, answer, from),
-            PeerWord::Progress(word) => shard_scheduler::on_progress(&self.node, &word),
-            PeerWord::Loads(word) => self.node.on_shard_loads(&word),
-            PeerWord::RegionLoads(word) => scheduling::on_region_loads(&self.node, word),
-            PeerWord::PartsRead(readings) => held_parts::on_word(&self.node, &readings),
-            PeerWord::UsageQuestion(question) => usage::on_question(&self.node, &question),
-            PeerWord::Crash(word) => quarantine::on_word(&self.node, word),
-            PeerWord::QuotaQuestion(question) => {
-                quota::keeper::on_word(&self.node, &question, from)
+    fn on_message(&self, message: PeerMessage, from: SocketAddr) {
+        match message {
+            PeerMessage::Digest(digest) => self.on_digest(&digest, from),
+            PeerMessage::Hello(digest) => self.on_hello(&digest, from),
+            PeerMessage::Members(members) => self.on_members(&members),
+            PeerMessage::PlacementQuery(query) => shard_scheduler::on_question(&self.node, query),
+            PeerMessage::PlacementReply(reply) => scheduling::on_answer(&self.node, reply, from),
+            PeerMessage::ProgressMessage(message) => {
+                shard_scheduler::on_progress(&self.node, &message)
             }
-            PeerWord::QuotaAnswer(answer) => quota::requester::on_answer(&self.node, &answer),
-            PeerWord::QuotaTaken(keeper) => quota::keeper::on_taken(&self.node, &keeper),
-            PeerWord::QuotaReturn(word) => quota::keeper::on_return(&self.node, &word),
-            PeerWord::LimitQuestion(question) => {
-                runner_limits::on_question(&self.node, &question, from)
+            PeerMessage::ShardLoads(loads) => self.node.on_shard_loads(&loads),
+            PeerMessage::RegionLoads(loads) => scheduling::on_region_loads(&self.node, loads),
+            PeerMessage::CachedPrefixes(prefixes) => held_parts::on_word(&self.node, &prefixes),
+            PeerMessage::UsageQuery(query) => usage::on_query(&self.node, &query),
+            PeerMessage::CrashMessage(message) => quarantine::on_message(&self.node, message),
+            PeerMessage::QuotaQuery(query) => quota::keeper::on_query(&self.node, &query, from),
+            PeerMessage::QuotaReply(reply) => quota::requester::on_reply(&self.node, &reply),
+            PeerMessage::QuotaForwardAck(keeper) => {
+                quota::keeper::on_forward_ack(&self.node, &keeper)
             }
-            PeerWord::LimitAnswer(answer) => runner_limits::on_answer(&self.node, answer),
-            PeerWord::LimitWord(word) => runner_limits::on_word(&self.node, &word),
-            PeerWord::Usage(word) => usage::on_word(&self.node, &word),
+            PeerMessage::QuotaRefund(refund) => quota::keeper::on_refund(&self.node, &refund),
+            PeerMessage::LimitQuery(query) => runner_limits::on_question(&self.node, &query, from),
+            PeerMessage::LimitReply(reply) => runner_limits::on_answer(&self.node, reply),
+            PeerMessage::LimitMessage(message) => runner_limits::on_word(&self.node, &message),
+            PeerMessage::UsageMessage(message) => usage::on_message(&self.node, &message),
         }
     }
 
@@ -150,8 +150,8 @@
         if digest.node == self.name {
             return;
         }
-        let freshness = self.state.borrow_mut().order.on_digest(digest);
-        if freshness == DigestStatus::Stale {
+        let status = self.state.borrow_mut().digest_tracker.on_digest(digest);
+        if status == DigestStatus::Stale {
             return;
         }
         self.learn(&digest.node, &Member { address: from, ..digest.member.clone() });
@@ -160,7 +160,7 @@
             self.node.runner_limits.on_stopping(&digest.node);
         }
         quota::on_digest(&self.node, &digest.node, from, &digest.held_keepers);
-        if freshness == DigestStatus::NewIncarnation {
+        if status == DigestStatus::NewIncarnation {
             let peer = digest.node.as_str();
             log::info!(target: "peers", peer, incarnation = digest.incarnation; "met");
             if self.node.quotas.is_keeper() {
@@ -172,8 +172,8 @@
     /// A node that knows nobody has asked: it learns of some, and of the others by their digests.
     fn on_hello(&self, digest: &Digest, from: SocketAddr) {
         self.on_digest(digest, from);
-        let members = self.node.members.borrow().sample(MEMBERS_TOLD);
-        self.socket.send(&PeerWord::Members(members), &[from]);
+        let members = self.node.members.borrow().sample(MAX_MEMBERS_IN_REPLY);
+        self.socket.send(&PeerMessage::Members(members), &[from]);
     }
 
     fn on_members(&self, members: &[(NodeId, Member)]) {
@@ -185,7 +185,7 @@
     }
 
     /// Asks the machines that the settings name who is there, while nobody is known.
-    fn say_hello(&self) {
+    fn send_hello(&self) {
         if self.node.known_nodes() > 1 {
             return;
         }
@@ -194,16 +194,16 @@
         let at_seed = |seed: &SocketAddr| SocketAddr::new(seed.ip(), peers.port());
         let seeds = settings.node.seeds.iter().map(at_seed).filter(|address| *address != peers);
         let seeds: Vec<SocketAddr> = seeds.collect();
-        self.socket.send(&PeerWord::Hello(self.digest()), &seeds);
+        self.socket.send(&PeerMessage::Hello(self.digest()), &seeds);
     }
 
     fn learn(&self, name: &NodeId, member: &Member) {
-        let peer = Peer { address: member.address, heard_at: Instant::now() };
+        let peer = Peer { address: member.address, last_received_at: Instant::now() };
         self.state.borrow_mut().peers.insert(name.clone(), peer);
         self.node.runner_limits.on_heard(name, self.node.now_us());
         self.node.members.borrow_mut().upsert(name, member);
-        let is_far = !self.node.members.borrow().is_in_own_region(name);
-        self.socket.far_traffic().on_peer(member.address, is_far);
+        let is_remote = !self.node.members.borrow().is_in_own_region(name);
+        self.socket.cross_region_traffic().set_region(member.address, is_remote);
     }
 
     fn digest(&self) -> Digest {
@@ -217,7 +217,7 @@
             member: self.node.members.borrow().own().clone(),
             store: self.node.freshness.borrow().report(now_us),
             changing: self.node.fleet.borrow().role_changes(now_us),
-            held_keepers: self.node.quotas.kept(),
+            held_keepers: self.node.quotas.held_keepers(),
             limits: self.node.runner_limits.words(now_us),
             is_stopping: self.node.is_stopping(),
             wall_ms: machine_wall_ms(),
@@ -225,7 +225,7 @@
     }
 
     fn send_digest(&self, to: &[SocketAddr]) {
-        self.socket.send(&PeerWord::Digest(self.digest()), to);
+        self.socket.send(&PeerMessage::Digest(self.digest()), to);
     }
 
     /// Tells the other nodes what changes, until the task is dropped.
@@ -234,9 +234,9 @@
             let to = tokio::select! {
                 // Runners that change their role decline requests: all nodes should know.
                 () = self.node.role_ordered.notified() => self.all_addresses(),
-                () = self.node.quotas.changed.notified() => self.all_addresses(),
+                () = self.node.quotas.keepers_changed.notified() => self.all_addresses(),
                 () = self.node.store_confirmed.notified() => self.node.members.borrow().other_store_readers(),
-                () = sleep(DIGEST_EVERY) => self.next_addresses(),
+                () = sleep(DIGEST_INTERVAL) => self.next_addresses(),
             };
             self.send_digest(&to);
         }
@@ -247,28 +247,28 @@
     }
 
     /// The nodes of this node's region, and those of other regions.
-    fn near_and_far(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    fn addresses_by_region(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let members = self.node.members.borrow();
         let state = self.state.borrow();
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (in_region, remote): (Vec<_>, Vec<_>) =
             state.peers.iter().partition(|(name, _)| members.is_in_own_region(name));
         let addresses = |peers: Vec<(&NodeId, &Peer)>| {
             peers.into_iter().map(|(_, peer)| peer.address).collect()
         };
-        (addresses(near), addresses(far))
+        (addresses(in_region), addresses(remote))
     }
 
     /// The nodes that the next digest goes to.
     fn next_addresses(&self) -> Vec<SocketAddr> {
         // Where tenants have limits, a keeper of them that is lost is noticed by its digests, at every
         // node as soon.
-        let (near, far) = match quota::has_limits(&self.node) {
+        let (in_region, remote) = match quota::has_limits(&self.node) {
             true => (self.all_addresses(), Vec::new()),
-            false => self.near_and_far(),
+            false => self.addresses_by_region(),
         };
-        let mut next = self.state.borrow_mut().turns.next(&near, &far);
+        let mut next = self.state.borrow_mut().rotation.next(&in_region, &remote);
         let own = self.node.settings().listen.peers;
-        next.extend(self.node.quotas.other_keepers(own));
+        next.extend(self.node.quotas.other_keeper_addresses(own));
         next.sort();
         next.dedup();
         next
@@ -278,20 +278,20 @@
     pub async fn register(self: Rc<Self>) {
         let mut client = PlatformClient::default();
         loop {
-            match self.join(&mut client).await {
-                Some(lease) => self.stay(&mut client, lease).await,
-                None => self.say_hello(),
+            match self.register_once(&mut client).await {
+                Some(lease) => self.keep_registered(&mut client, lease).await,
+                None => self.send_hello(),
             }
-            sleep(STORE_PAUSE).await;
+            sleep(STORE_RETRY_PAUSE).await;
         }
     }
 
-    async fn join(&self, client: &mut PlatformClient) -> Option<StoreLease> {
+    async fn register_once(&self, client: &mut PlatformClient) -> Option<StoreLease> {
         let sent_at_us = self.node.now_us();
         let (body, era) = self.call(client, &store::grant_lease(REGISTRATION_TTL_MS)).await.ok()?;
         let lease = StoreLease { era, number: readable("lease", store::parse_lease(&body))? };
-        let given_ttl_ms = readable("lease", store::parse_lease_ttl(&body))?;
-        let given_ttl_ms = given_ttl_ms.unwrap_or(REGISTRATION_TTL_MS);
+        let granted_ttl_ms = readable("lease", store::parse_lease_ttl(&body))?;
+        let granted_ttl_ms = granted_ttl_ms.unwrap_or(REGISTRATION_TTL_MS);
         let member = store::node_value(self.node.members.borrow().own());
         let key = store::node_key(self.name.as_str());
         let put = store::put_under_lease(&key, &member, lease.number);
@@ -300,40 +300,44 @@
             // The key hangs on whatever lease has that number now; the next try puts it under its own.
             return None;
         }
-        let ttl_us = given_ttl_ms.min(REGISTRATION_TTL_MS) * MICROS_PER_MILLI;
+        let ttl_us = granted_ttl_ms.min(REGISTRATION_TTL_MS) * MICROS_PER_MILLI;
         let registered = RegistrationLease { id: lease, renewed_us: sent_at_us, ttl_us };
         self.node.quotas.on_registered(registered);
-        self.list(client, store::read_nodes).await;
+        self.list_nodes(client, store::read_nodes).await;
         Some(lease)
     }
 
     /// Renews the registration until the store says that it is over. While the store is away
     /// its leases wait, and a renewal costs a tenth of what registering anew does.
-    async fn stay(&self, client: &mut PlatformClient, lease: StoreLease) {
+    async fn keep_registered(&self, client: &mut PlatformClient, lease: StoreLease) {
         for renewal in 1_u32.. {
             if lease.era == self.node.store_era() {
                 // Either may end it.
-                let _ = timeout(RENEW_EVERY, self.node.era_began.notified()).await;
+                let _ = timeout(RENEWAL_INTERVAL, self.node.era_began.notified()).await;
             }
             if lease.era != self.node.store_era() {
                 // All nodes register again; those that come back soon are known meanwhile.
-                return sleep(rand::rng().random_range(Duration::ZERO..REGISTER_AGAIN_WITHIN))
+                return sleep(rand::rng().random_range(Duration::ZERO..MAX_REREGISTRATION_DELAY))
                     .await;
             }
             let sent_at_us = self.node.now_us();
             match self.call(client, &store::keep_lease(lease.number)).await {
                 Ok(_) => self.node.quotas.on_renewed(sent_at_us),
-                Err(CallFailure::Absent) => return self.node.quotas.on_lease_over(),
+                Err(CallFailure::Absent) => return self.node.quotas.on_lease_expired(),
                 Err(CallFailure::Other) => {}
             }
-            if renewal % RENEWALS_A_LISTING == 0 {
-                self.list(client, store::read_nodes_cheaply).await;
+            if renewal % RENEWALS_PER_LISTING == 0 {
+                self.list_nodes(client, store::read_nodes_cheaply).await;
             }
         }
     }
 
     /// Reads who is there and greets those that are not known.
-    async fn list(&self, client: &mut PlatformClient, read: fn(Option<&str>) -> PlatformCall) {
+    async fn list_nodes(
+        &self,
+        client: &mut PlatformClient,
+        read: fn(Option<&str>) -> PlatformCall,
+    ) {
         let page = read_pages(async |after| {
             let (body, _) = self.call(client, &read(after.as_deref())).await?;
             readable("nodes", store::parse_page(&body)).ok_or(CallFailure::Other)
@@ -351,7 +355,7 @@
         let now = Instant::now();
         let is_listed = |name: &NodeId| others.iter().any(|(other, _)| other == name);
         let mut state = self.state.borrow_mut();
-        state.peers.retain(|name, peer| is_listed(name) || now < peer.heard_at + PEER_LIFE);
+        state.peers.retain(|name, peer| is_listed(name) || now < peer.last_received_at + PEER_TTL);
         self.node.members.borrow_mut().retain(|name| state.peers.contains_key(name));
     }
 
@@ -372,15 +376,15 @@
     ) -> Result<(Vec<u8>, StoreEra), CallFailure> {
         self.node.metrics.store_calls.inc();
         let address = self.node.settings().store.address;
-        let (outcome, failure) = match client.call(address, call, STORE_LIMIT).await {
-            Ok(answer) => {
-                let Some(era) = self.node.on_told_era(address, answer.era) else {
+        let (outcome, failure) = match client.call(address, call, STORE_TIMEOUT).await {
+            Ok(response) => {
+                let Some(era) = self.node.on_told_era(address, response.era) else {
                     return Err(CallFailure::Other);
                 };
-                match store::parse_status(answer.status) {
-                    StoreStatus::Done => return Ok((answer.body, era)),
-                    StoreStatus::Absent => (answer.status.to_string(), CallFailure::Absent),
-                    _ => (answer.status.to_string(), CallFailure::Other),
+                match store::parse_status(response.status) {
+                    StoreStatus::Done => return Ok((response.body, era)),
+                    StoreStatus::Absent => (response.status.to_string(), CallFailure::Absent),
+                    _ => (response.status.to_string(), CallFailure::Other),
                 }
             }
             Err(error) => (error.to_string(), CallFailure::Other),
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Limit of a call to the store.
-const STORE_LIMIT: Duration = Duration::from_millis(1_000);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Pause after a call that the store did not take: a small part of the time after which nodes count
 /// as in touch with it again.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -23,12 +23,12 @@
 /// sound requests lose nothing by it.
 const REMOVAL_DELAY: Duration = Duration::from_millis(2_000);
 /// Between two looks for crashes that are to be forgotten: they are kept for a day.
-const FORGET_EVERY: Duration = Duration::from_secs(60);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Takes in another node's word.
-pub fn on_word(node: &Node, word: CrashMessage) {
+pub fn on_message(node: &Node, message: CrashMessage) {
     let now_us = node.now_us();
-    match word {
+    match message {
         CrashMessage::Ended { runner, requests } => {
             for request in requests {
                 let crash = Crash { request, runner: runner.clone() };
@@ -45,7 +45,7 @@
 }
 
 /// Writes to the store what is to be written, until the task is dropped.
-pub async fn keep_written(node: Rc<Node>) {
+pub async fn persist_crashes(node: Rc<Node>) {
     let mut client = PlatformClient::default();
     let mut remove_at = None;
     loop {
@@ -53,11 +53,11 @@
         if node.authority.fence().is_some() {
             node.quarantine.borrow_mut().schedule_removals(node.wall_ms());
         }
-        let is_taken = match write_due(&node, &mut client).await {
+        let is_written = match write_due(&node, &mut client).await {
             true => remove_due(&node, &mut client, &mut remove_at).await,
             false => false,
         };
-        if !is_taken {
+        if !is_written {
             sleep(RETRY_PAUSE).await;
         }
     }
@@ -70,19 +70,19 @@
         let quarantine = node.quarantine.borrow();
         (quarantine.next_write_us(), !quarantine.due_removals().is_empty())
     };
-    let until_write = next_us.map_or(FORGET_EVERY, |next_us| {
+    let until_write = next_us.map_or(EXPIRY_CHECK_INTERVAL, |next_us| {
         Duration::from_micros(next_us.saturating_sub(node.now_us()))
     });
     let until_removal = if has_removals {
         let at = *remove_at.get_or_insert_with(|| Instant::now() + REMOVAL_DELAY);
         at.saturating_duration_since(Instant::now())
     } else {
-        FORGET_EVERY
+        EXPIRY_CHECK_INTERVAL
     };
-    let left = until_write.min(until_removal);
-    if !left.is_zero() {
+    let remaining = until_write.min(until_removal);
+    if !remaining.is_zero() {
         // Something else may be due sooner by then, or nothing.
-        let _ = timeout(left, node.quarantine_changed.notified()).await;
+        let _ = timeout(remaining, node.quarantine_changed.notified()).await;
     }
 }
 
@@ -90,7 +90,7 @@
 async fn write_due(node: &Node, client: &mut PlatformClient) -> bool {
     let crashes = node.quarantine.borrow().due_writes(node.now_us());
     if !crashes.is_empty() {
-        if !is_taken(node, client, &store::write_crashes(&crashes)).await {
+        if !is_written(node, client, &store::write_crashes(&crashes)).await {
             return false;
         }
         node.quarantine.borrow_mut().on_written(&crashes);
@@ -109,7 +109,7 @@
     }
     let removals = node.quarantine.borrow().due_removals();
     if !removals.is_empty() {
-        if !is_taken(node, client, &store::remove_crashes(&removals)).await {
+        if !is_written(node, client, &store::remove_crashes(&removals)).await {
             return false;
         }
         node.quarantine.borrow_mut().on_removals_written(&removals);
@@ -118,9 +118,9 @@
     true
 }
 
-async fn is_taken(node: &Node, client: &mut PlatformClient, call: &PlatformCall) -> bool {
-    let answer = node.call_store(client, call, STORE_LIMIT).await;
-    let status = answer.map(|answer| answer.status);
+async fn is_written(node: &Node, client: &mut PlatformClient, call: &PlatformCall) -> bool {
+    let response = node.call_store(client, call, STORE_TIMEOUT).await;
+    let status = response.map(|response| response.status);
     if status != Some(StoreStatus::Done) {
         log::info!(target: "crash", status:?; "not written");
     }
--- a/crates/gateway/src/quota/candidate.rs
+++ b/crates/gateway/src/quota/candidate.rs
@@ -21,40 +21,41 @@
 use tokio::time::sleep;
 
 /// Between two looks at the keepers that nobody holds.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Limit of a call to the store.
-const STORE_LIMIT: Duration = Duration::from_millis(1_000);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Candidates beyond this rank do not try: each try is a call to the store, and those before them are
 /// all gone only if the members that are known are wrong.
-const LAST_RANK: usize = 4;
+const MAX_RANK: usize = 4;
 
 struct Candidate {
     node: Rc<Node>,
     client: PlatformClient,
     candidacies: HashMap<KeeperId, Candidacy>,
     /// The lease under which the store was asked who holds what.
-    read_under: Option<StoreLease>,
+    holders_read_under: Option<StoreLease>,
 }
 
 /// Keeps tenants' limits whenever this node is to, until it stops.
-pub async fn keep(node: Rc<Node>) {
+pub async fn run(node: Rc<Node>) {
     let client = PlatformClient::default();
-    let mut candidate = Candidate { node, client, candidacies: HashMap::new(), read_under: None };
+    let mut candidate =
+        Candidate { node, client, candidacies: HashMap::new(), holders_read_under: None };
     while !candidate.node.is_stopping() {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
         if has_limits(&candidate.node) {
-            candidate.look().await;
+            candidate.poll().await;
         } else {
-            candidate.give_up().await;
+            candidate.release_all().await;
         }
     }
-    candidate.give_up().await;
+    candidate.release_all().await;
 }
 
 impl Candidate {
-    async fn look(&mut self) {
-        let Some(lease) = self.lease_in_force() else { return };
-        if self.read_under != Some(lease.id) && !self.read_holders(lease).await {
+    async fn poll(&mut self) {
+        let Some(lease) = self.valid_lease() else { return };
+        if self.holders_read_under != Some(lease.id) && !self.read_holders(lease).await {
             return;
         }
         let topology = topology_of(&self.node.settings());
@@ -67,12 +68,12 @@
                 CandidacyAction::Acquire => RevisionNumber::ABSENT,
                 CandidacyAction::TakeOver { revision } => revision.number(),
             };
-            self.take(&keeper, lease, revision).await;
+            self.acquire(&keeper, lease, revision).await;
         }
     }
 
     /// The lease, if the store has lately said that it holds.
-    fn lease_in_force(&self) -> Option<RegistrationLease> {
+    fn valid_lease(&self) -> Option<RegistrationLease> {
         let lease = self.node.quotas.lease.get()?;
         (self.node.now_us() < lease.renewed_us + lease.ttl_us).then_some(lease)
     }
@@ -82,14 +83,14 @@
         let mut era = lease.id.era;
         let page = read_pages(async |after| {
             let read = quota_slots::read_keepers(after.as_deref());
-            let answer = self.node.call_store(&mut self.client, &read, STORE_LIMIT).await;
-            let Some(answer) = answer.filter(StoreAnswer::is_done) else { return Err(()) };
-            era = answer.era;
-            readable("keepers", store::parse_page(&answer.body)).ok_or(())
+            let response = self.node.call_store(&mut self.client, &read, STORE_TIMEOUT).await;
+            let Some(response) = response.filter(StoreAnswer::is_done) else { return Err(()) };
+            era = response.era;
+            readable("keepers", store::parse_page(&response.body)).ok_or(())
         });
         let Ok(page) = page.await else { return false };
         page.items.iter().for_each(|item| self.learn(item, era));
-        self.read_under = Some(lease.id);
+        self.holders_read_under = Some(lease.id);
         true
     }
 
@@ -124,7 +125,7 @@
         };
         let address = own_address(node);
         let is_own = key.as_ref().is_some_and(|key| key.holder == address);
-        if rank > LAST_RANK && !is_own {
+        if rank > MAX_RANK && !is_own {
             return CandidacyAction::Wait;
         }
         let candidacy = self.candidacies.entry(keeper.clone()).or_default();
@@ -133,7 +134,7 @@
 
     /// Writes the key, if it is still at the revision. Without an answer it may be written unknown to
     /// this node, which then finds its own name there and takes it over.
-    async fn take(
+    async fn acquire(
         &mut self,
         keeper: &KeeperId,
         lease: RegistrationLease,
@@ -142,12 +143,12 @@
         let address = own_address(&self.node);
         let holder = KeeperHolder { node: own_name(&self.node), address };
         let call = quota_slots::take_keeper(keeper, &holder, lease.id.number, revision);
-        let answer = self.node.call_store(&mut self.client, &call, STORE_LIMIT).await;
-        match answer.map(|answer| (answer.status, answer.era, answer.body)) {
+        let response = self.node.call_store(&mut self.client, &call, STORE_TIMEOUT).await;
+        match response.map(|response| (response.status, response.era, response.body)) {
             Some((StoreStatus::Done, era, body)) => {
                 if let Some(revision) = readable("keeper", store::parse_transaction(&body)) {
                     let revision = StoreRevision::new(era, revision);
-                    self.on_taken(keeper, &holder, lease, revision);
+                    self.on_acquired(keeper, &holder, lease, revision);
                 }
             }
             Some((StoreStatus::Conflict, era, body)) => self.on_conflict(keeper, era, &body),
@@ -158,7 +159,7 @@
         }
     }
 
-    fn on_taken(
+    fn on_acquired(
         &self,
         keeper: &KeeperId,
         holder: &KeeperHolder,
@@ -166,11 +167,12 @@
         revision: StoreRevision,
     ) {
         // The lease may have been renewed meanwhile, or be over, also with its era.
-        let is_of_lease =
+        let is_same_lease =
             |now: &RegistrationLease| now.id == lease.id && now.id.era == revision.era();
-        let Some(now_in_force) = self.lease_in_force().filter(is_of_lease) else { return };
+        let Some(current_lease) = self.valid_lease().filter(is_same_lease) else { return };
         let now_us = self.node.now_us();
-        let term = KeeperTerm::new(revision, now_in_force.renewed_us, now_us, now_in_force.ttl_us);
+        let term =
+            KeeperTerm::new(revision, current_lease.renewed_us, now_us, current_lease.ttl_us);
         let settings = self.node.settings();
         let held = Keeper::new(keeper.clone(), term, bounds(&settings), topology_of(&settings));
         let quotas = &self.node.quotas;
@@ -180,39 +182,39 @@
         drop(holders);
         let revision = revision.to_string();
         log::info!(target: "quota", keeper = keeper.to_string(), revision; "keeper gained");
-        quotas.changed.notify_one();
+        quotas.keepers_changed.notify_one();
     }
 
     /// Somebody holds it, or held it at another revision than was thought.
     fn on_conflict(&self, keeper: &KeeperId, era: StoreEra, body: &[u8]) {
         let Some(items) = readable("keeper", store::parse_conflict(body)) else { return };
         if items.is_empty() {
-            self.node.quotas.holders.borrow_mut().forget(keeper);
+            self.node.quotas.holders.borrow_mut().remove(keeper);
         }
         items.iter().for_each(|item| self.learn(item, era));
     }
 
     /// Gives up all keepers: first here, so that nothing is granted any more, then in the store.
-    async fn give_up(&mut self) {
+    async fn release_all(&mut self) {
         if !self.node.quotas.is_keeper() {
             return;
         }
         let held = std::mem::take(&mut *self.node.quotas.keepers.borrow_mut());
         for (keeper, held) in held {
             let revision = held.term().revision;
-            self.node.quotas.holders.borrow_mut().forget(&keeper);
+            self.node.quotas.holders.borrow_mut().remove(&keeper);
             if revision.era() < self.node.store_era() {
                 // What has that number now may be another holder's.
                 continue;
             }
             let call = quota_slots::remove_keeper(&keeper, revision.number());
-            let answer = self.node.call_store(&mut self.client, &call, STORE_LIMIT).await;
-            let status = answer.map(|answer| answer.status);
+            let response = self.node.call_store(&mut self.client, &call, STORE_TIMEOUT).await;
+            let status = response.map(|response| response.status);
             let (keeper, revision) = (keeper.to_string(), revision.to_string());
             log::info!(target: "quota", keeper, revision, status:?; "keeper given up");
         }
-        self.read_under = None;
-        self.node.quotas.changed.notify_one();
+        self.holders_read_under = None;
+        self.node.quotas.keepers_changed.notify_one();
     }
 }
 
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -3,7 +3,7 @@
 //! Holders tell of themselves in their digests, and a key in the store that is in the way of this node's
 //! own names its holder. A keeper that was taken at a later revision of the store counts.
 
-use super::LastHeard;
+use super::LastReceivedUs;
 use pitchstall_serving::digest::{silence_timeout_us, HeldKeeper};
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::quota_candidacy::KeeperKey;
@@ -14,18 +14,18 @@
 
 /// Answers missed one after the other after which a keeper is passed over, and for how long, as with
 /// schedulers of shards.
-const MOST_MISSED: u32 = 2;
-const PASSED_OVER_US: u64 = 2_000_000;
+const TIMEOUTS_UNTIL_BACKOFF: u32 = 2;
+const BACKOFF_US: u64 = 2_000_000;
 /// Each further one doubles that, so many times: a machine that is gone for good is asked seldom.
-const MOST_DOUBLINGS: u32 = 2;
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 /// Time for which one that says that it is no keeper is passed over.
-const NO_KEEPER_US: u64 = 500_000;
+const NOT_KEEPER_BACKOFF_US: u64 = 500_000;
 /// Time without a word after which a keeper gets no question handed on by another one, which would not
 /// notice that it is lost: keepers send each other a digest a second.
-const IN_TOUCH_US: u64 = 2_500_000;
+const FORWARD_MAX_SILENCE_US: u64 = 2_500_000;
 /// Time within which a keeper says that it has a question that was handed on to it; after that none is
 /// handed on to it until it is heard of. Some ten times what a word takes, and less than askers wait.
-const HANDED_LIMIT_US: u64 = 20_000;
+const FORWARD_ACK_TIMEOUT_US: u64 = 20_000;
 
 /// A node that holds a keeper.
 #[derive(Clone, Debug)]
@@ -37,26 +37,26 @@
     /// The store's revision at which it took the keeper.
     pub revision: StoreRevision,
     /// When it was heard from last, or first told of by the store, microseconds.
-    pub heard_us: u64,
+    pub last_received_us: u64,
     /// When it was last told by anybody that it holds the keeper, microseconds.
-    confirmed_us: u64,
-    missed_in_a_row: u32,
-    passed_over_until_us: u64,
+    last_confirmed_us: u64,
+    consecutive_timeouts: u32,
+    backoff_until_us: u64,
     /// Since when a question was handed on to it without a word from it, microseconds.
-    handed_since_us: Option<u64>,
+    unacked_forward_since_us: Option<u64>,
 }
 
 /// The holders that are known.
 #[derive(Debug, Default)]
 pub struct Holders {
     by_keeper: BTreeMap<KeeperId, Holder>,
-    last_heard: LastHeard,
-    watches_since_us: Option<u64>,
+    last_digest_us: LastReceivedUs,
+    observing_since_us: Option<u64>,
 }
 
 impl Holders {
     /// A node holds a keeper, by its own word.
-    pub fn on_own_word(
+    pub fn on_holder_report(
         &mut self,
         keeper: &KeeperId,
         node: &NodeId,
@@ -68,10 +68,10 @@
         let known = self.by_keeper.get_mut(keeper).filter(|known| known.revision == revision);
         if let Some(known) = known {
             known.address = address;
-            known.heard_us = now_us;
-            known.handed_since_us = None;
+            known.last_received_us = now_us;
+            known.unacked_forward_since_us = None;
             // It may have been frozen or cut off; one more miss passes it over again.
-            known.passed_over_until_us = 0;
+            known.backoff_until_us = 0;
         }
     }
 
@@ -88,18 +88,18 @@
         match known {
             Some(known) if known.revision > revision => {}
             Some(known) if known.revision == revision => {
-                known.confirmed_us = now_us;
+                known.last_confirmed_us = now_us;
             }
             _ => {
                 let holder = Holder {
                     node: node.clone(),
                     address,
                     revision,
-                    heard_us: now_us,
-                    confirmed_us: now_us,
-                    missed_in_a_row: 0,
-                    passed_over_until_us: 0,
-                    handed_since_us: None,
+                    last_received_us: now_us,
+                    last_confirmed_us: now_us,
+                    consecutive_timeouts: 0,
+                    backoff_until_us: 0,
+                    unacked_forward_since_us: None,
                 };
                 self.by_keeper.insert(keeper.clone(), holder);
             }
@@ -111,18 +111,19 @@
         &mut self,
         node: &NodeId,
         address: SocketAddr,
-        kept: &[HeldKeeper],
+        held: &[HeldKeeper],
         eras: &StoreEras,
         now_us: u64,
     ) {
-        self.watches_since_us.get_or_insert(now_us);
-        self.last_heard.insert(node.clone(), now_us);
-        let is_kept = |keeper: &KeeperId| kept.iter().any(|slot| slot.keeper == *keeper);
-        self.by_keeper.retain(|keeper, holder| holder.node != *node || is_kept(keeper));
+        self.observing_since_us.get_or_insert(now_us);
+        self.last_digest_us.insert(node.clone(), now_us);
+        let is_held = |keeper: &KeeperId| held.iter().any(|slot| slot.keeper == *keeper);
+        self.by_keeper.retain(|keeper, holder| holder.node != *node || is_held(keeper));
         // A keeper of an era that is over may have lost its key to another one.
-        let of_this_era = kept.iter().map(|slot| (slot, slot.revision(eras)));
-        for (slot, revision) in of_this_era.filter(|(_, it)| it.era() >= eras.current()) {
-            self.on_own_word(&slot.keeper, node, address, revision, now_us);
+        let of_this_era = held.iter().map(|slot| (slot, slot.revision(eras)));
+        for (slot, revision) in of_this_era.filter(|(_, revision)| revision.era() >= eras.current())
+        {
+            self.on_holder_report(&slot.keeper, node, address, revision, now_us);
         }
     }
 
@@ -132,14 +133,14 @@
     }
 
     /// Nobody holds the keeper any more.
-    pub fn forget(&mut self, keeper: &KeeperId) {
+    pub fn remove(&mut self, keeper: &KeeperId) {
         self.by_keeper.remove(keeper);
     }
 
     /// Where a keeper is asked; `None`: nobody is known to hold it, or its holder does not answer.
-    pub fn asked_at(&self, keeper: &KeeperId, now_us: u64) -> Option<SocketAddr> {
+    pub fn query_address(&self, keeper: &KeeperId, now_us: u64) -> Option<SocketAddr> {
         let holder = self.by_keeper.get(keeper)?;
-        (now_us >= holder.passed_over_until_us).then_some(holder.address)
+        (now_us >= holder.backoff_until_us).then_some(holder.address)
     }
 
     /// Where the holder of a keeper is reached, whether it answers or not.
@@ -148,72 +149,75 @@
     }
 
     /// Whether a keeper may hand a question on to this one.
-    pub fn is_in_touch(&self, keeper: &KeeperId, own: SocketAddr, now_us: u64) -> bool {
-        let has_taken = |since_us: u64| now_us < since_us + HANDED_LIMIT_US;
-        let is_heard = |holder: &Holder| {
+    pub fn accepts_forwards(&self, keeper: &KeeperId, own: SocketAddr, now_us: u64) -> bool {
+        let is_ack_pending = |since_us: u64| now_us < since_us + FORWARD_ACK_TIMEOUT_US;
+        let is_responsive = |holder: &Holder| {
             holder.address == own
-                || (now_us < holder.heard_us + IN_TOUCH_US
-                    && holder.handed_since_us.is_none_or(has_taken))
+                || (now_us < holder.last_received_us + FORWARD_MAX_SILENCE_US
+                    && holder.unacked_forward_since_us.is_none_or(is_ack_pending))
         };
-        self.asked_at(keeper, now_us).is_some() && self.by_keeper.get(keeper).is_some_and(is_heard)
+        self.query_address(keeper, now_us).is_some()
+            && self.by_keeper.get(keeper).is_some_and(is_responsive)
     }
 
     /// The key of a keeper, as far as is known among so many nodes; `None`: it may be absent.
     pub fn key(&self, keeper: &KeeperId, nodes: usize, now_us: u64) -> Option<KeeperKey> {
         let holder = self.by_keeper.get(keeper)?;
-        let told_us = holder.heard_us.max(holder.confirmed_us);
-        let is_heard = now_us < told_us + silence_timeout_us(nodes);
+        let last_known_us = holder.last_received_us.max(holder.last_confirmed_us);
+        let is_current = now_us < last_known_us + silence_timeout_us(nodes);
         let key = KeeperKey { holder: holder.address, revision: holder.revision };
-        is_heard.then_some(key)
+        is_current.then_some(key)
     }
 
     /// Whether a node counts as there among so many.
     pub fn is_up(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
-        let heard_us = self.last_heard.get(node).copied().or(self.watches_since_us);
-        heard_us.is_none_or(|heard_us| now_us < heard_us + silence_timeout_us(nodes))
+        let last_received_us = self.last_digest_us.get(node).copied().or(self.observing_since_us);
+        last_received_us
+            .is_none_or(|last_received_us| now_us < last_received_us + silence_timeout_us(nodes))
     }
 
     /// A question is handed on to a keeper.
-    pub fn on_handed(&mut self, keeper: &KeeperId, now_us: u64) {
+    pub fn on_forwarded(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
-            holder.handed_since_us.get_or_insert(now_us);
+            holder.unacked_forward_since_us.get_or_insert(now_us);
         }
     }
 
     /// A keeper has a question that was handed on to it.
-    pub fn on_taken(&mut self, keeper: &KeeperId, now_us: u64) {
+    pub fn on_forward_ack(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
-            holder.heard_us = now_us;
-            holder.handed_since_us = None;
+            holder.last_received_us = now_us;
+            holder.unacked_forward_since_us = None;
         }
     }
 
     /// A keeper has answered.
-    pub fn on_answered(&mut self, keeper: &KeeperId, now_us: u64) {
+    pub fn on_reply(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
-            holder.heard_us = now_us;
-            holder.missed_in_a_row = 0;
-            holder.passed_over_until_us = 0;
+            holder.last_received_us = now_us;
+            holder.consecutive_timeouts = 0;
+            holder.backoff_until_us = 0;
         }
     }
 
     /// The node that was asked says that it is no keeper, or does not know whether it still is.
-    pub fn on_no_keeper(&mut self, keeper: &KeeperId, now_us: u64) {
+    pub fn on_not_keeper(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
-            holder.passed_over_until_us = now_us + NO_KEEPER_US;
+            holder.backoff_until_us = now_us + NOT_KEEPER_BACKOFF_US;
         }
     }
 
     /// A keeper has not answered soon; returns whether it is passed over from now on.
-    pub fn on_missed(&mut self, keeper: &KeeperId, now_us: u64) -> bool {
+    pub fn on_reply_timeout(&mut self, keeper: &KeeperId, now_us: u64) -> bool {
         let Some(holder) = self.by_keeper.get_mut(keeper) else { return false };
-        holder.missed_in_a_row += 1;
-        let is_passed_over = holder.missed_in_a_row >= MOST_MISSED;
-        if is_passed_over {
-            let doublings = (holder.missed_in_a_row - MOST_MISSED).min(MOST_DOUBLINGS);
-            holder.passed_over_until_us = now_us + (PASSED_OVER_US << doublings);
+        holder.consecutive_timeouts += 1;
+        let is_backing_off = holder.consecutive_timeouts >= TIMEOUTS_UNTIL_BACKOFF;
+        if is_backing_off {
+            let doublings =
+                (holder.consecutive_timeouts - TIMEOUTS_UNTIL_BACKOFF).min(MAX_BACKOFF_DOUBLINGS);
+            holder.backoff_until_us = now_us + (BACKOFF_US << doublings);
         }
-        is_passed_over
+        is_backing_off
     }
 
     /// Where the holders are reached, each once.
--- a/crates/gateway/src/quota/metrics.rs
+++ b/crates/gateway/src/quota/metrics.rs
@@ -9,9 +9,9 @@
 use std::collections::HashSet;
 
 /// Tenants with their own name in the metrics: what is scraped from each node stays small.
-const MOST_NAMED: usize = 64;
+const MAX_NAMED_TENANTS: usize = 64;
 /// What the others are called together.
-const OTHERS: &str = "other";
+const OTHER_TENANTS: &str = "other";
 
 /// Labels of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -21,33 +21,33 @@
 
 /// What was asked for, granted and refused, by tenant.
 #[derive(Debug, Default)]
-pub struct QuotaFigures {
+pub struct QuotaMetrics {
     named: RefCell<HashSet<String>>,
-    asked: Family<TenantLabels, Counter>,
+    requested: Family<TenantLabels, Counter>,
     granted: Family<TenantLabels, Counter>,
     refused: Family<TenantLabels, Counter>,
-    returned: Family<TenantLabels, Counter>,
+    refunded: Family<TenantLabels, Counter>,
     units: Family<TenantLabels, Counter>,
-    units_returned: Family<TenantLabels, Counter>,
-    unanswered: Family<TenantLabels, Counter>,
+    units_refunded: Family<TenantLabels, Counter>,
+    unreachable: Family<TenantLabels, Counter>,
     level: Family<TenantLabels, Gauge>,
     /// Questions that a keeper did not answer soon.
-    pub missed: Counter,
+    pub reply_timeouts: Counter,
     /// Questions that this node handed on as a keeper that was short.
-    pub handed_on: Counter,
+    pub forwarded: Counter,
 }
 
-impl QuotaFigures {
+impl QuotaMetrics {
     /// Registers all of them.
     pub fn register(&self, registry: &mut Registry) {
         let families = [
-            ("quota_asked", "Runs that were to be paid for", &self.asked),
+            ("quota_asked", "Runs that were to be paid for", &self.requested),
             ("quota_granted", "Runs that were paid for", &self.granted),
             ("quota_refused", "Runs refused at a tenant's limit", &self.refused),
-            ("quota_returned", "Runs paid for and given back", &self.returned),
+            ("quota_returned", "Runs paid for and given back", &self.refunded),
             ("quota_units", "Units of runs that were paid for", &self.units),
-            ("quota_units_returned", "Units that were given back", &self.units_returned),
-            ("quota_unanswered", "Runs for which no keeper could be asked", &self.unanswered),
+            ("quota_units_returned", "Units that were given back", &self.units_refunded),
+            ("quota_unanswered", "Runs for which no keeper could be asked", &self.unreachable),
         ];
         for (name, help, family) in families {
             registry.register(name, help, family.clone());
@@ -56,14 +56,14 @@
             "Units left for a tenant at the keeper that this node holds, at the last question";
         registry.register("quota_level", help, self.level.clone());
         let help = "Questions that a keeper did not answer soon";
-        registry.register("quota_missed", help, self.missed.clone());
+        registry.register("quota_missed", help, self.reply_timeouts.clone());
         let help = "Questions handed on by a keeper that was short";
-        registry.register("quota_handed_on", help, self.handed_on.clone());
+        registry.register("quota_handed_on", help, self.forwarded.clone());
     }
 
     /// A run is to be paid for.
-    pub fn on_asked(&self, tenant: &str) {
-        self.asked.get_or_create(&self.labels(tenant)).inc();
+    pub fn on_requested(&self, tenant: &str) {
+        self.requested.get_or_create(&self.labels(tenant)).inc();
     }
 
     /// A run was paid for.
@@ -78,14 +78,14 @@
     }
 
     /// A run that was paid for did not begin.
-    pub fn on_returned(&self, tenant: &str, units: u64) {
-        self.returned.get_or_create(&self.labels(tenant)).inc();
-        self.units_returned.get_or_create(&self.labels(tenant)).inc_by(units);
+    pub fn on_refunded(&self, tenant: &str, units: u64) {
+        self.refunded.get_or_create(&self.labels(tenant)).inc();
+        self.units_refunded.get_or_create(&self.labels(tenant)).inc_by(units);
     }
 
     /// No keeper could be asked.
-    pub fn on_unanswered(&self, tenant: &str) {
-        self.unanswered.get_or_create(&self.labels(tenant)).inc();
+    pub fn on_unreachable(&self, tenant: &str) {
+        self.unreachable.get_or_create(&self.labels(tenant)).inc();
     }
 
     /// What a keeper that this node holds has left.
@@ -95,8 +95,8 @@
 
     fn labels(&self, tenant: &str) -> TenantLabels {
         let mut named = self.named.borrow_mut();
-        let is_named =
-            named.contains(tenant) || (named.len() < MOST_NAMED && named.insert(tenant.to_owned()));
-        TenantLabels { tenant: if is_named { tenant } else { OTHERS }.to_owned() }
+        let is_named = named.contains(tenant)
+            || (named.len() < MAX_NAMED_TENANTS && named.insert(tenant.to_owned()));
+        TenantLabels { tenant: if is_named { tenant } else { OTHER_TENANTS }.to_owned() }
     }
 }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -20,7 +20,7 @@
 pub mod requester;
 
 use self::holders::Holders;
-use self::requester::Waiting;
+use self::requester::PendingQueries;
 use crate::node::Node;
 use crate::settings::Settings;
 use pitchstall_serving::digest::HeldKeeper;
@@ -49,14 +49,14 @@
 /// What the node knows and keeps of tenants' limits.
 #[derive(Default)]
 pub struct Quotas {
-    desk: RefCell<Option<QuotaRequester>>,
-    waiting: RefCell<Waiting>,
+    requester: RefCell<Option<QuotaRequester>>,
+    pending: RefCell<PendingQueries>,
     holders: RefCell<Holders>,
     keepers: RefCell<BTreeMap<KeeperId, Keeper>>,
     lease: Cell<Option<RegistrationLease>>,
-    alarm_at_us: Cell<Option<u64>>,
+    last_alarm_us: Cell<Option<u64>>,
     /// Told when this node has become a keeper or is one no longer.
-    pub changed: Notify,
+    pub keepers_changed: Notify,
 }
 
 impl Quotas {
@@ -75,29 +75,29 @@
     }
 
     /// The store says that the lease is over: the keys under it are gone.
-    pub fn on_lease_over(&self) {
+    pub fn on_lease_expired(&self) {
         self.lease.set(None);
         let lost = std::mem::take(&mut *self.keepers.borrow_mut());
         for keeper in lost.keys() {
             log::warn!(target: "quota", keeper = keeper.to_string(); "keeper lost with the lease");
         }
         if !lost.is_empty() {
-            self.changed.notify_one();
+            self.keepers_changed.notify_one();
         }
     }
 
     /// The store has come back from an older copy: the lease and the keys under it may be gone, or another holder's.
     pub fn on_later_era(&self) {
-        self.on_lease_over();
+        self.on_lease_expired();
         self.holders.borrow_mut().on_later_era();
     }
 
     /// The keepers that this node holds, as other nodes are told of them.
-    pub fn kept(&self) -> Vec<HeldKeeper> {
-        let kept = |(keeper, held): (&KeeperId, &Keeper)| {
+    pub fn held_keepers(&self) -> Vec<HeldKeeper> {
+        let to_held = |(keeper, held): (&KeeperId, &Keeper)| {
             HeldKeeper::new(keeper.clone(), held.term().revision)
         };
-        self.keepers.borrow().iter().map(kept).collect()
+        self.keepers.borrow().iter().map(to_held).collect()
     }
 
     /// Whether this node holds a keeper.
@@ -106,7 +106,7 @@
     }
 
     /// Where the other nodes that hold keepers are reached: keepers hear from each other often.
-    pub fn other_keepers(&self, own: SocketAddr) -> Vec<SocketAddr> {
+    pub fn other_keeper_addresses(&self, own: SocketAddr) -> Vec<SocketAddr> {
         if !self.is_keeper() {
             return Vec::new();
         }
@@ -122,18 +122,18 @@
 }
 
 /// Takes in what another node's digest says of the keepers that it holds.
-pub fn on_digest(node: &Node, from: &NodeId, address: SocketAddr, kept: &[HeldKeeper]) {
+pub fn on_digest(node: &Node, from: &NodeId, address: SocketAddr, held_keepers: &[HeldKeeper]) {
     if !has_limits(node) {
         return;
     }
     let eras = node.eras.borrow();
-    node.quotas.holders.borrow_mut().on_digest(from, address, kept, &eras, node.now_us());
+    node.quotas.holders.borrow_mut().on_digest(from, address, held_keepers, &eras, node.now_us());
 }
 
 fn bounds(settings: &Settings) -> QuotaBounds {
-    const MICROS_A_SECOND: f64 = 1_000_000.0;
+    const MICROS_PER_SECOND: f64 = 1_000_000.0;
     let section = &settings.quota;
-    let window_us = (section.window_s * MICROS_A_SECOND) as u64;
+    let window_us = (section.window_s * MICROS_PER_SECOND) as u64;
     QuotaBounds { window_us, overage: section.overage, slack: section.slack }
 }
 
@@ -143,4 +143,4 @@
 }
 
 /// The nodes that were heard of last when, microseconds.
-type LastHeard = HashMap<NodeId, u64>;
+type LastReceivedUs = HashMap<NodeId, u64>;
--- a/crates/gateway/src/quota/report.rs
+++ b/crates/gateway/src/quota/report.rs
@@ -12,7 +12,7 @@
     let now_us = node.now_us();
     let held: Vec<Value> = {
         let mut keepers = node.quotas.keepers.borrow_mut();
-        keepers.values_mut().map(|keeper| held_by_this_node(keeper, now_us)).collect()
+        keepers.values_mut().map(|keeper| held_keeper_report(keeper, now_us)).collect()
     };
     let holders = node.quotas.holders.borrow();
     let known: Vec<Value> = holders
@@ -23,15 +23,15 @@
                 "node": holder.node.as_str(),
                 "address": holder.address.to_string(),
                 "revision": holder.revision.number(),
-                "heard_ms": now_us.saturating_sub(holder.heard_us) / MICROS_PER_MILLI,
-                "asked": holders.asked_at(keeper, now_us).is_some(),
+                "heard_ms": now_us.saturating_sub(holder.last_received_us) / MICROS_PER_MILLI,
+                "asked": holders.query_address(keeper, now_us).is_some(),
             })
         })
         .collect();
     json!({ "has_limits": has_limits(node), "held": held, "keepers": known })
 }
 
-fn held_by_this_node(keeper: &mut Keeper, now_us: u64) -> Value {
+fn held_keeper_report(keeper: &mut Keeper, now_us: u64) -> Value {
     let tenants: Vec<Value> = keeper.levels(now_us).iter().map(level).collect();
     json!({
         "keeper": keeper.id().to_string(),
--- a/crates/gateway/src/quota/requester.rs
+++ b/crates/gateway/src/quota/requester.rs
@@ -3,7 +3,7 @@
 use super::keeper;
 use super::{bounds, own_address};
 use crate::node::{topology_of, Node};
-use crate::peer_messages::PeerWord;
+use crate::peer_messages::PeerMessage;
 use pitchstall_serving::quota::{QuotaQuery, QuotaRefund, QuotaReply, QuotaVerdict, TenantLimit};
 use pitchstall_serving::quota_outcome::{QuotaGrant, QuotaOutcome};
 use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
@@ -19,13 +19,13 @@
 use tokio::time::timeout;
 
 /// Runs that wait for an answer, with what the desk does next about them.
-pub type Waiting = HashMap<Ticket, oneshot::Sender<RequesterAction>>;
+pub type PendingQueries = HashMap<Ticket, oneshot::Sender<RequesterAction>>;
 
 /// Share by which a told wait is lengthened at random, so that callers that were refused together do
 /// not come back together.
-const SPREAD_SHARE: f64 = 0.1;
+const RETRY_JITTER: f64 = 0.1;
 /// Shortest time between two alarms that no keeper can be reached, microseconds.
-const ALARM_EVERY_US: u64 = 1_000_000;
+const ALARM_INTERVAL_US: u64 = 1_000_000;
 
 /// What one run of a request costs its tenant.
 #[derive(Clone, Debug)]
@@ -41,25 +41,25 @@
     /// What a run costs under a version of the configuration; `None`: nothing.
     pub fn of(
         tenant: Option<&Rc<Tenant>>,
-        facts: &RequestMetadata,
+        metadata: &RequestMetadata,
         priority: u8,
         version: u64,
     ) -> Option<Self> {
         let tenant = tenant?;
         let limit = tenant.limit?;
-        let cost = limit.cost(facts.prompt.as_ref().filter(|_| facts.has_token_counts));
+        let cost = limit.cost(metadata.prompt.as_ref().filter(|_| metadata.has_token_counts));
         (cost > 0).then(|| Self { tenant: tenant.clone(), limit, version, cost, priority })
     }
 
     /// The same for a request that a run was granted before: it goes before those that wait.
-    pub fn granted_before(&self) -> Self {
+    pub fn with_top_priority(&self) -> Self {
         Self { priority: 0, ..self.clone() }
     }
 }
 
 /// Why a run is not paid for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unpaid {
+pub enum QuotaRejection {
     /// The tenant has reached its limit.
     OverQuota {
         /// Milliseconds until there is room.
@@ -70,7 +70,7 @@
 }
 
 /// A run that is paid for. It is given back when dropped, unless it is [spent](Payment::spend).
-pub struct Payment {
+pub struct QuotaReservation {
     node: Rc<Node>,
     tenant: Rc<Tenant>,
     cost: u64,
@@ -78,9 +78,9 @@
 }
 
 /// A run that was paid for and is sent.
-pub struct Spent(Payment);
+pub struct SentReservation(QuotaReservation);
 
-impl Payment {
+impl QuotaReservation {
     /// Whether the run may still be sent.
     pub fn is_usable(&self) -> bool {
         let now_us = self.node.now_us();
@@ -88,92 +88,97 @@
     }
 
     /// The run is sent now.
-    pub fn spend(self) -> Spent {
-        Spent(self)
+    pub fn mark_sent(self) -> SentReservation {
+        SentReservation(self)
     }
 }
 
-impl Spent {
+impl SentReservation {
     /// The run has provably not begun: it is still paid for.
-    pub fn not_run(self) -> Payment {
+    pub fn on_not_run(self) -> QuotaReservation {
         self.0
     }
 
     /// The run may have begun.
-    pub fn on_begun(mut self) {
+    pub fn on_started(mut self) {
         self.0.grant = None;
     }
 }
 
-impl Drop for Payment {
+impl Drop for QuotaReservation {
     fn drop(&mut self) {
         if let Some(grant) = self.grant.take() {
-            self.node.metrics.quota.on_returned(self.tenant.name.as_str(), self.cost);
-            give_back(&self.node, grant.into_refunds());
+            self.node.metrics.quota.on_refunded(self.tenant.name.as_str(), self.cost);
+            send_refunds(&self.node, grant.into_refunds());
         }
     }
 }
 
 /// A question that is under way; a grant that comes after it is dropped is given back.
-struct Asking<'a> {
+struct QueryGuard<'a> {
     node: &'a Rc<Node>,
     ticket: Ticket,
 }
 
-impl Drop for Asking<'_> {
+impl Drop for QueryGuard<'_> {
     fn drop(&mut self) {
-        self.node.quotas.waiting.borrow_mut().remove(&self.ticket);
-        let step = with_desk(self.node, |desk, now_us| desk.cancel(self.ticket, now_us));
-        if let RequesterAction::Settled(_, _, words) = step {
-            give_back(self.node, words);
+        self.node.quotas.pending.borrow_mut().remove(&self.ticket);
+        let action =
+            with_requester(self.node, |requester, now_us| requester.cancel(self.ticket, now_us));
+        if let RequesterAction::Settled(_, _, refunds) = action {
+            send_refunds(self.node, refunds);
         }
     }
 }
 
 /// Has a run of a request paid for.
-pub async fn pay(node: &Rc<Node>, request: &str, run: &RunCost) -> Result<Payment, Unpaid> {
+pub async fn reserve(
+    node: &Rc<Node>,
+    request: &str,
+    run: &RunCost,
+) -> Result<QuotaReservation, QuotaRejection> {
     let tenant = run.tenant.name.as_str();
-    node.metrics.quota.on_asked(tenant);
-    match ask(node, run).await {
+    node.metrics.quota.on_requested(tenant);
+    match request_grant(node, run).await {
         QuotaOutcome::Granted(grant) => {
             node.metrics.quota.on_granted(tenant, run.cost);
             log::debug!(target: "quota", request, tenant, cost = run.cost; "granted");
             let (node, tenant) = (node.clone(), run.tenant.clone());
-            Ok(Payment { node, tenant, cost: run.cost, grant: Some(grant) })
+            Ok(QuotaReservation { node, tenant, cost: run.cost, grant: Some(grant) })
         }
         QuotaOutcome::Refused { wait_ms, keeper, level } => {
             node.metrics.quota.on_refused(tenant);
             let (cost, left, keeper) = (run.cost, level, keeper.to_string());
             let rate = run.limit.rate_per_s;
             log::info!(target: "quota", request, tenant, cost, rate, left, keeper, wait_ms; "refused");
-            let spread = rand::rng().random_range(0.0..SPREAD_SHARE);
-            let wait_ms = wait_ms.saturating_add((wait_ms as f64 * spread) as u64);
-            Err(Unpaid::OverQuota { wait_ms })
+            let jitter = rand::rng().random_range(0.0..RETRY_JITTER);
+            let wait_ms = wait_ms.saturating_add((wait_ms as f64 * jitter) as u64);
+            Err(QuotaRejection::OverQuota { wait_ms })
         }
         QuotaOutcome::Unreachable => {
-            node.metrics.quota.on_unanswered(tenant);
+            node.metrics.quota.on_unreachable(tenant);
             log::info!(target: "quota", request, tenant, cost = run.cost; "no keeper answered");
-            alarm(node, tenant);
-            Err(Unpaid::Unreachable)
+            alarm_unreachable(node, tenant);
+            Err(QuotaRejection::Unreachable)
         }
     }
 }
 
 /// Tells operators, now and then, that requests of a tenant are refused for want of a keeper.
-fn alarm(node: &Node, tenant: &str) {
+fn alarm_unreachable(node: &Node, tenant: &str) {
     let now_us = node.now_us();
-    let last_us = node.quotas.alarm_at_us.get();
-    if last_us.is_some_and(|last_us| now_us < last_us + ALARM_EVERY_US) {
+    let last_us = node.quotas.last_alarm_us.get();
+    if last_us.is_some_and(|last_us| now_us < last_us + ALARM_INTERVAL_US) {
         return;
     }
-    node.quotas.alarm_at_us.set(Some(now_us));
+    node.quotas.last_alarm_us.set(Some(now_us));
     let known = node.quotas.holders.borrow().all().count();
     log::error!(target: "quota", tenant, known; "no keeper of a tenant can be reached");
 }
 
-async fn ask(node: &Rc<Node>, run: &RunCost) -> QuotaOutcome {
+async fn request_grant(node: &Rc<Node>, run: &RunCost) -> QuotaOutcome {
     let ticket = node.scheduling.next_ticket();
-    let asking = Asking { node, ticket };
+    let guard = QueryGuard { node, ticket };
     let request = QuotaRequest {
         ticket,
         tenant: run.tenant.name.clone(),
@@ -182,14 +187,15 @@
         cost: run.cost,
         priority: run.priority,
     };
-    let mut step =
-        with_desk(node, |desk, now_us| desk.start(request, can_ask(node, now_us), now_us));
+    let mut action = with_requester(node, |requester, now_us| {
+        requester.start(request, is_reachable(node, now_us), now_us)
+    });
     loop {
-        step = match step {
-            RequesterAction::Query(question, patience_us) => put(node, question, patience_us).await,
-            RequesterAction::Settled(_, outcome, words) => {
-                drop(asking);
-                give_back(node, words);
+        action = match action {
+            RequesterAction::Query(query, timeout_us) => send_query(node, query, timeout_us).await,
+            RequesterAction::Settled(_, outcome, refunds) => {
+                drop(guard);
+                send_refunds(node, refunds);
                 return outcome;
             }
             RequesterAction::Refund(_) | RequesterAction::Noop => return QuotaOutcome::Unreachable,
@@ -198,99 +204,101 @@
 }
 
 /// Asks a keeper, and waits for what follows.
-async fn put(node: &Rc<Node>, question: QuotaQuery, patience_us: u64) -> RequesterAction {
-    let (ticket, keeper) = (question.ticket, question.keeper.clone());
+async fn send_query(node: &Rc<Node>, query: QuotaQuery, timeout_us: u64) -> RequesterAction {
+    let (ticket, keeper) = (query.ticket, query.keeper.clone());
     let (sender, receiver) = oneshot::channel();
-    node.quotas.waiting.borrow_mut().insert(ticket, sender);
-    deliver_question(node, question);
-    if let Ok(Ok(step)) = timeout(Duration::from_micros(patience_us), receiver).await {
-        return step;
+    node.quotas.pending.borrow_mut().insert(ticket, sender);
+    deliver_query(node, query);
+    if let Ok(Ok(action)) = timeout(Duration::from_micros(timeout_us), receiver).await {
+        return action;
     }
-    on_missed(node, &keeper);
-    with_desk(node, |desk, now_us| {
-        desk.on_reply_timeout(ticket, &keeper, can_ask(node, now_us), now_us)
+    on_reply_timeout(node, &keeper);
+    with_requester(node, |requester, now_us| {
+        requester.on_reply_timeout(ticket, &keeper, is_reachable(node, now_us), now_us)
     })
 }
 
-fn on_missed(node: &Node, keeper: &KeeperId) {
-    node.metrics.quota.missed.inc();
-    if node.quotas.holders.borrow_mut().on_missed(keeper, node.now_us()) {
+fn on_reply_timeout(node: &Node, keeper: &KeeperId) {
+    node.metrics.quota.reply_timeouts.inc();
+    if node.quotas.holders.borrow_mut().on_reply_timeout(keeper, node.now_us()) {
         log::info!(target: "quota", keeper = keeper.to_string(); "passed over");
     }
 }
 
-fn with_desk<R>(node: &Node, use_desk: impl FnOnce(&mut QuotaRequester, u64) -> R) -> R {
-    let mut desk = node.quotas.desk.borrow_mut();
-    let new_desk = || {
+fn with_requester<R>(node: &Node, use_requester: impl FnOnce(&mut QuotaRequester, u64) -> R) -> R {
+    let mut requester = node.quotas.requester.borrow_mut();
+    let new_requester = || {
         let settings = node.settings();
         let (bounds, topology) = (bounds(&settings), topology_of(&settings));
         QuotaRequester::new(node.zone.clone(), settings.listen.peers, bounds, topology)
     };
-    use_desk(desk.get_or_insert_with(new_desk), node.now_us())
+    use_requester(requester.get_or_insert_with(new_requester), node.now_us())
 }
 
-fn can_ask(node: &Node, now_us: u64) -> impl Fn(&KeeperId) -> bool + '_ {
-    move |keeper| node.quotas.holders.borrow().asked_at(keeper, now_us).is_some()
+fn is_reachable(node: &Node, now_us: u64) -> impl Fn(&KeeperId) -> bool + '_ {
+    move |keeper| node.quotas.holders.borrow().query_address(keeper, now_us).is_some()
 }
 
 /// Brings a question to the holder of the keeper that it names; without one it is lost.
-pub(super) fn deliver_question(node: &Node, question: QuotaQuery) {
-    let address = node.quotas.holders.borrow().asked_at(&question.keeper, node.now_us());
+pub(super) fn deliver_query(node: &Node, query: QuotaQuery) {
+    let address = node.quotas.holders.borrow().query_address(&query.keeper, node.now_us());
     match address {
-        Some(address) if address == own_address(node) => keeper::on_question(node, &question),
+        Some(address) if address == own_address(node) => keeper::handle_query(node, &query),
         Some(address) => {
-            node.scheduling.socket.send(&PeerWord::QuotaQuestion(question), &[address]);
+            node.scheduling.socket.send(&PeerMessage::QuotaQuery(query), &[address]);
         }
         None => {}
     }
 }
 
 /// Takes in a keeper's answer.
-pub fn on_answer(node: &Node, answer: &QuotaReply) {
+pub fn on_reply(node: &Node, reply: &QuotaReply) {
     let now_us = node.now_us();
     {
         let mut holders = node.quotas.holders.borrow_mut();
-        match answer.verdict {
-            QuotaVerdict::NotKeeper => holders.on_no_keeper(&answer.keeper, now_us),
-            _ => holders.on_answered(&answer.keeper, now_us),
+        match reply.verdict {
+            QuotaVerdict::NotKeeper => holders.on_not_keeper(&reply.keeper, now_us),
+            _ => holders.on_reply(&reply.keeper, now_us),
         }
     }
-    let step = with_desk(node, |desk, now_us| desk.on_reply(answer, can_ask(node, now_us), now_us));
-    match step {
+    let action = with_requester(node, |requester, now_us| {
+        requester.on_reply(reply, is_reachable(node, now_us), now_us)
+    });
+    match action {
         RequesterAction::Noop => {}
-        RequesterAction::Refund(words) => give_back(node, words),
-        step => hand_over(node, answer.ticket, step),
+        RequesterAction::Refund(refunds) => send_refunds(node, refunds),
+        action => resume(node, reply.ticket, action),
     }
 }
 
 /// Hands what follows to the request that waits for it; if that has ended just now, a grant is
 /// given back.
-fn hand_over(node: &Node, ticket: Ticket, step: RequesterAction) {
-    let waiting = node.quotas.waiting.borrow_mut().remove(&ticket);
-    let unheard = match waiting {
-        Some(sender) => sender.send(step).err(),
-        None => Some(step),
+fn resume(node: &Node, ticket: Ticket, action: RequesterAction) {
+    let pending = node.quotas.pending.borrow_mut().remove(&ticket);
+    let undelivered = match pending {
+        Some(sender) => sender.send(action).err(),
+        None => Some(action),
     };
-    if let Some(RequesterAction::Settled(_, outcome, words)) = unheard {
-        give_back(node, words);
+    if let Some(RequesterAction::Settled(_, outcome, refunds)) = undelivered {
+        send_refunds(node, refunds);
         if let QuotaOutcome::Granted(grant) = outcome {
-            give_back(node, grant.into_refunds());
+            send_refunds(node, grant.into_refunds());
         }
     }
 }
 
 /// Tells keepers that what they have paid for has not begun.
-fn give_back(node: &Node, words: Vec<QuotaRefund>) {
-    for word in words {
-        let address = node.quotas.holders.borrow().address_of(&word.keeper);
+fn send_refunds(node: &Node, refunds: Vec<QuotaRefund>) {
+    for refund in refunds {
+        let address = node.quotas.holders.borrow().address_of(&refund.keeper);
         match address {
-            Some(address) if address == own_address(node) => keeper::on_return(node, &word),
+            Some(address) if address == own_address(node) => keeper::on_refund(node, &refund),
             Some(address) => {
-                node.scheduling.socket.send(&PeerWord::QuotaReturn(word), &[address]);
+                node.scheduling.socket.send(&PeerMessage::QuotaRefund(refund), &[address]);
             }
             // What is not given back is lost to the tenant and opens nothing.
             None => {
-                let (keeper, tenant) = (word.keeper.to_string(), word.tenant.as_str());
+                let (keeper, tenant) = (refund.keeper.to_string(), refund.tenant.as_str());
                 log::info!(target: "quota", keeper, tenant; "not given back");
             }
         }
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -4,7 +4,7 @@
 //! What is ordered is decided in [`pitchstall_serving::role_planner`]. An order that was not
 //! answered may be carried out later: nothing else is ordered for a time.
 
-use crate::authority::{roles_holding, roles_subject, Holding};
+use crate::authority::{local_roles_authority, roles_subject, LocalAuthority};
 use crate::http::request::request_bytes;
 use crate::http::{BodyDecoder, Header, Upstream};
 use crate::node::Node;
@@ -63,8 +63,8 @@
 }
 
 impl Roles {
-    fn holding(&self) -> &Holding {
-        roles_holding(&self.node, &self.subject)
+    fn holding(&self) -> &LocalAuthority {
+        local_roles_authority(&self.node, &self.subject)
     }
 
     async fn plan(&mut self) {
@@ -153,7 +153,7 @@
 
     /// The fencing token, while orders may be given.
     fn fence_now(&self) -> Option<FencingToken> {
-        self.holding().fence_to_order(self.node.now_us())
+        self.holding().fence_for_orders(self.node.now_us())
     }
 
     async fn send_order(
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -6,7 +6,7 @@
 
 use crate::missed_answers::MissedAnswers;
 use crate::node::Node;
-use crate::peer_messages::PeerWord;
+use crate::peer_messages::PeerMessage;
 use crate::shard_scheduler::possible_shards;
 use pitchstall_serving::digest::silence_timeout_us;
 use pitchstall_serving::ids::{NodeId, RunnerId};
@@ -180,7 +180,7 @@
     let ticket = question.ticket;
     let (sender, receiver) = oneshot::channel();
     node.runner_limits.waiting.borrow_mut().insert(ticket, sender);
-    node.scheduling.socket.send(&PeerWord::LimitQuestion(question), &[address]);
+    node.scheduling.socket.send(&PeerMessage::LimitQuery(question), &[address]);
     let zone = node.members.borrow().zone_of(keeper).cloned();
     let way = zone.map_or(Duration::ZERO, |zone| node.round_trip(&zone));
     let answer = timeout(way + PATIENCE, receiver).await;
@@ -213,7 +213,7 @@
 pub fn on_question(node: &Node, question: &LimitQuery, from: SocketAddr) {
     let verdict = verdict_of(node, question);
     let answer = LimitReply { ticket: question.ticket, verdict };
-    node.scheduling.socket.send(&PeerWord::LimitAnswer(answer), &[from]);
+    node.scheduling.socket.send(&PeerMessage::LimitReply(answer), &[from]);
 }
 
 fn verdict_of(node: &Node, question: &LimitQuery) -> LimitVerdict {
@@ -309,7 +309,7 @@
                 self.runner_limits.keeper.borrow_mut().on_message(&word, self.now_us());
             }
             Some((_, address)) => {
-                self.scheduling.socket.send(&PeerWord::LimitWord(word), &[address]);
+                self.scheduling.socket.send(&PeerMessage::LimitMessage(word), &[address]);
             }
             None => {}
         }
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -63,7 +63,7 @@
         sleep(PLAN_EVERY).await;
         let node = &scaling.node;
         let has_duty = node.settings().cloud.as_ref().is_some_and(|it| it.has(Duty::Scaling));
-        let fence = node.authority.fence_to_order(node.now_us());
+        let fence = node.authority.fence_for_orders(node.now_us());
         if let Some(fence) = fence.filter(|_| has_duty) {
             scaling.step(fence).await;
         }
@@ -189,7 +189,7 @@
 
     /// Gives an order; returns whether the next one may follow.
     async fn order(&mut self, service: &ServiceName, order: &CapacityOrder) -> bool {
-        let may_order = self.node.authority.fence_to_order(self.node.now_us());
+        let may_order = self.node.authority.fence_for_orders(self.node.now_us());
         let Some(fence) = may_order.filter(|fence| self.fence == Some(*fence)) else {
             return false;
         };
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -7,7 +7,7 @@
 use crate::held_parts::UntoldReadings;
 use crate::missed_answers::MissedAnswers;
 use crate::node::Node;
-use crate::peer_messages::{PeerSocket, PeerWord};
+use crate::peer_messages::{PeerMessage, PeerSocket};
 use pitchstall_serving::fleet::{Eligible, Scope};
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName};
 use pitchstall_serving::placement::{prefill_home, Demand, PrefillPlan, RunnerChoice};
@@ -79,7 +79,7 @@
     /// Tells of progress.
     pub fn tell(&self, progress: Progress) {
         let Some((scheduler, ticket)) = self.placed else { return };
-        let word = PeerWord::Progress(ProgressMessage { ticket, progress });
+        let word = PeerMessage::ProgressMessage(ProgressMessage { ticket, progress });
         self.node.scheduling.socket.send(&word, &[scheduler]);
     }
 }
@@ -191,7 +191,7 @@
     let asked_at = Instant::now();
     let (sender, receiver) = oneshot::channel();
     node.scheduling.waiting.borrow_mut().insert(ticket, sender);
-    node.scheduling.socket.send(&PeerWord::Question(question), &[address]);
+    node.scheduling.socket.send(&PeerMessage::PlacementQuery(question), &[address]);
     let answer = timeout(patience(node, &scheduler, demand.target_ms), receiver).await;
     node.scheduling.waiting.borrow_mut().remove(&ticket);
     // Should the answer yet come, or a word be lost, what was set aside is free again.
@@ -408,7 +408,7 @@
         Some(sender) => drop(sender.send((answer, from))),
         None => {
             let word = ProgressMessage { ticket: answer.ticket, progress: Progress::Ended };
-            node.scheduling.socket.send(&PeerWord::Progress(word), &[from]);
+            node.scheduling.socket.send(&PeerMessage::ProgressMessage(word), &[from]);
         }
     }
 }
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -6,7 +6,7 @@
 
 use crate::held_parts;
 use crate::node::Node;
-use crate::peer_messages::PeerWord;
+use crate::peer_messages::PeerMessage;
 use crate::runner_limits;
 use crate::scheduling::{choose_here, elsewhere, named, scheduler_of, PlacementDemand};
 use crate::verification::verify;
@@ -72,7 +72,7 @@
         node.metrics.placements_handed_on.inc();
         question.shard = shard;
         question.is_forwarded = true;
-        node.scheduling.socket.send(&PeerWord::Question(question), &[address]);
+        node.scheduling.socket.send(&PeerMessage::PlacementQuery(question), &[address]);
         return;
     }
     let better = match question.is_forwarded {
@@ -102,7 +102,7 @@
     let other_region = elsewhere.as_ref().map_or("", |elsewhere| elsewhere.region.as_str());
     log::info!(target: "scheduling", request = question.request.as_str(), region, shard, reader, writer, other_region; "placed");
     let answer = PlacementReply { ticket: question.ticket, plan, elsewhere };
-    node.scheduling.socket.send(&PeerWord::Answer(answer), &[question.reply_to]);
+    node.scheduling.socket.send(&PeerMessage::PlacementReply(answer), &[question.reply_to]);
 }
 
 /// The scheduler of a shard where the request would wait for much less, if it is another node.
@@ -237,7 +237,9 @@
             let loads = node.fleet.borrow().shard_loads(&shard, node.now_us());
             if !loads.is_empty() {
                 let to = control_nodes(&node, &shard.region);
-                node.scheduling.socket.send(&PeerWord::Loads(ShardLoads { shard, loads }), &to);
+                node.scheduling
+                    .socket
+                    .send(&PeerMessage::ShardLoads(ShardLoads { shard, loads }), &to);
             }
         }
     }
@@ -270,7 +272,7 @@
         engines.iter().filter_map(|(service, _)| load(service)).collect()
     };
     let to = schedulers_of_other_regions(node);
-    let word = PeerWord::RegionLoads(RegionLoads { region, services });
+    let word = PeerMessage::RegionLoads(RegionLoads { region, services });
     node.scheduling.socket.send(&word, &to);
 }
 
--- a/crates/gateway/src/unknown_headers.rs
+++ b/crates/gateway/src/unknown_headers.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeSet;
 
 /// Names that are remembered: each is logged once, and later ones beyond that not at all.
-const MOST_NAMES: usize = 16;
+const MAX_NAMES: usize = 16;
 
 /// The names that have been met.
 #[derive(Debug, Default)]
-pub struct UnknownWords {
+pub struct UnknownHeaders {
     names: BTreeSet<String>,
 }
 
-impl UnknownWords {
+impl UnknownHeaders {
     /// A name was met; returns whether operators are to hear of it.
-    pub fn note(&mut self, name: &str) -> bool {
-        self.names.len() < MOST_NAMES && self.names.insert(name.to_owned())
+    pub fn record(&mut self, name: &str) -> bool {
+        self.names.len() < MAX_NAMES && self.names.insert(name.to_owned())
     }
 }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Instant;
 use crate::node::Node;
-use crate::peer_messages::PeerWord;
+use crate::peer_messages::PeerMessage;
 use crate::platform_client::PlatformClient;
 use crate::refused_entries::EntryFault;
 use crate::settings::{Duty, UsageSection};
@@ -26,57 +26,57 @@
 use tokio::time::sleep;
 
 /// Between two looks at what is due.
-const STEP_EVERY: Duration = Duration::from_millis(200);
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
 /// Between two questions to all nodes: what a node that dies has counted since the last one is
 /// lost, and a second of a window of some seconds is within what the users let pass.
-const ASK_EVERY: Duration = Duration::from_millis(800);
+const QUERY_INTERVAL: Duration = Duration::from_millis(800);
 /// Limit of a call.
-const CALL_LIMIT: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// First and longest pause after a call that the platform did not take.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_000);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(300);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(2_000);
 /// Time after a report is due for which it is still sent, in the time until it is due: it is late
 /// then, and what the tenants owe is known all the same.
-const LATE_FACTOR: u64 = 3;
-const MILLIS_A_SECOND: f64 = 1_000.0;
+const GIVE_UP_FACTOR: u64 = 3;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-fn report_times(section: UsageSection) -> ReportSchedule {
-    let millis = |seconds: f64| (seconds * MILLIS_A_SECOND) as u64;
+fn report_schedule(section: UsageSection) -> ReportSchedule {
+    let millis = |seconds: f64| (seconds * MILLIS_PER_SECOND) as u64;
     let windows = Windows { length_ms: millis(section.window_s) };
     ReportSchedule { windows, due_ms: millis(section.due_s) }
 }
 
 /// When usage is reported; `None`: it is not.
-fn usage_times(node: &Node) -> Option<ReportSchedule> {
+fn usage_schedule(node: &Node) -> Option<ReportSchedule> {
     let settings = node.settings();
     let cloud = settings.cloud.as_ref().filter(|cloud| cloud.has(Duty::Usage))?;
-    cloud.usage.map(report_times)
+    cloud.usage.map(report_schedule)
 }
 
 /// Counts a request that was sent to a runner as begun, once it is known that it has.
 ///
 /// A language model begins with its first token, which the head of its answer comes with. Other
 /// runners begin when the request comes, so one whose answer nobody waits for any more has begun.
-pub struct BeginMark {
+pub struct StartRecorder {
     node: Rc<Node>,
     tenant: Option<TenantName>,
     sent_at: Instant,
-    begins_at_once: bool,
+    starts_on_arrival: bool,
 }
 
-impl BeginMark {
+impl StartRecorder {
     /// A request that is sent now. `tenant`: for whom it is to be counted.
     pub fn new(
         node: &Rc<Node>,
         tenant: Option<TenantName>,
         sent_at: Instant,
-        begins_at_once: bool,
+        starts_on_arrival: bool,
     ) -> Self {
-        Self { node: node.clone(), tenant, sent_at, begins_at_once }
+        Self { node: node.clone(), tenant, sent_at, starts_on_arrival }
     }
 
     /// The runner answers.
-    pub fn on_answer(&mut self) {
+    pub fn on_response(&mut self) {
         self.count();
     }
 
@@ -86,60 +86,60 @@
     }
 
     /// There is no answer; most likely the runner ran the request and the answer was lost.
-    pub fn on_lost(&mut self) {
+    pub fn on_no_response(&mut self) {
         self.count();
     }
 
     fn count(&mut self) {
         let Some(tenant) = self.tenant.take() else { return };
-        let ago = if self.begins_at_once { self.sent_at.elapsed() } else { Duration::ZERO };
-        on_begun(&self.node, &tenant, ago);
+        let elapsed = if self.starts_on_arrival { self.sent_at.elapsed() } else { Duration::ZERO };
+        record_start(&self.node, &tenant, elapsed);
     }
 }
 
-impl Drop for BeginMark {
+impl Drop for StartRecorder {
     fn drop(&mut self) {
-        if self.begins_at_once {
+        if self.starts_on_arrival {
             self.count();
         }
     }
 }
 
 /// A request of a tenant began to run, so long ago.
-fn on_begun(node: &Node, tenant: &TenantName, ago: Duration) {
-    let Some(times) = usage_times(node) else { return };
-    let ago_ms = u64::try_from(ago.as_millis()).unwrap_or_default();
-    let window = times.windows.at(node.wall_ms().saturating_sub(ago_ms));
+fn record_start(node: &Node, tenant: &TenantName, elapsed: Duration) {
+    let Some(schedule) = usage_schedule(node) else { return };
+    let elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or_default();
+    let window = schedule.windows.at(node.wall_ms().saturating_sub(elapsed_ms));
     node.usage.borrow_mut().on_request_started(window, tenant);
 }
 
 /// Answers the collector.
-pub fn on_question(node: &Node, question: &UsageQuery) {
+pub fn on_query(node: &Node, query: &UsageQuery) {
     let origin = own_origin(node);
     let ledger = node.usage.borrow();
-    let windows = ledger.own_since(question.from_window);
-    let finalized = match question.wants_relayed {
-        true => ledger.finalized_since(question.from_window),
+    let windows = ledger.own_since(query.from_window);
+    let finalized = match query.wants_relayed {
+        true => ledger.finalized_since(query.from_window),
         false => Vec::new(),
     };
-    let own = UsageMessage { origin, in_reply_to: Some(question.number), windows, finalized };
-    let mut words = vec![own];
-    if question.wants_relayed {
-        words.extend(ledger.relayed_since(question.from_window));
+    let own = UsageMessage { origin, in_reply_to: Some(query.number), windows, finalized };
+    let mut messages = vec![own];
+    if query.wants_relayed {
+        messages.extend(ledger.relayed_since(query.from_window));
     }
-    for word in words {
-        node.scheduling.socket.send(&PeerWord::Usage(word), &question.reply_to);
+    for message in messages {
+        node.scheduling.socket.send(&PeerMessage::UsageMessage(message), &query.reply_to);
     }
 }
 
 /// Takes in a node's counts, as the collector or its deputy.
-pub fn on_word(node: &Node, word: &UsageMessage) {
+pub fn on_message(node: &Node, message: &UsageMessage) {
     // Words may come back to the node whose counts they hold, by way of another collector.
-    if word.origin != own_origin(node) {
-        node.usage.borrow_mut().merge(word);
+    if message.origin != own_origin(node) {
+        node.usage.borrow_mut().merge(message);
     }
-    if let Some(number) = word.in_reply_to {
-        node.usage_collector.borrow_mut().on_reply(&word.origin.node, number);
+    if let Some(number) = message.in_reply_to {
+        node.usage_collector.borrow_mut().on_reply(&message.origin.node, number);
     }
 }
 
@@ -152,15 +152,15 @@
 }
 
 /// A report that is fixed and not yet handed in.
-struct Report {
+struct PendingReport {
     body: Vec<u8>,
     next_try: Instant,
     pause: Duration,
 }
 
-impl Report {
+impl PendingReport {
     fn new(body: Vec<u8>) -> Self {
-        Self { body, next_try: Instant::now(), pause: FIRST_PAUSE }
+        Self { body, next_try: Instant::now(), pause: MIN_RETRY_PAUSE }
     }
 }
 
@@ -170,108 +170,112 @@
     cloud: PlatformClient,
     /// The term for which this is the reporter's work.
     fence: Option<FencingToken>,
-    asked_at: Option<Instant>,
-    questions: u64,
+    queried_at: Option<Instant>,
+    queries_sent: u64,
     /// Whether the reports that earlier holders have fixed are known.
-    knows_fixed: bool,
+    has_read_finalized: bool,
     /// Reports to hand in, by window.
-    open: BTreeMap<u64, Report>,
+    pending: BTreeMap<u64, PendingReport>,
     /// Windows whose fixed reports are in the store.
-    stored: Vec<u64>,
+    finalized_windows: Vec<u64>,
     /// The time of day at which the node started.
     started_ms: u64,
 }
 
 /// Reports usage whenever this node has the authority, until the task is dropped.
-pub async fn report(node: Rc<Node>) {
+pub async fn run_reporter(node: Rc<Node>) {
     let mut reporter = Reporter {
         started_ms: node.wall_ms(),
         node,
         store: PlatformClient::default(),
         cloud: PlatformClient::default(),
         fence: None,
-        asked_at: None,
-        questions: 0,
-        knows_fixed: false,
-        open: BTreeMap::new(),
-        stored: Vec::new(),
+        queried_at: None,
+        queries_sent: 0,
+        has_read_finalized: false,
+        pending: BTreeMap::new(),
+        finalized_windows: Vec::new(),
     };
     loop {
-        sleep(STEP_EVERY).await;
-        let Some(times) = usage_times(&reporter.node) else { continue };
+        sleep(STEP_INTERVAL).await;
+        let Some(schedule) = usage_schedule(&reporter.node) else { continue };
         if let Some(fence) = reporter.node.authority.fence() {
-            reporter.step(fence, times).await;
+            reporter.step(fence, schedule).await;
         }
     }
 }
 
 impl Reporter {
-    async fn step(&mut self, fence: FencingToken, times: ReportSchedule) {
+    async fn step(&mut self, fence: FencingToken, schedule: ReportSchedule) {
         if self.fence != Some(fence) {
-            self.begin_term(fence);
+            self.start_term(fence);
         }
-        self.ask(times);
-        if self.may_act() && !self.knows_fixed {
-            self.read_fixed(times).await;
+        self.query_nodes(schedule);
+        if self.may_act() && !self.has_read_finalized {
+            self.read_finalized(schedule).await;
         }
-        if !self.knows_fixed {
+        if !self.has_read_finalized {
             return;
         }
-        self.fix_due(times).await;
-        self.hand_in(times).await;
+        self.finalize_due(schedule).await;
+        self.submit_pending(schedule).await;
     }
 
-    fn begin_term(&mut self, fence: FencingToken) {
+    fn start_term(&mut self, fence: FencingToken) {
         self.fence = Some(fence);
-        self.asked_at = None;
-        self.knows_fixed = false;
-        self.open.clear();
-        self.stored.clear();
+        self.queried_at = None;
+        self.has_read_finalized = false;
+        self.pending.clear();
+        self.finalized_windows.clear();
         *self.node.usage_collector.borrow_mut() = UsageCollector::default();
     }
 
     fn may_act(&self) -> bool {
-        self.fence_to_act().is_some()
+        self.fence_for_orders().is_some()
     }
 
     /// The fencing token of the term that this knows of, while it may act in it.
-    fn fence_to_act(&self) -> Option<FencingToken> {
-        let fence = self.node.authority.fence_to_order(self.node.now_us());
+    fn fence_for_orders(&self) -> Option<FencingToken> {
+        let fence = self.node.authority.fence_for_orders(self.node.now_us());
         fence.filter(|fence| self.fence == Some(*fence))
     }
 
     /// Asks all nodes for their counts, now and then.
-    fn ask(&mut self, times: ReportSchedule) {
-        if self.asked_at.is_some_and(|at| at.elapsed() < ASK_EVERY) {
+    fn query_nodes(&mut self, schedule: ReportSchedule) {
+        if self.queried_at.is_some_and(|at| at.elapsed() < QUERY_INTERVAL) {
             return;
         }
-        let is_new = !self.may_act();
-        self.asked_at = Some(Instant::now());
-        self.questions += 1;
+        let is_before_first_order = !self.may_act();
+        self.queried_at = Some(Instant::now());
+        self.queries_sent += 1;
         let now_ms = self.node.wall_ms();
         let mut collector = self.node.usage_collector.borrow_mut();
-        collector.on_query_sent(self.questions, now_ms);
-        collector.on_reply(&own_name(&self.node), self.questions);
-        let from_window = collector.first_open_window(times, now_ms);
+        collector.on_query_sent(self.queries_sent, now_ms);
+        collector.on_reply(&own_name(&self.node), self.queries_sent);
+        let from_window = collector.first_open_window(schedule, now_ms);
         self.node.usage.borrow_mut().remove_before(from_window.saturating_sub(1));
         let members = self.node.members.borrow();
         let own = self.node.settings().listen.peers;
         let reply_to: Vec<SocketAddr> =
             [Some(own), members.backup_node()].into_iter().flatten().collect();
-        let question =
-            UsageQuery { number: self.questions, reply_to, from_window, wants_relayed: is_new };
+        let query = UsageQuery {
+            number: self.queries_sent,
+            reply_to,
+            from_window,
+            wants_relayed: is_before_first_order,
+        };
         self.node
             .scheduling
             .socket
-            .send(&PeerWord::UsageQuestion(question), &members.other_addresses());
+            .send(&PeerMessage::UsageQuery(query), &members.other_addresses());
     }
 
     /// Learns what earlier holders have fixed.
-    async fn read_fixed(&mut self, times: ReportSchedule) {
+    async fn read_finalized(&mut self, schedule: ReportSchedule) {
         let read = store::read_usage_reports();
-        let answer = self.node.call_store(&mut self.store, &read, CALL_LIMIT).await;
-        let Some(answer) = answer.filter(StoreAnswer::is_done) else { return };
-        let Some(page) = readable("usage reports", store::parse_page(&answer.body)) else {
+        let response = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
+        let Some(response) = response.filter(StoreAnswer::is_done) else { return };
+        let Some(page) = readable("usage reports", store::parse_page(&response.body)) else {
             return;
         };
         let now_ms = self.node.wall_ms();
@@ -282,59 +286,63 @@
                 self.node.on_refused_entry("usage", &key, revision, &fault);
                 continue;
             };
-            self.stored.push(window);
-            self.on_fixed(window, &body);
+            self.finalized_windows.push(window);
+            self.on_finalized(window, &body);
             // An earlier holder may have died before it sent it.
-            if now_ms < times.windows.end_ms(window) + times.due_ms {
-                self.open.insert(window, Report::new(body));
+            if now_ms < schedule.windows.end_ms(window) + schedule.due_ms {
+                self.pending.insert(window, PendingReport::new(body));
             }
         }
-        self.knows_fixed = true;
+        self.has_read_finalized = true;
     }
 
     /// Fixes the reports of windows that are complete.
-    async fn fix_due(&mut self, times: ReportSchedule) {
+    async fn finalize_due(&mut self, schedule: ReportSchedule) {
         let now_ms = self.node.wall_ms();
         let due = {
             let members = self.node.members.borrow();
-            self.node.usage_collector.borrow().to_finalize(members.names(), times, now_ms)
+            self.node.usage_collector.borrow().to_finalize(members.names(), schedule, now_ms)
         };
         for window in due {
             let counts = self.node.usage.borrow().to_report(window);
             // Nobody knows what began before this node did, if nobody has told it anything.
-            let is_unknown =
-                times.windows.end_ms(window) < self.started_ms + times.windows.length_ms;
-            if counts.is_empty() && is_unknown {
+            let precedes_start =
+                schedule.windows.end_ms(window) < self.started_ms + schedule.windows.length_ms;
+            if counts.is_empty() && precedes_start {
                 self.node.usage_collector.borrow_mut().on_finalized(window);
                 continue;
             }
-            self.fix(window, cloud::usage_report(window, &counts), times).await;
+            self.finalize(window, cloud::usage_report(window, &counts), schedule).await;
         }
     }
 
-    async fn fix(&mut self, window: u64, report: Vec<u8>, times: ReportSchedule) {
-        let Some(fence) = self.fence_to_act() else { return };
-        let kept_from = window.saturating_sub(2 + times.due_ms / times.windows.length_ms.max(1));
-        let older: Vec<u64> = self.stored.iter().copied().filter(|it| *it < kept_from).collect();
+    async fn finalize(&mut self, window: u64, report: Vec<u8>, schedule: ReportSchedule) {
+        let Some(fence) = self.fence_for_orders() else { return };
+        let first_retained =
+            window.saturating_sub(2 + schedule.due_ms / schedule.windows.length_ms.max(1));
+        let older: Vec<u64> =
+            self.finalized_windows.iter().copied().filter(|it| *it < first_retained).collect();
         let call = store::fix_usage_report(window, &report, fence, &older);
-        let answer = self.node.call_store(&mut self.store, &call, CALL_LIMIT).await;
-        let fixed = match answer.map(|answer| (answer.status, answer.body)) {
+        let response = self.node.call_store(&mut self.store, &call, CALL_TIMEOUT).await;
+        let finalized = match response.map(|response| (response.status, response.body)) {
             Some((StoreStatus::Done, _)) => Some(report),
-            Some((StoreStatus::Conflict, body)) => self.fixed_by_another(window, fence, &body),
+            Some((StoreStatus::Conflict, body)) => {
+                self.finalized_by_other_node(window, fence, &body)
+            }
             // Done or not, the next try finds out.
             _ => None,
         };
-        let Some(body) = fixed else { return };
+        let Some(body) = finalized else { return };
         let bytes = body.len();
         log::info!(target: "usage", window, bytes, fence = fence.number(); "fixed");
-        self.stored.retain(|window| !older.contains(window));
-        self.stored.push(window);
-        self.on_fixed(window, &body);
-        self.open.insert(window, Report::new(body));
+        self.finalized_windows.retain(|window| !older.contains(window));
+        self.finalized_windows.push(window);
+        self.on_finalized(window, &body);
+        self.pending.insert(window, PendingReport::new(body));
     }
 
     /// A report lies in the store. Its counts are kept here too, in case the store comes back from a copy without it.
-    fn on_fixed(&self, window: u64, body: &[u8]) {
+    fn on_finalized(&self, window: u64, body: &[u8]) {
         self.node.usage_collector.borrow_mut().on_finalized(window);
         match cloud::parse_usage_report(body) {
             Some(counts) => self.node.usage.borrow_mut().on_finalized(window, counts),
@@ -343,7 +351,12 @@
     }
 
     /// The report that is in the store already; `None`: the authority has gone to another node.
-    fn fixed_by_another(&self, window: u64, fence: FencingToken, body: &[u8]) -> Option<Vec<u8>> {
+    fn finalized_by_other_node(
+        &self,
+        window: u64,
+        fence: FencingToken,
+        body: &[u8],
+    ) -> Option<Vec<u8>> {
         let items = readable("usage report", store::parse_conflict(body))?;
         let reports = items.into_iter().filter_map(store::usage_report_of);
         let found = reports.into_iter().find(|(of, _)| *of == window);
@@ -355,19 +368,20 @@
     }
 
     /// Sends fixed reports until the platform has taken them.
-    async fn hand_in(&mut self, times: ReportSchedule) {
+    async fn submit_pending(&mut self, schedule: ReportSchedule) {
         let now_ms = self.node.wall_ms();
-        let is_of_use =
-            |window: u64| now_ms < times.windows.end_ms(window) + times.due_ms * LATE_FACTOR;
-        self.open.retain(|window, _| {
-            let is_kept = is_of_use(*window);
-            if !is_kept {
+        let is_submittable = |window: u64| {
+            now_ms < schedule.windows.end_ms(window) + schedule.due_ms * GIVE_UP_FACTOR
+        };
+        self.pending.retain(|window, _| {
+            let is_retained = is_submittable(*window);
+            if !is_retained {
                 log::error!(target: "usage", window; "report given up");
             }
-            is_kept
+            is_retained
         });
         let now = Instant::now();
-        let due = self.open.iter().filter(|(_, report)| report.next_try <= now);
+        let due = self.pending.iter().filter(|(_, report)| report.next_try <= now);
         let due: Vec<u64> = due.map(|(window, _)| *window).collect();
         for window in due {
             self.send(window).await;
@@ -375,30 +389,30 @@
     }
 
     async fn send(&mut self, window: u64) {
-        let Some(report) = self.open.get(&window) else { return };
-        let Some(fence) = self.fence_to_act() else { return };
+        let Some(report) = self.pending.get(&window) else { return };
+        let Some(fence) = self.fence_for_orders() else { return };
         let Some(cloud) = self.node.settings().cloud.clone() else { return };
         let holder = DutyHolder { node: own_name(&self.node).to_string(), fence };
         let call = cloud::report_usage(&holder, &report.body);
         self.node.metrics.cloud_calls.inc();
-        let answer = self.cloud.call(cloud.address, &call, CALL_LIMIT).await;
-        let outcome = answer.as_ref().map(|answer| cloud::parse_status(answer.status));
-        let told = match &outcome {
+        let response = self.cloud.call(cloud.address, &call, CALL_TIMEOUT).await;
+        let outcome = response.as_ref().map(|response| cloud::parse_status(response.status));
+        let outcome_text = match &outcome {
             Ok(answer) => format!("{answer:?}"),
             Err(error) => error.to_string(),
         };
-        log::info!(target: "usage", window, fence = fence.number(), answer = told; "reported");
+        log::info!(target: "usage", window, fence = fence.number(), answer = outcome_text; "reported");
         match outcome {
-            Ok(DutyAnswer::Done) => drop(self.open.remove(&window)),
+            Ok(DutyAnswer::Done) => drop(self.pending.remove(&window)),
             Ok(DutyAnswer::Conflict) => self.node.authority.on_refused(fence),
-            Ok(DutyAnswer::Later) | Err(_) => self.put_off(window),
+            Ok(DutyAnswer::Later) | Err(_) => self.postpone(window),
         }
     }
 
-    fn put_off(&mut self, window: u64) {
-        if let Some(report) = self.open.get_mut(&window) {
+    fn postpone(&mut self, window: u64) {
+        if let Some(report) = self.pending.get_mut(&window) {
             report.next_try = Instant::now() + report.pause;
-            report.pause = (report.pause * 2).min(LONGEST_PAUSE);
+            report.pause = (report.pause * 2).min(MAX_RETRY_PAUSE);
         }
     }
 }
--- a/crates/gateway/tests/authority.rs
+++ b/crates/gateway/tests/authority.rs
@@ -33,18 +33,18 @@
 }
 
 #[test]
-fn a_node_gives_no_orders_while_another_has_the_authority() {
+fn a_node_gives_no_orders_while_another_node_holds_the_authority() {
     let one = prefill_runner("i-1");
     let node = Fixture::start();
     node.store.put("pitchstall/authority", &serde_json::json!("another"));
     node.store.put("op/config", &support::configuration(3));
     node.add_runner(&one, "llm", Some("prefill"));
     node.wait_until_ready();
-    let looks = || {
+    let reads = || {
         let calls = node.store.calls();
         calls.iter().filter(|call| call.contains("pitchstall/authority")).count()
     };
-    wait_for("two looks at the authority", || looks() >= 2);
+    wait_for("two looks at the authority", || reads() >= 2);
     assert!(orders(&one).is_empty());
 }
 
@@ -58,40 +58,40 @@
     node.store.put(&format!("servers/{}", runner.id()), &entry);
 }
 
-fn calls_with(node: &Fixture, part: &str) -> usize {
+fn calls_containing(node: &Fixture, part: &str) -> usize {
     node.store.calls().iter().filter(|call| call.contains(part)).count()
 }
 
 #[test]
-fn roles_of_a_region_are_ordered_under_its_own_key_and_those_of_another_are_left() {
-    let (one, two, far) = (prefill_runner("i-1"), prefill_runner("i-2"), prefill_runner("i-3"));
+fn a_node_orders_roles_of_its_own_region_only_under_the_key_of_that_region() {
+    let (one, two, remote) = (prefill_runner("i-1"), prefill_runner("i-2"), prefill_runner("i-3"));
     let node = Fixture::start_with("[node.regions]\nnorth = \"here\"\nsouth = \"there\"\n");
     node.store.put("op/config", &support::configuration(3));
     node.add_runner(&one, "llm", Some("prefill"));
     node.add_runner(&two, "llm", Some("prefill"));
-    add_runner_in(&node, &far, "south");
+    add_runner_in(&node, &remote, "south");
     node.wait_until_ready();
     wait_for("an order", || !orders(&one).is_empty() || !orders(&two).is_empty());
     assert!(node.store.contains("pitchstall/authority/roles/here"));
-    assert_eq!(calls_with(&node, "authority/roles/there"), 0);
-    assert!(orders(&far).is_empty());
+    assert_eq!(calls_containing(&node, "authority/roles/there"), 0);
+    assert!(orders(&remote).is_empty());
 }
 
 #[test]
 fn several_zones_of_one_region_have_one_authority() {
-    let (one, far) = (prefill_runner("i-1"), prefill_runner("i-2"));
+    let (one, remote) = (prefill_runner("i-1"), prefill_runner("i-2"));
     let node = Fixture::start_with("[node.regions]\nnorth = \"here\"\nsouth = \"here\"\n");
     node.store.put("op/config", &support::configuration(3));
     node.add_runner(&one, "llm", Some("prefill"));
-    add_runner_in(&node, &far, "south");
+    add_runner_in(&node, &remote, "south");
     node.wait_until_ready();
-    wait_for("an order", || !orders(&one).is_empty() || !orders(&far).is_empty());
+    wait_for("an order", || !orders(&one).is_empty() || !orders(&remote).is_empty());
     assert!(node.store.contains("pitchstall/authority"));
-    assert_eq!(calls_with(&node, "authority/roles"), 0);
+    assert_eq!(calls_containing(&node, "authority/roles"), 0);
 }
 
 /// Two prefill runners whose entries tell when they began; both have started again since, or say that they leave.
-fn node_with_reports(report: &'static str) -> (Fixture, [RunnerStandIn; 2]) {
+fn start_with_load_report(report: &'static str) -> (Fixture, [RunnerStandIn; 2]) {
     let start = |id| {
         let script = move |request: &ReceivedRequest| match request.target.as_str() {
             "/v1/report" => json_answer(report),
@@ -113,7 +113,7 @@
     (node, runners)
 }
 
-fn reports(runner: &RunnerStandIn) -> usize {
+fn load_report_requests(runner: &RunnerStandIn) -> usize {
     runner.requests().iter().filter(|it| it.target == "/v1/report").count()
 }
 
@@ -121,18 +121,21 @@
 /// runner that leaves changes no role any more, though its entry does not say so yet.
 #[test_case(r#"{"stage":"prefill","busy":false,"seq":0,"queued":0,"born":2000}"#; "another life")]
 #[test_case(r#"{"stage":"prefill","busy":false,"seq":0,"queued":0,"born":1000,"state":"draining"}"#; "leaving")]
-fn a_runner_that_reports_so_gets_no_order(report: &'static str) {
-    let (_node, runners) = node_with_reports(report);
-    wait_for("both to be asked", || runners.iter().all(|runner| reports(runner) > 0));
+fn a_restarted_or_draining_runner_gets_no_order(report: &'static str) {
+    let (_node, runners) = start_with_load_report(report);
+    wait_for("both to be asked", || runners.iter().all(|runner| load_report_requests(runner) > 0));
     std::thread::sleep(Duration::from_millis(600));
     assert!(runners.iter().all(|runner| orders(runner).is_empty()));
-    assert!(runners.iter().all(|runner| reports(runner) == 1), "it is believed at once");
+    assert!(
+        runners.iter().all(|runner| load_report_requests(runner) == 1),
+        "it is believed at once"
+    );
 }
 
 #[test]
-fn a_runner_that_reports_the_life_of_its_entry_gets_its_order() {
+fn a_runner_that_reports_the_incarnation_of_its_entry_gets_an_order() {
     let report =
         r#"{"stage":"prefill","busy":false,"seq":0,"queued":0,"born":1000,"state":"ready"}"#;
-    let (_node, runners) = node_with_reports(report);
+    let (_node, runners) = start_with_load_report(report);
     wait_for("an order", || runners.iter().any(|runner| !orders(runner).is_empty()));
 }
--- a/crates/gateway/tests/message_compatibility.rs
+++ b/crates/gateway/tests/message_compatibility.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pitchstall_gateway::peer_messages::PeerWord;
+use pitchstall_gateway::peer_messages::PeerMessage;
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
 use serde_json::{json, Value};
 use std::net::UdpSocket;
@@ -11,50 +11,50 @@
 use test_case::test_case;
 
 /// A greeting as the build of the folder's commit has sent it, which knows of no limits of runners.
-fn former_greeting() -> Value {
+fn hello_of_earlier_build() -> Value {
     serde_json::from_str(include_str!("recorded_words/5d6b701/hello.json")).unwrap()
 }
 
 /// The same of a later build, with fields that nobody knows here.
-fn later_greeting() -> Value {
-    let mut greeting = former_greeting();
-    greeting["hello"]["later"] = json!({ "field": [1, 2, 3] });
-    greeting["hello"]["member"]["later"] = json!(1);
-    greeting
+fn hello_of_later_build() -> Value {
+    let mut hello = hello_of_earlier_build();
+    hello["hello"]["later"] = json!({ "field": [1, 2, 3] });
+    hello["hello"]["member"]["later"] = json!(1);
+    hello
 }
 
-#[test_case(&former_greeting(); "of a former build")]
-#[test_case(&later_greeting(); "of a later build")]
-fn a_greeting_of_another_build_is_read(greeting: &Value) {
-    let word: PeerWord = serde_json::from_value(greeting.clone()).unwrap();
-    let PeerWord::Hello(digest) = word else { unreachable!("{word:?}") };
+#[test_case(&hello_of_earlier_build(); "of a former build")]
+#[test_case(&hello_of_later_build(); "of a later build")]
+fn a_hello_of_another_build_is_parsed(hello: &Value) {
+    let message: PeerMessage = serde_json::from_value(hello.clone()).unwrap();
+    let PeerMessage::Hello(digest) = message else { unreachable!("{message:?}") };
     assert_eq!(digest.node.as_str(), "node-0");
     assert!(digest.limits.is_empty() && digest.held_keepers.is_empty());
 }
 
 /// What is written while no runner names a limit is what a former build writes, field by field.
 #[test]
-fn a_greeting_without_limits_is_written_as_a_former_build_writes_it() {
-    let word: PeerWord = serde_json::from_value(former_greeting()).unwrap();
-    assert_eq!(serde_json::to_value(&word).unwrap(), former_greeting());
+fn a_hello_without_limits_is_serialized_as_by_an_earlier_build() {
+    let message: PeerMessage = serde_json::from_value(hello_of_earlier_build()).unwrap();
+    assert_eq!(serde_json::to_value(&message).unwrap(), hello_of_earlier_build());
 }
 
 #[test]
-fn words_that_cannot_be_read_are_counted_and_cost_nothing_else() {
+fn unreadable_datagrams_are_counted_and_otherwise_ignored() {
     let runner =
         RunnerStandIn::start("i-1", |_| Reaction::Answer { status: 200, body: b"done".to_vec() })
             .unwrap();
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let words: [&[u8]; 5] = [
+    let datagrams: [&[u8]; 5] = [
         br#"{"later word":{"a":1}}"#,
         br#"{"limit?":{"i":{"f":1,"k":1}}}"#,
         br#"{"digest":{"node":"x"}}"#,
         b"",
         b"\xff\xfe",
     ];
-    for word in words {
-        socket.send_to(word, node.peers).unwrap();
+    for message in datagrams {
+        socket.send_to(message, node.peers).unwrap();
     }
     wait_for("the words to be counted", || {
         get(node.health, "/metrics").text().contains("pitchstall_words_unread_total 5")
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -13,19 +13,19 @@
 use support::{configuration, get, wait_for, Fixture};
 use test_case::test_case;
 
-const DEADLY: &[u8] = b"a request that ends runners";
-const SOUND: &[u8] = b"a request like any other";
+const CRASHING_BODY: &[u8] = b"a request that ends runners";
+const HARMLESS_BODY: &[u8] = b"a request like any other";
 /// Ends of runners under a request after which it may be repeated but a few times.
-const ENDS: usize = 3;
+const QUARANTINE_CRASHES: usize = 3;
 /// The arrival, from 0, that a runner fails instead.
 const FAILED_ARRIVAL: usize = 2;
 /// Repeats that may reach runners from then on.
-const REPEATS: usize = 3;
+const MAX_REPEATS: usize = 3;
 /// `contact_ms` of the fixture, and some more.
-const HEARD: Duration = Duration::from_millis(1_500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
 fn engine(request: &ReceivedRequest, head: CrashHead) -> Reaction {
-    if request.body == DEADLY {
+    if request.body == CRASHING_BODY {
         return Reaction::Crash { head, runs_for: Duration::from_millis(20) };
     }
     if request.path().starts_with("/lookup/") {
@@ -66,25 +66,25 @@
 }
 
 /// Runners that have ended.
-fn ended(runners: &[RunnerStandIn]) -> usize {
+fn crashed_count(runners: &[RunnerStandIn]) -> usize {
     runners.iter().filter(|runner| runner.has_ended()).count()
 }
 
 /// Times that the deadly request has reached a runner.
 fn arrivals(runners: &[RunnerStandIn]) -> usize {
     let of = |runner: &RunnerStandIn| {
-        runner.requests().iter().filter(|request| request.body == DEADLY).count()
+        runner.requests().iter().filter(|request| request.body == CRASHING_BODY).count()
     };
     runners.iter().map(of).sum()
 }
 
 /// Sends the deadly request to the nodes in turn until enough runners have ended under it.
-fn send_until_ended(nodes: &[&Fixture], path: &str, runners: &[RunnerStandIn]) {
+fn send_until_crashed(nodes: &[&Fixture], path: &str, runners: &[RunnerStandIn]) {
     for sent in 0..40 {
-        if ended(runners) >= ENDS {
+        if crashed_count(runners) >= QUARANTINE_CRASHES {
             return;
         }
-        send_to(nodes[sent % nodes.len()], path, &format!("deadly-{sent}"), DEADLY);
+        send_to(nodes[sent % nodes.len()], path, &format!("deadly-{sent}"), CRASHING_BODY);
     }
     panic!("the stand-ins do not end");
 }
@@ -93,7 +93,7 @@
 #[test_case("/summary/7", "llm", CrashHead::None; "a stream without a head")]
 #[test_case("/summary/7", "llm", CrashHead::Unframed; "a stream that seems to be whole")]
 #[test_case("/lookup/7", "desk", CrashHead::None; "no stream")]
-fn a_request_that_has_ended_three_runners_reaches_hardly_any_more(
+fn a_request_that_has_crashed_three_runners_reaches_few_others(
     path: &str,
     service: &str,
     head: CrashHead,
@@ -103,88 +103,93 @@
     let second = first.start_beside("node-2");
     second.wait_until_ready();
     let nodes = [&first, &second];
-    send_until_ended(&nodes, path, &runners);
-    std::thread::sleep(HEARD);
+    send_until_crashed(&nodes, path, &runners);
+    std::thread::sleep(PROPAGATION_TIME);
     let before = arrivals(&runners);
     for repeat in 0..10 {
-        send_to(nodes[repeat % 2], path, &format!("again-{repeat}"), DEADLY);
+        send_to(nodes[repeat % 2], path, &format!("again-{repeat}"), CRASHING_BODY);
     }
     let repeats = arrivals(&runners) - before;
-    assert!(repeats <= REPEATS, "it reached runners {repeats} times more");
-    assert_eq!(send_to(&first, path, "sound", SOUND).status, 200);
+    assert!(repeats <= MAX_REPEATS, "it reached runners {repeats} times more");
+    assert_eq!(send_to(&first, path, "sound", HARMLESS_BODY).status, 200);
 }
 
 #[test]
-fn what_is_told_is_final_and_the_same_each_time() {
+fn a_quarantined_request_always_gets_503_without_retry_after() {
     let runners = runners_of(8, CrashHead::Chunked);
     let node = node_with(&runners, "llm");
-    send_until_ended(&[&node], "/summary/7", &runners);
+    send_until_crashed(&[&node], "/summary/7", &runners);
     for repeat in 0..3 {
-        let answer = send_to(&node, "/summary/7", &format!("again-{repeat}"), DEADLY);
+        let answer = send_to(&node, "/summary/7", &format!("again-{repeat}"), CRASHING_BODY);
         assert_eq!((answer.status, answer.header("retry-after")), (503, None));
     }
 }
 
 #[test]
-fn a_node_that_starts_later_knows_it_from_the_store() {
+fn a_node_that_starts_later_reads_the_quarantine_from_the_store() {
     let runners = runners_of(12, CrashHead::Chunked);
     let first = node_with(&runners, "llm");
-    send_until_ended(&[&first], "/summary/7", &runners);
-    std::thread::sleep(HEARD);
+    send_until_crashed(&[&first], "/summary/7", &runners);
+    std::thread::sleep(PROPAGATION_TIME);
     let store = first.store.clone();
     first.request_stop();
     first.join();
     let later = Fixture::start_before(store, "node-later");
     later.wait_until_ready();
-    std::thread::sleep(HEARD);
+    std::thread::sleep(PROPAGATION_TIME);
     let before = arrivals(&runners);
     for repeat in 0..5 {
-        assert_eq!(send_to(&later, "/summary/7", &format!("again-{repeat}"), DEADLY).status, 503);
+        assert_eq!(
+            send_to(&later, "/summary/7", &format!("again-{repeat}"), CRASHING_BODY).status,
+            503
+        );
     }
     assert_eq!(arrivals(&runners), before);
 }
 
 #[test]
-fn ends_while_the_store_is_away_are_told_by_words_and_written_later() {
+fn crashes_during_a_store_outage_are_sent_to_peers_and_stored_later() {
     let runners = runners_of(12, CrashHead::Chunked);
     let first = node_with(&runners, "llm");
     let second = first.start_beside("node-2");
     second.wait_until_ready();
     first.store.set_mode(StoreMode::Unavailable);
-    send_until_ended(&[&first], "/summary/7", &runners);
-    std::thread::sleep(HEARD);
-    assert_eq!(send_to(&second, "/summary/7", "again", DEADLY).status, 503);
-    let is_written = || first.store.keys("pitchstall/crashes/").len() >= ENDS;
+    send_until_crashed(&[&first], "/summary/7", &runners);
+    std::thread::sleep(PROPAGATION_TIME);
+    assert_eq!(send_to(&second, "/summary/7", "again", CRASHING_BODY).status, 503);
+    let is_written = || first.store.keys("pitchstall/crashes/").len() >= QUARANTINE_CRASHES;
     assert!(!is_written());
     first.store.set_mode(StoreMode::Serving);
     wait_for("the ends to be written", is_written);
 }
 
 #[test]
-fn a_runner_that_only_lost_answers_has_not_ended() {
-    let losing = |request: &ReceivedRequest| match request.body.as_slice() {
-        DEADLY => Reaction::RawThenReset(Vec::new()),
+fn a_runner_that_only_resets_connections_has_not_crashed() {
+    let resetting = |request: &ReceivedRequest| match request.body.as_slice() {
+        CRASHING_BODY => Reaction::RawThenReset(Vec::new()),
         _ => engine(request, CrashHead::Chunked),
     };
-    let start = |number| RunnerStandIn::start(&format!("i-{number}"), losing).unwrap();
+    let start = |number| RunnerStandIn::start(&format!("i-{number}"), resetting).unwrap();
     let runners: Vec<RunnerStandIn> = (0..6).map(start).collect();
     let node = node_with(&runners, "llm");
     for sent in 0..8 {
-        send_to(&node, "/summary/7", &format!("lost-{sent}"), DEADLY);
+        send_to(&node, "/summary/7", &format!("lost-{sent}"), CRASHING_BODY);
     }
     let before = arrivals(&runners);
-    std::thread::sleep(HEARD);
-    send_to(&node, "/summary/7", "again", DEADLY);
+    std::thread::sleep(PROPAGATION_TIME);
+    send_to(&node, "/summary/7", "again", CRASHING_BODY);
     assert!(arrivals(&runners) > before, "it is taken for one that ends runners");
     assert!(node.store.keys("pitchstall/crashes/").is_empty());
 }
 
 #[test]
-fn an_operator_sees_and_lifts_a_quarantine() {
+fn an_operator_lists_and_lifts_a_quarantine() {
     let runners = runners_of(8, CrashHead::Chunked);
     let node = node_with(&runners, "llm");
-    send_until_ended(&[&node], "/summary/7", &runners);
-    wait_for("the quarantine", || send_to(&node, "/summary/7", "again", DEADLY).status == 503);
+    send_until_crashed(&[&node], "/summary/7", &runners);
+    wait_for("the quarantine", || {
+        send_to(&node, "/summary/7", "again", CRASHING_BODY).status == 503
+    });
     let listed: Value = serde_json::from_slice(&get(node.health, "/quarantine").body).unwrap();
     assert_eq!(listed[0]["quarantined"], true);
     let identity = listed[0]["identity"].as_str().unwrap();
@@ -196,10 +201,10 @@
 }
 
 #[test]
-fn a_failure_that_a_runner_answers_clears_no_request() {
+fn an_error_response_does_not_clear_a_request() {
     let arrivals = Arc::new(AtomicUsize::new(0));
     let script = move |request: &ReceivedRequest| {
-        if request.body != DEADLY {
+        if request.body != CRASHING_BODY {
             return engine(request, CrashHead::None);
         }
         // One runner fails it without running it: that tells nothing of what it does to others.
@@ -211,31 +216,34 @@
     let start = |number| RunnerStandIn::start(&format!("i-{number}"), script.clone()).unwrap();
     let runners: Vec<RunnerStandIn> = (0..12).map(start).collect();
     let node = node_with(&runners, "desk");
-    send_until_ended(&[&node], "/lookup/7", &runners);
-    std::thread::sleep(HEARD);
+    send_until_crashed(&[&node], "/lookup/7", &runners);
+    std::thread::sleep(PROPAGATION_TIME);
     for repeat in 0..4 {
-        assert_eq!(send_to(&node, "/lookup/7", &format!("again-{repeat}"), DEADLY).status, 503);
+        assert_eq!(
+            send_to(&node, "/lookup/7", &format!("again-{repeat}"), CRASHING_BODY).status,
+            503
+        );
     }
-    assert_eq!(ended(&runners), ENDS);
+    assert_eq!(crashed_count(&runners), QUARANTINE_CRASHES);
 }
 
 #[test]
-fn what_one_node_clears_one_node_removes() {
+fn cleared_crash_entries_are_removed_by_a_single_node() {
     let runners = runners_of(8, CrashHead::Chunked);
     let first = node_with(&runners, "llm");
     let second = first.start_beside("node-2");
     second.wait_until_ready();
-    send_until_ended(&[&first], "/summary/7", &runners);
+    send_until_crashed(&[&first], "/summary/7", &runners);
     let entries = || first.store.keys("pitchstall/crashes/").len();
-    wait_for("the crashes to be written", || entries() >= ENDS);
+    wait_for("the crashes to be written", || entries() >= QUARANTINE_CRASHES);
     wait_for("the other node to know", || get(second.health, "/quarantine").text() != "[]");
-    std::thread::sleep(HEARD);
+    std::thread::sleep(PROPAGATION_TIME);
     let writes = || first.store.calls().iter().filter(|call| *call == "/v1/kv-txn").count();
     let before = writes();
     let listed: Value = serde_json::from_slice(&get(first.health, "/quarantine").body).unwrap();
     lift(&first, listed[0]["identity"].as_str().unwrap());
     wait_for("the entries to be removed", || entries() == 0);
-    std::thread::sleep(HEARD);
+    std::thread::sleep(PROPAGATION_TIME);
     assert_eq!(writes() - before, 1);
     assert_eq!(get(second.health, "/quarantine").text(), "[]");
 }
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -51,21 +51,21 @@
 
 /// What the platform has taken, by window.
 fn reported(cloud: &CloudStandIn) -> BTreeMap<u64, u64> {
-    let taken = cloud.calls().into_iter().filter(|call| call.status == 200);
+    let accepted = cloud.calls().into_iter().filter(|call| call.status == 200);
     let count = |call: &CloudCall| call.body["counts"]["taxis"].as_u64().unwrap_or(0);
-    taken.map(|call| (call.body["window_id"].as_u64().unwrap(), count(&call))).collect()
+    accepted.map(|call| (call.body["window_id"].as_u64().unwrap(), count(&call))).collect()
 }
 
-fn reported_in_all(cloud: &CloudStandIn) -> u64 {
+fn total_reported(cloud: &CloudStandIn) -> u64 {
     reported(cloud).values().sum()
 }
 
 #[test]
-fn every_request_is_reported_once_under_a_fencing_token() {
+fn every_request_is_reported_once_with_a_fencing_token() {
     let (cloud, runner) = (CloudStandIn::start().unwrap(), desk());
     let node = start(&cloud, &runner);
     send(&node, 0..12);
-    wait_for("all requests to be reported", || reported_in_all(&cloud) == 12);
+    wait_for("all requests to be reported", || total_reported(&cloud) == 12);
     for call in cloud.calls() {
         assert_eq!((call.path.as_str(), call.holder.as_str()), ("/usage", "node-1"));
         assert!(call.fence > 0);
@@ -77,12 +77,12 @@
 }
 
 #[test]
-fn a_report_that_was_not_taken_is_sent_again_unchanged() {
+fn a_rejected_report_is_sent_again_unchanged() {
     let (cloud, runner) = (CloudStandIn::start().unwrap(), desk());
     cloud.answer_next_with(429);
     let node = start(&cloud, &runner);
     send(&node, 0..3);
-    wait_for("all requests to be reported", || reported_in_all(&cloud) == 3);
+    wait_for("all requests to be reported", || total_reported(&cloud) == 3);
     let calls = cloud.calls();
     let refused = calls.iter().find(|call| call.status == 429).unwrap();
     let again = calls
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_holder_that_was_refused_sends_nothing_more_under_its_fencing_token() {
+fn a_refused_holder_sends_nothing_more_with_its_fencing_token() {
     let (cloud, runner) = (CloudStandIn::start().unwrap(), desk());
     cloud.answer_next_with(409);
     let node = start(&cloud, &runner);
@@ -105,18 +105,18 @@
 }
 
 #[test]
-fn what_an_earlier_holder_fixed_is_handed_in_as_it_was() {
+fn a_report_finalized_by_an_earlier_holder_is_submitted_unchanged() {
     let (cloud, runner) = (CloudStandIn::start().unwrap(), desk());
     let node = Fixture::start_with(&sections(&cloud));
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let window = since_1970.as_secs() - 1;
-    let fixed = json!({ "window_id": window, "counts": { "taxis": 7 } });
-    node.store.put(&format!("pitchstall/usage/{window}"), &fixed);
+    let finalized = json!({ "window_id": window, "counts": { "taxis": 7 } });
+    node.store.put(&format!("pitchstall/usage/{window}"), &finalized);
     configure(&node, &runner);
     send(&node, 0..2);
-    wait_for("all reports", || reported_in_all(&cloud) == 9);
+    wait_for("all reports", || total_reported(&cloud) == 9);
     let of_window = |call: &&CloudCall| call.body["window_id"].as_u64() == Some(window);
-    assert_eq!(cloud.calls().iter().find(of_window).unwrap().body, fixed);
+    assert_eq!(cloud.calls().iter().find(of_window).unwrap().body, finalized);
 }
 
 #[test]
@@ -124,7 +124,7 @@
     let (cloud, runner) = (CloudStandIn::start().unwrap(), desk());
     let node = start(&cloud, &runner);
     send(&node, 0..2);
-    wait_for("a report", || reported_in_all(&cloud) == 2);
+    wait_for("a report", || total_reported(&cloud) == 2);
     for call in cloud.calls() {
         assert!(node.store.contains(&format!("pitchstall/usage/{}", call.body["window_id"])));
     }
