--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -1,10 +1,10 @@
-//! Holds the authority over what one node does for all, if no other node does.
+//! Acquires and holds the authority to perform duties for the whole fleet or a region, if no other
+//! node holds it.
 //!
-//! One node at a time holds a leased key of a subject; the others look at it now and then, by reads
-//! that may be old and cost little. What a holder may do when, and when it looks and renews, is
-//! decided in [`pitchstall_serving::authority`]. The duties themselves are tasks of their own,
-//! which ask a [`Holding`] before each thing that they order: [`crate::roles`], [`crate::usage`],
-//! [`crate::scaling`].
+//! One node at a time holds the leased key of a subject. The other nodes poll the key with reads
+//! that may be stale and are cheap. [`pitchstall_serving::authority`] decides when a node polls and
+//! renews, and when a holder may give orders. The duties are separate tasks that check a
+//! [`LocalAuthority`] before each order: [`crate::roles`], [`crate::usage`] and [`crate::scaling`].
 
 use crate::node::Node;
 use crate::platform_client::PlatformClient;
@@ -21,52 +21,53 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Limit of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between two looks whether the regions have become several.
+/// Time between two checks whether several regions are configured.
 const REGIONS_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Shortest lease.
+/// Minimum time to live of the lease, also if `bounds.lease_ms` is shorter, milliseconds.
 const MIN_TTL_MS: u64 = 3_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// This node's authority over one subject.
+/// This node's state of the authority over one subject.
 #[derive(Debug, Default)]
 pub struct LocalAuthority {
     holder: RefCell<AuthorityHolder>,
 }
 
 impl LocalAuthority {
-    /// The fencing token, while orders may be given.
+    /// The fencing token while this node may give orders; `None` otherwise.
     pub fn fence_for_orders(&self, now_us: u64) -> Option<FencingToken> {
         self.holder.borrow().fence_for_orders(now_us)
     }
 
-    /// The fencing token, from the beginning of the term on.
+    /// The fencing token from the start of the term, also before orders may be given; `None` if
+    /// this node does not hold the authority.
     pub fn fence(&self) -> Option<FencingToken> {
         self.holder.borrow().fence()
     }
 
-    /// An order was refused because a higher fencing token had been used: another node has the
-    /// authority, and this one gives no further order in this term.
+    /// Ends the orders of this term: an order was rejected because a higher fencing token has been
+    /// used, so another node has the authority.
     pub fn on_refused(&self, fence: FencingToken) {
         self.holder.borrow_mut().on_refused(fence);
     }
 
-    /// A later era of the store has begun, or another store is there: the lease may be gone, or be another holder's.
+    /// Ends the term: the store is in a later era or has been replaced, so the lease may be missing
+    /// or belong to another holder.
     pub fn on_later_era(&self) {
         if let Some(fence) = self.holder.borrow_mut().on_later_era() {
             let fence = fence.number();
-            log::warn!(target: "authority", fence, reason = "another era of the store"; "lost");
+            log::warn!(target: "authority", fence, reason = "the era of the store has changed"; "lost");
         }
     }
 }
 
-/// The subject under which this node may order roles.
+/// The subject under which this node may order roles; it depends on the configured regions.
 pub fn roles_subject(node: &Node) -> AuthoritySubject {
     AuthoritySubject::for_roles(node.fleet.borrow().topology(), &node.region())
 }
 
-/// What this node holds for ordering roles under a subject.
+/// This node's state of the authority over roles under a subject.
 pub fn local_roles_authority<'a>(node: &'a Node, subject: &AuthoritySubject) -> &'a LocalAuthority {
     match subject {
         AuthoritySubject::Fleet => &node.authority,
@@ -78,11 +79,11 @@
     node: Rc<Node>,
     client: PlatformClient,
     subject: AuthoritySubject,
-    /// The subject's name in logs.
+    /// Name of the subject in logs: the region or `fleet`.
     name: String,
 }
 
-/// Holds the authority over the fleet whenever it can, until the node stops.
+/// Holds the authority over the fleet whenever possible, until the node stops.
 pub async fn hold_fleet_authority(node: Rc<Node>) {
     let mut authority = AuthorityTask::new(node, AuthoritySubject::Fleet);
     while !authority.node.is_stopping() {
@@ -91,8 +92,8 @@
     authority.release().await;
 }
 
-/// Holds the authority over the roles of this node's region whenever it can, where there are
-/// several regions, until the node stops. The regions may change with the settings.
+/// Holds the authority over the roles of this node's region whenever possible, until the node
+/// stops. Does nothing while there is only one region; the regions may change with the settings.
 pub async fn hold_roles_authority(node: Rc<Node>) {
     while !node.is_stopping() {
         let subject = roles_subject(&node);
@@ -126,7 +127,7 @@
             AuthorityStep::Poll => self.try_acquire().await,
             AuthorityStep::Renew(lease) => self.renew(lease).await,
             AuthorityStep::StepDown(lease) => {
-                self.on_lost("a higher fencing token was seen");
+                self.on_lost("an order was rejected because of a higher fencing token");
                 self.end_lease(lease).await;
             }
         }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Whether there is anything to do for a holder.
+    /// Whether the holder of the subject would have any duties.
     fn has_duties(&self) -> bool {
         let has_engines = |node: &Node| !node.engine_services().is_empty();
         let is_fleet = self.subject == AuthoritySubject::Fleet;
@@ -149,8 +150,8 @@
     }
 
     async fn try_acquire(&mut self) {
-        // Only nodes that read the store look who has the authority, and only at that of their own
-        // region: each look is a call.
+        // Each poll is a call to the store. Therefore only store readers poll, and only the key of
+        // their own region.
         let is_store_reader = self.node.members.borrow().is_store_reader();
         if !self.node.is_ready() || !self.has_duties() || !is_store_reader {
             return;
@@ -170,7 +171,8 @@
         let Some(number) = readable("lease", store::parse_lease(&granted.body)) else { return };
         let lease = StoreLease { era: granted.era, number };
         let node = self.node.settings().node.name.clone();
-        // Without an answer the key may be ours unknown to us: the lease lapses by itself.
+        // If this call gets no response, the key may have been written without this node knowing.
+        // It is deleted when the lease expires.
         let acquire = store::take_authority(&self.subject, &node, lease.number);
         let Some(acquired) = self.call(&acquire).await.filter(StoreAnswer::is_done) else { return };
         let Some(revision) = readable("authority", store::parse_transaction(&acquired.body)) else {
@@ -190,19 +192,20 @@
         self.with_holder(|holder| holder.on_acquired(lease, term, now_us, times));
     }
 
-    /// The store came back older between the granting of the lease and the writing of the key, which hangs on whatever
-    /// lease has that number now.
+    /// Removes a key that was written in a later era than its lease was granted in: the store was
+    /// restored from an older copy in between, and the key is attached to whichever lease has that
+    /// number now.
     async fn undo_acquisition(&mut self, acquired_at: StoreRevision) {
         let remove = store::remove_authority(&self.subject, acquired_at.number());
         let status = self.call(&remove).await.map(|response| response.status);
-        log::warn!(target: "authority", subject = self.name.as_str(), status:?; "taken in another era");
+        log::warn!(target: "authority", subject = self.name.as_str(), status:?; "removal of an authority key that was written in another era of the store");
     }
 
     async fn renew(&mut self, lease: StoreLease) {
         let sent_at_us = self.node.now_us();
         let response = self.call(&store::keep_lease(lease.number)).await;
         if response.as_ref().is_some_and(|response| response.era != lease.era) {
-            // Whatever it says, it is of another lease.
+            // The response is about another lease with the same number.
             return self.on_lost("the lease is of another era of the store");
         }
         match response.map(|response| response.status) {
@@ -210,10 +213,10 @@
                 let (now_us, times) = (self.node.now_us(), self.times());
                 if self.with_holder(|holder| holder.on_renewed(sent_at_us, now_us, times)) {
                     let (subject, lease) = (self.name.as_str(), lease.number);
-                    log::info!(target: "authority", subject, lease; "the lease was renewed after all");
+                    log::info!(target: "authority", subject, lease; "the lease was renewed after the term had expired");
                 }
             }
-            Some(StoreStatus::Absent) => self.on_lost("the lease is over"),
+            Some(StoreStatus::Absent) => self.on_lost("the lease has expired"),
             _ => {}
         }
     }
@@ -223,7 +226,7 @@
         if self.with_holder(|holder| holder.check_expiry(now_us)) {
             let fence = self.with_holder(|holder| holder.fence()).map(FencingToken::number);
             let subject = self.name.as_str();
-            log::warn!(target: "authority", subject, fence; "the lease could not be renewed");
+            log::warn!(target: "authority", subject, fence; "the term has expired: the lease could not be renewed");
         }
     }
 
@@ -234,21 +237,22 @@
         }
     }
 
-    /// Ends the lease, so that another node can take over at once.
+    /// Revokes the lease, so that another node can take over at once.
     async fn release(&mut self) {
         if let Some((lease, fence)) = self.with_holder(AuthorityHolder::on_lost) {
             self.end_lease(lease).await;
             let fence = fence.number();
-            log::info!(target: "authority", subject = self.name.as_str(), fence; "handed over");
+            log::info!(target: "authority", subject = self.name.as_str(), fence; "authority released");
         }
     }
 
-    /// Without an answer the lease lapses by itself. One of an earlier era may be another holder's by now.
+    /// Revokes a lease of the current era. A lease of an earlier era is left alone, as its number
+    /// may belong to another holder's lease by now. Without a response the lease expires by itself.
     async fn end_lease(&mut self, lease: StoreLease) {
         let is_own = lease.era == self.node.store_era();
         if !is_own || self.call(&store::end_lease(lease.number)).await.is_none() {
             let (subject, lease) = (self.name.as_str(), lease.number);
-            log::info!(target: "authority", subject, lease; "left to lapse");
+            log::info!(target: "authority", subject, lease; "lease not revoked: it expires by itself");
         }
     }
 
--- a/crates/gateway/src/cross_region_traffic.rs
+++ b/crates/gateway/src/cross_region_traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of words that go to nodes of other regions: they are paid for.
+//! Counts the bytes of messages to nodes of other regions, since traffic between regions is billed.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -7,14 +7,14 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Labels of words to other regions.
+/// Metric labels of messages to other regions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct MessageLabels {
-    /// The kind of word.
+    /// The kind of message.
     pub word: &'static str,
 }
 
-/// Words to nodes of other regions.
+/// Traffic to nodes of other regions.
 #[derive(Debug, Default)]
 pub struct CrossRegionTraffic {
     remote_addresses: RefCell<HashSet<SocketAddr>>,
@@ -22,7 +22,7 @@
 }
 
 impl CrossRegionTraffic {
-    /// A node is of another region, or of this one.
+    /// Records whether the node at an address is in another region (`is_remote`) or in this one.
     pub fn set_region(&self, address: SocketAddr, is_remote: bool) {
         let mut remote_addresses = self.remote_addresses.borrow_mut();
         if is_remote {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A word of so many bytes was sent to each of these nodes.
+    /// Counts a message of `bytes` bytes, of the kind `word`, for each receiver in another region.
     pub fn on_sent(&self, word: &'static str, bytes: usize, to: &[SocketAddr]) {
         let remote_addresses = self.remote_addresses.borrow();
         let sent = to.iter().filter(|address| remote_addresses.contains(address)).count();
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The counter, for the registry.
+    /// The byte counter, to be added to the registry of metrics.
     pub fn bytes(&self) -> Family<MessageLabels, Counter> {
         self.bytes.clone()
     }
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other by datagrams: one JSON line each.
+//! Messages between nodes. Each is one datagram with one line of JSON.
 
 use crate::cross_region_traffic::CrossRegionTraffic;
 use pitchstall_serving::digest::Digest;
@@ -16,73 +16,73 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// Largest datagram.
+/// Maximum size of a datagram. Larger messages are not sent.
 pub const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// A word of one node to another.
+/// A message from one node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The node is there.
+    /// The sender's state and the reports in it; shows that the sender is alive.
     #[serde(rename = "digest")]
     Digest(Digest),
-    /// A node that cannot read the store asks who is there.
+    /// Sent by a node that cannot read the store, to ask for other members.
     #[serde(rename = "hello")]
     Hello(Digest),
-    /// These are.
+    /// Members known to the sender, in reply to [`Self::Hello`].
     #[serde(rename = "members")]
     Members(Vec<(NodeId, Member)>),
-    /// Where is this request to run?
+    /// Asks a shard's scheduler where to run a request.
     #[serde(rename = "ask")]
     PlacementQuery(PlacementQuery),
-    /// There.
+    /// The runner chosen for a request.
     #[serde(rename = "place")]
     PlacementReply(PlacementReply),
-    /// What became of a request that was placed.
+    /// Progress of a placed request.
     #[serde(rename = "progress")]
     ProgressMessage(ProgressMessage),
-    /// The loads of a shard.
+    /// The loads of the runners of a shard.
     #[serde(rename = "loads")]
     ShardLoads(ShardLoads),
-    /// What the runners of a region have to do.
+    /// The backlogs of the runners of a region, by service.
     #[serde(rename = "region")]
     RegionLoads(RegionLoads),
-    /// Shared parts of prompts that runners of a region have read.
+    /// Shared prefixes that runners of a region have cached.
     #[serde(rename = "parts")]
     CachedPrefixes(Vec<CachedPrefixMessage>),
-    /// How many requests of each tenant began?
+    /// Asks how many requests of each tenant started to run.
     #[serde(rename = "usage?")]
     UsageQuery(UsageQuery),
-    /// Runners that ended, and what was under way there.
+    /// Runners that crashed with the requests in progress there, or a request that is cleared.
     #[serde(rename = "crash")]
     CrashMessage(CrashMessage),
-    /// May a run of this cost begin?
+    /// Asks a quota keeper whether a run of this cost may start.
     #[serde(rename = "quota?")]
     QuotaQuery(QuotaQuery),
-    /// Whether it may.
+    /// A quota keeper's reply.
     #[serde(rename = "quota")]
     QuotaReply(QuotaReply),
-    /// This keeper has a question that was handed on to it.
+    /// Acknowledges a query that was forwarded to this quota keeper.
     #[serde(rename = "quota+")]
     QuotaForwardAck(KeeperId),
-    /// It has not begun.
+    /// Returns the charge for a run that has not started.
     #[serde(rename = "quota-")]
     QuotaRefund(QuotaRefund),
-    /// May one request be sent to a runner that names a limit?
+    /// Asks whether one more request may be sent to a runner that has named a limit.
     #[serde(rename = "limit?")]
     LimitQuery(LimitQuery),
-    /// Whether it may.
+    /// The reply to [`Self::LimitQuery`].
     #[serde(rename = "limit")]
     LimitReply(LimitReply),
-    /// A runner has said what it takes.
+    /// The limit that a runner has reported.
     #[serde(rename = "limit+")]
     LimitMessage(LimitMessage),
-    /// So many.
+    /// Counts of requests that started to run.
     #[serde(rename = "usage")]
     UsageMessage(UsageMessage),
 }
 
 impl PeerMessage {
-    /// Its kind, for metrics.
+    /// The kind of message, as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Digest(_) => "digest",
@@ -108,7 +108,8 @@
     }
 }
 
-/// Sends words. One that cannot be sent is as good as lost on its way, and nothing depends on it.
+/// Sends messages. A message that cannot be sent counts as lost on its way; no part of the system
+/// depends on a single message.
 #[derive(Clone)]
 pub struct PeerSocket {
     socket: Rc<UdpSocket>,
@@ -116,27 +117,28 @@
 }
 
 impl PeerSocket {
-    /// Sends through the socket.
+    /// A sender on `socket`. Until peers are known, no address counts as in another region.
     pub fn new(socket: Rc<UdpSocket>) -> Self {
         Self { socket, cross_region_traffic: Rc::default() }
     }
 
-    /// What goes to nodes of other regions.
+    /// Counts of the traffic to nodes of other regions.
     pub fn cross_region_traffic(&self) -> &CrossRegionTraffic {
         &self.cross_region_traffic
     }
 
-    /// Sends a word to some nodes; returns its length in bytes.
+    /// Sends a message to the given nodes. Returns its length in bytes, or 0 if it is too long or
+    /// cannot be serialized.
     pub fn send(&self, message: &PeerMessage, to: &[SocketAddr]) -> usize {
         let datagram = match serde_json::to_vec(message) {
             Ok(datagram) if datagram.len() <= MAX_DATAGRAM_BYTES => datagram,
             Ok(datagram) => {
-                log::warn!(target: "peers", bytes = datagram.len(); "a word is too long");
+                log::warn!(target: "peers", bytes = datagram.len(); "message not sent: it exceeds the maximum datagram size");
                 return 0;
             }
             Err(error) => {
                 let error = error.to_string();
-                log::error!(target: "peers", error; "a word cannot be written");
+                log::error!(target: "peers", error; "message not sent: it cannot be serialized");
                 return 0;
             }
         };
@@ -144,13 +146,14 @@
         for address in to {
             if let Err(error) = self.socket.try_send_to(&datagram, *address) {
                 let (to, error) = (address.to_string(), error.to_string());
-                log::debug!(target: "peers", to, error; "a word was not sent");
+                log::debug!(target: "peers", to, error; "datagram not sent");
             }
         }
         datagram.len()
     }
 
-    /// Receives the next datagram into `buffer`.
+    /// Receives the next datagram into `buffer`. Returns its length in bytes and the sender's
+    /// address.
     pub async fn receive(&self, buffer: &mut [u8]) -> std::io::Result<(usize, SocketAddr)> {
         self.socket.recv_from(buffer).await
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,9 +1,9 @@
-//! The other nodes: finds them through the store, and hears from them.
+//! Discovers the other nodes through the store and exchanges messages with them.
 //!
-//! A node registers its address under a lease and reads who else is there. From then on it
-//! sends digests now and then; whoever gets one from an unknown node learns of it that way, so
-//! the list is read seldom. Nothing breaks without peers: the node then knows only what it and
-//! the runners see.
+//! A node registers its address under a lease and reads the list of nodes from the store. From then
+//! on, it sends digests at regular intervals. A node that receives a digest from an unknown node
+//! learns of it that way, so the list is rarely read. Without peers, a node keeps working with what
+//! it observes itself and what runners report.
 
 use crate::clock::Instant;
 use crate::held_parts;
@@ -33,38 +33,36 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Pause after a datagram could not be received.
+/// Pause after a failed receive.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(120);
-/// Between two digests of a node. What they tell is not urgent, but for role changes, which are
-/// told to all at once.
+/// Time between two digests of a node. Their contents are not urgent, except for role changes,
+/// which are sent to all nodes at once.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A node that has not been heard or listed for this long is forgotten.
+/// Time after which a node is removed that has neither sent a digest nor been listed in the store.
 const PEER_TTL: Duration = Duration::from_secs(60);
-/// Nodes that one which knows nobody is told of: enough to follow the store by, and the others tell
-/// of themselves in their digests.
+/// Maximum number of members in the reply to a node that knows no others. They are enough to follow
+/// the store through; the other nodes announce themselves in their digests.
 const MAX_MEMBERS_IN_REPLY: usize = 64;
-/// Time to live of a node's registration. Keepers of tenants' limits grant for most of it without a
-/// word from the store, so it is longer than stores are usually away.
+/// Time to live of a node's registration, milliseconds. Quota keepers continue to grant for most of
+/// it without contact with the store, so it is longer than the usual store outage.
 const REGISTRATION_TTL_MS: u64 = 30_000;
 const MICROS_PER_MILLI: u64 = 1_000;
-/// Between two renewals of the registration.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
-/// Time within which a node registers again once the store has come back from an older copy, spread over it so that a
-/// fleet's writes do not come at once.
+/// Maximum delay before a node registers again after the store was restored from an older copy. The
+/// delay is random, so that the writes of a fleet are spread over this time.
 const MAX_REREGISTRATION_DELAY: Duration = Duration::from_millis(700);
-/// Renewals between two readings of the list.
+/// Number of renewals between two reads of the list of nodes.
 const RENEWALS_PER_LISTING: u32 = 6;
-/// Pause after a call to the store failed.
+/// Pause after a failed attempt to register.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
-/// Limit of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A call to the store failed.
+/// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallFailure {
-    /// What it was about is not there.
+    /// The object of the call does not exist.
     Absent,
-    /// It was refused or got no answer.
+    /// The call was rejected or got no response.
     Other,
 }
 
@@ -73,7 +71,7 @@
     last_received_at: Instant,
 }
 
-/// The other nodes that are known.
+/// The known nodes, and the socket to exchange messages with them.
 pub struct Peers {
     node: Rc<Node>,
     socket: PeerSocket,
@@ -91,14 +89,14 @@
 }
 
 impl Peers {
-    /// Peers that are reached through the socket.
+    /// Creates an empty set of peers that are reached through the socket.
     pub fn new(node: Rc<Node>, socket: PeerSocket) -> Rc<Self> {
         let name = NodeId::new(&node.settings().node.name);
         let incarnation = node.incarnation;
         Rc::new(Self { node, socket, name, incarnation, state: RefCell::default() })
     }
 
-    /// Receives words until the task is dropped.
+    /// Receives and handles messages until the task is dropped.
     pub async fn receive(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
@@ -108,11 +106,12 @@
             };
             match serde_json::from_slice::<PeerMessage>(&buffer[..length]) {
                 Ok(message) => self.on_message(message, from),
-                // A later build may say what this one does not know; nothing else is lost by it.
+                // A later version may send messages that this one does not know. Only that message
+                // is ignored.
                 Err(error) => {
                     self.node.metrics.unread_words.inc();
                     let (error, from) = (error.to_string(), from.to_string());
-                    log::warn!(target: "peers", from, error; "unreadable word");
+                    log::warn!(target: "peers", from, error; "unreadable datagram");
                 }
             }
         }
@@ -169,7 +168,8 @@
         }
     }
 
-    /// A node that knows nobody has asked: it learns of some, and of the others by their digests.
+    /// Replies to a node that knows no others with some members. The other nodes announce
+    /// themselves to it in their digests.
     fn on_hello(&self, digest: &Digest, from: SocketAddr) {
         self.on_digest(digest, from);
         let members = self.node.members.borrow().sample(MAX_MEMBERS_IN_REPLY);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Asks the machines that the settings name who is there, while nobody is known.
+    /// Asks the seed nodes in the settings for members, if no other node is known.
     fn send_hello(&self) {
         if self.node.known_nodes() > 1 {
             return;
@@ -228,11 +228,11 @@
         self.socket.send(&PeerMessage::Digest(self.digest()), to);
     }
 
-    /// Tells the other nodes what changes, until the task is dropped.
+    /// Sends digests at regular intervals and at each relevant change, until the task is dropped.
     pub async fn announce(self: Rc<Self>) {
         loop {
             let to = tokio::select! {
-                // Runners that change their role decline requests: all nodes should know.
+                // Runners decline requests during a role change, so all nodes should know of it.
                 () = self.node.role_ordered.notified() => self.all_addresses(),
                 () = self.node.quotas.keepers_changed.notified() => self.all_addresses(),
                 () = self.node.store_confirmed.notified() => self.node.members.borrow().other_store_readers(),
@@ -246,7 +246,7 @@
         self.state.borrow().peers.values().map(|peer| peer.address).collect()
     }
 
-    /// The nodes of this node's region, and those of other regions.
+    /// Addresses of the nodes of this node's region, and of those of other regions.
     fn addresses_by_region(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let members = self.node.members.borrow();
         let state = self.state.borrow();
@@ -258,10 +258,10 @@
         (addresses(in_region), addresses(remote))
     }
 
-    /// The nodes that the next digest goes to.
+    /// Addresses of the nodes that receive the next digest.
     fn next_addresses(&self) -> Vec<SocketAddr> {
-        // Where tenants have limits, a keeper of them that is lost is noticed by its digests, at every
-        // node as soon.
+        // Where tenants have limits, the loss of a keeper is detected by its missing digests. All
+        // nodes then receive every digest, so that each detects the loss equally soon.
         let (in_region, remote) = match quota::has_limits(&self.node) {
             true => (self.all_addresses(), Vec::new()),
             false => self.addresses_by_region(),
@@ -274,7 +274,8 @@
         next
     }
 
-    /// Keeps this node registered and the list of the others fresh, until the task is dropped.
+    /// Keeps this node registered and its list of other nodes up to date, until the task is
+    /// dropped.
     pub async fn register(self: Rc<Self>) {
         let mut client = PlatformClient::default();
         loop {
@@ -297,7 +298,8 @@
         let put = store::put_under_lease(&key, &member, lease.number);
         let (_, era) = self.call(client, &put).await.ok()?;
         if era != lease.era {
-            // The key hangs on whatever lease has that number now; the next try puts it under its own.
+            // The key is attached to whichever lease has that number now. The next attempt attaches
+            // it to its own lease.
             return None;
         }
         let ttl_us = granted_ttl_ms.min(REGISTRATION_TTL_MS) * MICROS_PER_MILLI;
@@ -307,16 +309,17 @@
         Some(lease)
     }
 
-    /// Renews the registration until the store says that it is over. While the store is away
-    /// its leases wait, and a renewal costs a tenth of what registering anew does.
+    /// Renews the registration until the store reports that the lease has expired. Leases do not
+    /// expire while the store is unavailable, and a renewal costs a tenth of a new registration.
     async fn keep_registered(&self, client: &mut PlatformClient, lease: StoreLease) {
         for renewal in 1_u32.. {
             if lease.era == self.node.store_era() {
-                // Either may end it.
+                // The wait ends after the interval or when a new era begins.
                 let _ = timeout(RENEWAL_INTERVAL, self.node.era_began.notified()).await;
             }
             if lease.era != self.node.store_era() {
-                // All nodes register again; those that come back soon are known meanwhile.
+                // All nodes register again after a random delay. Nodes that do so soon stay known in the
+                // meantime.
                 return sleep(rand::rng().random_range(Duration::ZERO..MAX_REREGISTRATION_DELAY))
                     .await;
             }
@@ -332,7 +335,7 @@
         }
     }
 
-    /// Reads who is there and greets those that are not known.
+    /// Reads the list of nodes from the store and sends a digest to the new ones.
     async fn list_nodes(
         &self,
         client: &mut PlatformClient,
@@ -359,11 +362,11 @@
         self.node.members.borrow_mut().retain(|name| state.peers.contains_key(name));
     }
 
-    /// The node that an entry names; `None` if it names none.
+    /// The node that a store entry names; `None` if the entry is invalid.
     fn read_node(&self, item: &Item) -> Option<(NodeId, Member)> {
         let node = store::node_of(item);
         if node.is_none() {
-            let fault = EntryFault::Document("it tells of no node".to_owned());
+            let fault = EntryFault::Document("the entry names no node".to_owned());
             self.node.on_refused_entry("nodes", &item.key, item.revision, &fault);
         }
         node
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,8 +1,9 @@
-//! Keeps the requests under which runners ended in the store, and takes in other nodes' words on them.
+//! Writes crashes, and the requests that were in progress at them, to the store, and handles
+//! messages of other nodes about them.
 //!
-//! The store is what lasts: it outlives every node, and reaches nodes that cannot reach each other.
-//! Words are sooner there. What is counted and when a request reaches no runner any more is decided in
-//! [`pitchstall_serving::quarantine`]; the store is followed by [`crate::watcher`].
+//! Crashes in the store outlive every node and reach nodes that cannot reach each other. Messages
+//! between nodes are faster. [`pitchstall_serving::quarantine`] decides which crashes count and
+//! when a request is quarantined. [`crate::watcher`] watches the entries in the store.
 
 use crate::clock::Instant;
 use crate::node::Node;
@@ -14,18 +15,17 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Limit of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a call that the store did not take: a small part of the time after which nodes count
-/// as in touch with it again.
+/// Pause after a call that the store did not accept: a small part of the time after which nodes
+/// must count as in contact again.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Time for which entries of requests that were cleared wait to be removed, so that one call removes many:
-/// sound requests lose nothing by it.
+/// Delay before the entries of cleared requests are removed, so that one call removes many of them.
+/// The delay does not affect these requests.
 const REMOVAL_DELAY: Duration = Duration::from_millis(2_000);
-/// Between two looks for crashes that are to be forgotten: they are kept for a day.
+/// Time between two checks for expired crashes, which are kept for a day.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Takes in another node's word.
+/// Handles another node's message about crashed runners or a cleared request.
 pub fn on_message(node: &Node, message: CrashMessage) {
     let now_us = node.now_us();
     match message {
@@ -44,7 +44,8 @@
     }
 }
 
-/// Writes to the store what is to be written, until the task is dropped.
+/// Writes pending crashes to the store and removes cleared and expired ones, until the task is
+/// dropped.
 pub async fn persist_crashes(node: Rc<Node>) {
     let mut client = PlatformClient::default();
     let mut remove_at = None;
@@ -63,8 +64,8 @@
     }
 }
 
-/// Waits until something is to be written or removed, or may be. `remove_at` is when what is to be removed
-/// now has waited long enough.
+/// Waits until a write or removal is due, or may be because the quarantine has changed. `remove_at`
+/// is when the pending removals are due; it is set here when the first one is found.
 async fn wait_until_due(node: &Node, remove_at: &mut Option<Instant>) {
     let (next_us, has_removals) = {
         let quarantine = node.quarantine.borrow();
@@ -81,12 +82,12 @@
     };
     let remaining = until_write.min(until_removal);
     if !remaining.is_zero() {
-        // Something else may be due sooner by then, or nothing.
+        // When this returns, another write or removal may be due, or nothing: the caller checks.
         let _ = timeout(remaining, node.quarantine_changed.notified()).await;
     }
 }
 
-/// Writes what is due; returns whether the store has taken it.
+/// Writes the crashes that are due. Returns `false` if the store did not accept the call.
 async fn write_due(node: &Node, client: &mut PlatformClient) -> bool {
     let crashes = node.quarantine.borrow().due_writes(node.now_us());
     if !crashes.is_empty() {
@@ -98,7 +99,8 @@
     true
 }
 
-/// Removes what has waited long enough; returns whether the store has taken it.
+/// Removes the entries whose delay has passed. Returns `false` if the store did not accept the
+/// call.
 async fn remove_due(
     node: &Node,
     client: &mut PlatformClient,
@@ -122,7 +124,7 @@
     let response = node.call_store(client, call, STORE_TIMEOUT).await;
     let status = response.map(|response| response.status);
     if status != Some(StoreStatus::Done) {
-        log::info!(target: "crash", status:?; "not written");
+        log::info!(target: "crash", status:?; "crash entries not updated in the store");
     }
     status == Some(StoreStatus::Done)
 }
--- a/crates/gateway/src/quota/candidate.rs
+++ b/crates/gateway/src/quota/candidate.rs
@@ -1,5 +1,5 @@
-//! Takes keepers that nobody holds, by keys of the store under this node's registration, and gives
-//! them up when it stops or no tenant has a limit.
+//! Acquires keepers that nobody holds by writing their keys to the store under this node's
+//! registration lease, and releases them when the node stops or no tenant has a limit.
 
 use super::{bounds, has_limits, own_address, RegistrationLease};
 use crate::node::{topology_of, Node};
@@ -20,23 +20,22 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two looks at the keepers that nobody holds.
+/// Time between two checks for keepers that nobody holds.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Limit of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Candidates beyond this rank do not try: each try is a call to the store, and those before them are
-/// all gone only if the members that are known are wrong.
+/// Candidates beyond this rank do not attempt to acquire a keeper. Each attempt is a call to the
+/// store, and the candidates before them can all be gone only if the list of members is wrong.
 const MAX_RANK: usize = 4;
 
 struct Candidate {
     node: Rc<Node>,
     client: PlatformClient,
     candidacies: HashMap<KeeperId, Candidacy>,
-    /// The lease under which the store was asked who holds what.
+    /// The lease under which this node last read the holders from the store.
     holders_read_under: Option<StoreLease>,
 }
 
-/// Keeps tenants' limits whenever this node is to, until it stops.
+/// Acquires and holds keepers as a candidate until the node stops, then releases them.
 pub async fn run(node: Rc<Node>) {
     let client = PlatformClient::default();
     let mut candidate =
@@ -72,13 +71,14 @@
         }
     }
 
-    /// The lease, if the store has lately said that it holds.
+    /// The lease, if the store has confirmed it within its time to live.
     fn valid_lease(&self) -> Option<RegistrationLease> {
         let lease = self.node.quotas.lease.get()?;
         (self.node.now_us() < lease.renewed_us + lease.ttl_us).then_some(lease)
     }
 
-    /// Learns from the store who holds what: once a start, as holders tell of changes.
+    /// Reads the holders of all keepers from the store, once per lease: later changes are announced
+    /// in digests. Returns whether the read succeeded.
     async fn read_holders(&mut self, lease: RegistrationLease) -> bool {
         let mut era = lease.id.era;
         let page = read_pages(async |after| {
@@ -94,10 +94,10 @@
         true
     }
 
-    /// Learns who holds a keeper from an item of the store, read in an era.
+    /// Records the holder of a keeper from a store item that was read in the given era.
     fn learn(&self, item: &Item, era: StoreEra) {
         let Some((keeper, holder, revision)) = quota_slots::keeper_of(item) else {
-            let fault = EntryFault::Document("it tells of no keeper".to_owned());
+            let fault = EntryFault::Document("the entry names no keeper".to_owned());
             self.node.on_refused_entry("keepers", &item.key, item.revision, &fault);
             return;
         };
@@ -132,8 +132,8 @@
         candidacy.decide(key.as_ref(), address, rank, now_us)
     }
 
-    /// Writes the key, if it is still at the revision. Without an answer it may be written unknown to
-    /// this node, which then finds its own name there and takes it over.
+    /// Writes the key if it is still at `revision`. If the call gets no response, the key may have
+    /// been written all the same; this node then finds its own address in it and takes it over.
     async fn acquire(
         &mut self,
         keeper: &KeeperId,
@@ -154,7 +154,7 @@
             Some((StoreStatus::Conflict, era, body)) => self.on_conflict(keeper, era, &body),
             other => {
                 let status = other.map(|(status, ..)| status);
-                log::info!(target: "quota", keeper = keeper.to_string(), status:?; "not taken");
+                log::info!(target: "quota", keeper = keeper.to_string(), status:?; "quota keeper not acquired");
             }
         }
     }
@@ -166,7 +166,8 @@
         lease: RegistrationLease,
         revision: StoreRevision,
     ) {
-        // The lease may have been renewed meanwhile, or be over, also with its era.
+        // In the meantime, the lease may have been renewed or have expired, or its era may have
+        // ended.
         let is_same_lease =
             |now: &RegistrationLease| now.id == lease.id && now.id.era == revision.era();
         let Some(current_lease) = self.valid_lease().filter(is_same_lease) else { return };
@@ -181,11 +182,11 @@
         holders.learn(keeper, &holder.node, holder.address, revision, now_us);
         drop(holders);
         let revision = revision.to_string();
-        log::info!(target: "quota", keeper = keeper.to_string(), revision; "keeper gained");
+        log::info!(target: "quota", keeper = keeper.to_string(), revision; "quota keeper acquired");
         quotas.keepers_changed.notify_one();
     }
 
-    /// Somebody holds it, or held it at another revision than was thought.
+    /// Another node holds the keeper, or the key is at another revision than expected.
     fn on_conflict(&self, keeper: &KeeperId, era: StoreEra, body: &[u8]) {
         let Some(items) = readable("keeper", store::parse_conflict(body)) else { return };
         if items.is_empty() {
@@ -194,7 +195,7 @@
         items.iter().for_each(|item| self.learn(item, era));
     }
 
-    /// Gives up all keepers: first here, so that nothing is granted any more, then in the store.
+    /// Releases all keepers: first in memory, so that they grant nothing more, then in the store.
     async fn release_all(&mut self) {
         if !self.node.quotas.is_keeper() {
             return;
@@ -204,14 +205,14 @@
             let revision = held.term().revision;
             self.node.quotas.holders.borrow_mut().remove(&keeper);
             if revision.era() < self.node.store_era() {
-                // What has that number now may be another holder's.
+                // The key at that revision may be another holder's now.
                 continue;
             }
             let call = quota_slots::remove_keeper(&keeper, revision.number());
             let response = self.node.call_store(&mut self.client, &call, STORE_TIMEOUT).await;
             let status = response.map(|response| response.status);
             let (keeper, revision) = (keeper.to_string(), revision.to_string());
-            log::info!(target: "quota", keeper, revision, status:?; "keeper given up");
+            log::info!(target: "quota", keeper, revision, status:?; "quota keeper released");
         }
         self.holders_read_under = None;
         self.node.quotas.keepers_changed.notify_one();
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -1,7 +1,8 @@
-//! Which node holds which keeper, as far as this one has heard, and whether it answers.
+//! Tracks which node holds which keeper, as far as this node knows, and whether it replies.
 //!
-//! Holders tell of themselves in their digests, and a key in the store that is in the way of this node's
-//! own names its holder. A keeper that was taken at a later revision of the store counts.
+//! Nodes list the keepers that they hold in their digests. If a key in the store conflicts with
+//! this node's own attempt, its value names the holder. Of two holders, the one with the higher
+//! store revision counts.
 
 use super::LastReceivedUs;
 use pitchstall_serving::digest::{silence_timeout_us, HeldKeeper};
@@ -12,41 +13,47 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Answers missed one after the other after which a keeper is passed over, and for how long, as with
-/// schedulers of shards.
+/// Consecutive timeouts after which a keeper is not queried for [`BACKOFF_US`]; the same values as
+/// for schedulers of shards.
 const TIMEOUTS_UNTIL_BACKOFF: u32 = 2;
 const BACKOFF_US: u64 = 2_000_000;
-/// Each further one doubles that, so many times: a machine that is gone for good is asked seldom.
+/// Each further timeout doubles the backoff, at most this many times, so that a machine that is
+/// gone for good is queried rarely.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
-/// Time for which one that says that it is no keeper is passed over.
+/// Time for which a node is not queried after it replied that it does not hold the keeper,
+/// microseconds.
 const NOT_KEEPER_BACKOFF_US: u64 = 500_000;
-/// Time without a word after which a keeper gets no question handed on by another one, which would not
-/// notice that it is lost: keepers send each other a digest a second.
+/// Time without a message from a keeper after which no query is forwarded to it, microseconds. The
+/// forwarding keeper would not notice that the query is lost. Keepers send each other a digest
+/// every second.
 const FORWARD_MAX_SILENCE_US: u64 = 2_500_000;
-/// Time within which a keeper says that it has a question that was handed on to it; after that none is
-/// handed on to it until it is heard of. Some ten times what a word takes, and less than askers wait.
+/// Time within which a keeper acknowledges a forwarded query, microseconds. After it, no query is
+/// forwarded to that keeper until a message from it is received. It is about ten times what a
+/// datagram takes, and less than requesters wait for a reply.
 const FORWARD_ACK_TIMEOUT_US: u64 = 20_000;
 
 /// A node that holds a keeper.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    /// The node.
+    /// The node that holds the keeper.
     pub node: NodeId,
-    /// Where it is reached.
+    /// Address at which the node receives messages.
     pub address: SocketAddr,
-    /// The store's revision at which it took the keeper.
+    /// Revision of the store at which the node acquired the keeper.
     pub revision: StoreRevision,
-    /// When it was heard from last, or first told of by the store, microseconds.
+    /// When the last message from the node was received, or the store first named it as holder,
+    /// microseconds.
     pub last_received_us: u64,
-    /// When it was last told by anybody that it holds the keeper, microseconds.
+    /// When the node or the store last confirmed that it holds the keeper, microseconds.
     last_confirmed_us: u64,
     consecutive_timeouts: u32,
     backoff_until_us: u64,
-    /// Since when a question was handed on to it without a word from it, microseconds.
+    /// When the oldest unacknowledged query was forwarded to the node, microseconds; `None` if a
+    /// message was received from it since.
     unacked_forward_since_us: Option<u64>,
 }
 
-/// The holders that are known.
+/// The known holders of keepers.
 #[derive(Debug, Default)]
 pub struct Holders {
     by_keeper: BTreeMap<KeeperId, Holder>,
@@ -55,7 +62,7 @@
 }
 
 impl Holders {
-    /// A node holds a keeper, by its own word.
+    /// Records that a node holds a keeper, as reported by that node.
     pub fn on_holder_report(
         &mut self,
         keeper: &KeeperId,
@@ -70,12 +77,14 @@
             known.address = address;
             known.last_received_us = now_us;
             known.unacked_forward_since_us = None;
-            // It may have been frozen or cut off; one more miss passes it over again.
+            // The node may have been frozen or partitioned. One more timeout starts the backoff
+            // again.
             known.backoff_until_us = 0;
         }
     }
 
-    /// A node holds a keeper, by word of the store: whether it can be reached is not said.
+    /// Records that a node holds a keeper, as read from the store. This does not show that the node
+    /// is reachable.
     pub fn learn(
         &mut self,
         keeper: &KeeperId,
@@ -106,7 +115,7 @@
         }
     }
 
-    /// A node tells which keepers it holds: all others it holds no longer.
+    /// Records the keepers that a node lists in its digest, and removes it as holder of all others.
     pub fn on_digest(
         &mut self,
         node: &NodeId,
@@ -119,7 +128,7 @@
         self.last_digest_us.insert(node.clone(), now_us);
         let is_held = |keeper: &KeeperId| held.iter().any(|slot| slot.keeper == *keeper);
         self.by_keeper.retain(|keeper, holder| holder.node != *node || is_held(keeper));
-        // A keeper of an era that is over may have lost its key to another one.
+        // The key of a keeper from an earlier era may now belong to another holder.
         let of_this_era = held.iter().map(|slot| (slot, slot.revision(eras)));
         for (slot, revision) in of_this_era.filter(|(_, revision)| revision.era() >= eras.current())
         {
@@ -127,28 +136,31 @@
         }
     }
 
-    /// The store has come back from an older copy: whoever held a keeper may have lost its key.
+    /// Removes all holders: the store was restored from an older copy, and any holder may have lost
+    /// its key.
     pub fn on_later_era(&mut self) {
         self.by_keeper.clear();
     }
 
-    /// Nobody holds the keeper any more.
+    /// Removes the holder of a keeper, as nobody holds it any more.
     pub fn remove(&mut self, keeper: &KeeperId) {
         self.by_keeper.remove(keeper);
     }
 
-    /// Where a keeper is asked; `None`: nobody is known to hold it, or its holder does not answer.
+    /// Address to send queries for a keeper to; `None` if no holder is known or if the holder is in
+    /// backoff.
     pub fn query_address(&self, keeper: &KeeperId, now_us: u64) -> Option<SocketAddr> {
         let holder = self.by_keeper.get(keeper)?;
         (now_us >= holder.backoff_until_us).then_some(holder.address)
     }
 
-    /// Where the holder of a keeper is reached, whether it answers or not.
+    /// Address of the holder of a keeper, whether it replies or not; `None` if no holder is known.
     pub fn address_of(&self, keeper: &KeeperId) -> Option<SocketAddr> {
         self.by_keeper.get(keeper).map(|holder| holder.address)
     }
 
-    /// Whether a keeper may hand a question on to this one.
+    /// Whether a query may be forwarded to a keeper: it is held by this node, at address `own`, or
+    /// its holder is responsive.
     pub fn accepts_forwards(&self, keeper: &KeeperId, own: SocketAddr, now_us: u64) -> bool {
         let is_ack_pending = |since_us: u64| now_us < since_us + FORWARD_ACK_TIMEOUT_US;
         let is_responsive = |holder: &Holder| {
@@ -160,7 +172,8 @@
             && self.by_keeper.get(keeper).is_some_and(is_responsive)
     }
 
-    /// The key of a keeper, as far as is known among so many nodes; `None`: it may be absent.
+    /// The key of a keeper as far as this node knows, in a fleet of `nodes`; `None` if the key may
+    /// be absent from the store.
     pub fn key(&self, keeper: &KeeperId, nodes: usize, now_us: u64) -> Option<KeeperKey> {
         let holder = self.by_keeper.get(keeper)?;
         let last_known_us = holder.last_received_us.max(holder.last_confirmed_us);
@@ -169,21 +182,21 @@
         is_current.then_some(key)
     }
 
-    /// Whether a node counts as there among so many.
+    /// Whether a node counts as alive in a fleet of `nodes`.
     pub fn is_up(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
         let last_received_us = self.last_digest_us.get(node).copied().or(self.observing_since_us);
         last_received_us
             .is_none_or(|last_received_us| now_us < last_received_us + silence_timeout_us(nodes))
     }
 
-    /// A question is handed on to a keeper.
+    /// Records that a query is forwarded to a keeper.
     pub fn on_forwarded(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
             holder.unacked_forward_since_us.get_or_insert(now_us);
         }
     }
 
-    /// A keeper has a question that was handed on to it.
+    /// Records that a keeper has acknowledged a forwarded query.
     pub fn on_forward_ack(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
             holder.last_received_us = now_us;
@@ -191,7 +204,7 @@
         }
     }
 
-    /// A keeper has answered.
+    /// Records a reply of a keeper, which ends its backoff.
     pub fn on_reply(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
             holder.last_received_us = now_us;
@@ -200,14 +213,15 @@
         }
     }
 
-    /// The node that was asked says that it is no keeper, or does not know whether it still is.
+    /// Starts a short backoff: the queried node replied that it does not hold the keeper, or that
+    /// it does not know whether it still does.
     pub fn on_not_keeper(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
             holder.backoff_until_us = now_us + NOT_KEEPER_BACKOFF_US;
         }
     }
 
-    /// A keeper has not answered soon; returns whether it is passed over from now on.
+    /// Records that a keeper did not reply in time. Returns whether it is in backoff from now on.
     pub fn on_reply_timeout(&mut self, keeper: &KeeperId, now_us: u64) -> bool {
         let Some(holder) = self.by_keeper.get_mut(keeper) else { return false };
         holder.consecutive_timeouts += 1;
@@ -220,7 +234,7 @@
         is_backing_off
     }
 
-    /// Where the holders are reached, each once.
+    /// Addresses of all holders, without duplicates.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> =
             self.by_keeper.values().map(|holder| holder.address).collect();
@@ -229,7 +243,7 @@
         addresses
     }
 
-    /// All that are known.
+    /// All known keepers with their holders.
     pub fn all(&self) -> impl Iterator<Item = (&KeeperId, &Holder)> {
         self.by_keeper.iter()
     }
--- a/crates/gateway/src/quota/keeper.rs
+++ b/crates/gateway/src/quota/keeper.rs
@@ -1,4 +1,4 @@
-//! Answers questions as a keeper, and takes back what was not used.
+//! Handles queries and refunds for the keepers that this node holds.
 
 use super::own_address;
 use super::requester::{deliver_query, on_reply};
@@ -9,8 +9,8 @@
 use pitchstall_serving::quota_slots::KeeperId;
 use std::net::SocketAddr;
 
-/// Takes in a question from another node, which hears at once that it has come if it handed it on:
-/// one that is lost on its way is noticed by nobody else.
+/// Handles a query from another node. If a keeper forwarded it, the receipt is acknowledged to that
+/// keeper at once: no other node would notice that a forwarded query was lost.
 pub fn on_query(node: &Node, query: &QuotaQuery, from: SocketAddr) {
     if from != query.reply_to {
         let ack = PeerMessage::QuotaForwardAck(query.keeper.clone());
@@ -19,12 +19,12 @@
     handle_query(node, query);
 }
 
-/// A keeper has a question that this one handed on to it.
+/// Handles the acknowledgement of a query that this node forwarded to a keeper.
 pub fn on_forward_ack(node: &Node, keeper: &KeeperId) {
     node.quotas.holders.borrow_mut().on_forward_ack(keeper, node.now_us());
 }
 
-/// Answers a question, or hands it on to another keeper of the tenant.
+/// Replies to a query, or forwards it to another keeper of the tenant.
 pub fn handle_query(node: &Node, query: &QuotaQuery) {
     let now_us = node.now_us();
     let action = {
@@ -64,12 +64,12 @@
     }
 }
 
-/// Takes back what a run costs that has provably not begun.
+/// Returns the units charged for a run that has certainly not started.
 pub fn on_refund(node: &Node, refund: &QuotaRefund) {
     let now_us = node.now_us();
     if let Some(keeper) = node.quotas.keepers.borrow_mut().get_mut(&refund.keeper) {
         let units = keeper.on_refund(refund, now_us);
         let (keeper, tenant) = (refund.keeper.to_string(), refund.tenant.as_str());
-        log::debug!(target: "quota", keeper, tenant, units; "taken back");
+        log::debug!(target: "quota", keeper, tenant, units; "quota charge refunded");
     }
 }
--- a/crates/gateway/src/quota/metrics.rs
+++ b/crates/gateway/src/quota/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by tenant. So many tenants have their own name there; the others are counted together.
+//! Metrics by tenant. A limited number of tenants have their own label; the others share one.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -8,18 +8,17 @@
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// Tenants with their own name in the metrics: what is scraped from each node stays small.
+/// Maximum number of tenants with their own label, which bounds the size of a scrape of each node.
 const MAX_NAMED_TENANTS: usize = 64;
-/// What the others are called together.
+/// Label shared by all other tenants.
 const OTHER_TENANTS: &str = "other";
 
-/// Labels of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TenantLabels {
     tenant: String,
 }
 
-/// What was asked for, granted and refused, by tenant.
+/// Counters of quota requests, grants, refusals and refunds, by tenant.
 #[derive(Debug, Default)]
 pub struct QuotaMetrics {
     named: RefCell<HashSet<String>>,
@@ -31,14 +30,14 @@
     units_refunded: Family<TenantLabels, Counter>,
     unreachable: Family<TenantLabels, Counter>,
     level: Family<TenantLabels, Gauge>,
-    /// Questions that a keeper did not answer soon.
+    /// Queries that a keeper did not reply to in time.
     pub reply_timeouts: Counter,
-    /// Questions that this node handed on as a keeper that was short.
+    /// Queries that this node forwarded as a keeper that had too few units.
     pub forwarded: Counter,
 }
 
 impl QuotaMetrics {
-    /// Registers all of them.
+    /// Registers all metrics of this struct.
     pub fn register(&self, registry: &mut Registry) {
         let families = [
             ("quota_asked", "Runs that were to be paid for", &self.requested),
@@ -61,34 +60,34 @@
         registry.register("quota_handed_on", help, self.forwarded.clone());
     }
 
-    /// A run is to be paid for.
+    /// Counts a run that is to be charged.
     pub fn on_requested(&self, tenant: &str) {
         self.requested.get_or_create(&self.labels(tenant)).inc();
     }
 
-    /// A run was paid for.
+    /// Counts a charged run and its units.
     pub fn on_granted(&self, tenant: &str, units: u64) {
         self.granted.get_or_create(&self.labels(tenant)).inc();
         self.units.get_or_create(&self.labels(tenant)).inc_by(units);
     }
 
-    /// A run was refused.
+    /// Counts a run that was refused at its tenant's limit.
     pub fn on_refused(&self, tenant: &str) {
         self.refused.get_or_create(&self.labels(tenant)).inc();
     }
 
-    /// A run that was paid for did not begin.
+    /// Counts a charged run that was refunded, and its units.
     pub fn on_refunded(&self, tenant: &str, units: u64) {
         self.refunded.get_or_create(&self.labels(tenant)).inc();
         self.units_refunded.get_or_create(&self.labels(tenant)).inc_by(units);
     }
 
-    /// No keeper could be asked.
+    /// Counts a run for which no keeper could be reached.
     pub fn on_unreachable(&self, tenant: &str) {
         self.unreachable.get_or_create(&self.labels(tenant)).inc();
     }
 
-    /// What a keeper that this node holds has left.
+    /// Sets the units that a tenant has left at the keeper held by this node.
     pub fn on_level(&self, tenant: &str, level: i64) {
         self.level.get_or_create(&self.labels(tenant)).set(level);
     }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -1,16 +1,18 @@
-//! Tenants' limits at this node: has runs paid for, and keeps a part of the limits for all nodes.
+//! Tenants' limits at this node: charges runs against the quota of their tenant, and manages the
+//! part of the quotas that is held here for all nodes.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | [`requester`] | asks keepers, and gives back what was not used |
-//! | [`keeper`] | answers questions as a keeper |
-//! | [`candidate`] | takes keepers' keys in the store, and gives them up |
-//! | [`holders`] | which node holds which keeper, and whether it answers |
+//! | [`requester`] | queries keepers before a run and refunds charges that were not used |
+//! | [`keeper`] | handles the queries and refunds that other nodes send to the keepers held here |
+//! | [`candidate`] | acquires keepers' keys in the store and releases them |
+//! | [`holders`] | tracks which node holds which keeper and whether it replies |
 //! | [`metrics`] | metrics by tenant |
-//! | [`report`] | what operators are shown |
+//! | [`report`] | the report for operators |
 //!
-//! Who pays what is decided in [`pitchstall_serving::quota_keeper`], whom to ask in
-//! [`pitchstall_serving::quota_requester`]. Nothing is said, asked or kept while no tenant has a limit.
+//! [`pitchstall_serving::quota_keeper`] decides what is charged, and
+//! [`pitchstall_serving::quota_requester`] which keeper is queried. While no tenant has a limit, no
+//! keeper is queried or held.
 
 pub mod candidate;
 pub mod holders;
@@ -38,15 +40,16 @@
 /// The lease under which this node is registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegistrationLease {
-    /// The lease.
+    /// The lease in the store.
     pub id: StoreLease,
-    /// When the last call that granted or renewed it was sent, microseconds.
+    /// When the last successful call that granted or renewed the lease was sent, microseconds.
     pub renewed_us: u64,
-    /// Its time to live, microseconds.
+    /// Time to live of the lease, microseconds.
     pub ttl_us: u64,
 }
 
-/// What the node knows and keeps of tenants' limits.
+/// The quota state of this node: its pending queries, the known holders of keepers, and the keepers
+/// that it holds itself.
 #[derive(Default)]
 pub struct Quotas {
     requester: RefCell<Option<QuotaRequester>>,
@@ -55,17 +58,18 @@
     keepers: RefCell<BTreeMap<KeeperId, Keeper>>,
     lease: Cell<Option<RegistrationLease>>,
     last_alarm_us: Cell<Option<u64>>,
-    /// Told when this node has become a keeper or is one no longer.
+    /// Notified when this node has acquired, lost or released a keeper.
     pub keepers_changed: Notify,
 }
 
 impl Quotas {
-    /// This node has been registered under a lease.
+    /// Records the lease under which this node has been registered.
     pub fn on_registered(&self, lease: RegistrationLease) {
         self.lease.set(Some(lease));
     }
 
-    /// The lease was renewed by a call that was sent at this time, microseconds.
+    /// Extends the terms of the held keepers after the lease was renewed. `sent_at_us` is when the
+    /// renewal was sent, microseconds.
     pub fn on_renewed(&self, sent_at_us: u64) {
         let Some(lease) = self.lease.get() else { return };
         self.lease.set(Some(RegistrationLease { renewed_us: sent_at_us, ..lease }));
@@ -74,25 +78,27 @@
         }
     }
 
-    /// The store says that the lease is over: the keys under it are gone.
+    /// Drops all held keepers: the store has reported that the lease has expired, and the keys
+    /// under it are deleted with it.
     pub fn on_lease_expired(&self) {
         self.lease.set(None);
         let lost = std::mem::take(&mut *self.keepers.borrow_mut());
         for keeper in lost.keys() {
-            log::warn!(target: "quota", keeper = keeper.to_string(); "keeper lost with the lease");
+            log::warn!(target: "quota", keeper = keeper.to_string(); "quota keeper lost: the registration lease has expired");
         }
         if !lost.is_empty() {
             self.keepers_changed.notify_one();
         }
     }
 
-    /// The store has come back from an older copy: the lease and the keys under it may be gone, or another holder's.
+    /// Drops all held keepers and known holders: the store was restored from an older copy, so the
+    /// lease and the keys under it may be missing or belong to another holder.
     pub fn on_later_era(&self) {
         self.on_lease_expired();
         self.holders.borrow_mut().on_later_era();
     }
 
-    /// The keepers that this node holds, as other nodes are told of them.
+    /// The keepers that this node holds, as announced in its digests.
     pub fn held_keepers(&self) -> Vec<HeldKeeper> {
         let to_held = |(keeper, held): (&KeeperId, &Keeper)| {
             HeldKeeper::new(keeper.clone(), held.term().revision)
@@ -105,7 +111,8 @@
         !self.keepers.borrow().is_empty()
     }
 
-    /// Where the other nodes that hold keepers are reached: keepers hear from each other often.
+    /// Addresses of the other nodes that hold keepers; empty if this node holds none. Keepers
+    /// exchange digests more often than other nodes.
     pub fn other_keeper_addresses(&self, own: SocketAddr) -> Vec<SocketAddr> {
         if !self.is_keeper() {
             return Vec::new();
@@ -116,12 +123,12 @@
     }
 }
 
-/// Whether any tenant has a limit.
+/// Whether any tenant in the current configuration has a limit.
 pub fn has_limits(node: &Node) -> bool {
     node.configuration().is_some_and(|configuration| configuration.tenants.has_limits())
 }
 
-/// Takes in what another node's digest says of the keepers that it holds.
+/// Updates the known holders with the keepers listed in another node's digest.
 pub fn on_digest(node: &Node, from: &NodeId, address: SocketAddr, held_keepers: &[HeldKeeper]) {
     if !has_limits(node) {
         return;
@@ -137,10 +144,9 @@
     QuotaBounds { window_us, overage: section.overage, slack: section.slack }
 }
 
-/// Where other nodes reach this one.
 fn own_address(node: &Node) -> SocketAddr {
     node.settings().listen.peers
 }
 
-/// The nodes that were heard of last when, microseconds.
+/// For each node, when its last digest was received, microseconds.
 type LastReceivedUs = HashMap<NodeId, u64>;
--- a/crates/gateway/src/quota/report.rs
+++ b/crates/gateway/src/quota/report.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of tenants' limits at this node.
+//! The report on tenants' limits at this node, for operators.
 
 use super::has_limits;
 use crate::node::Node;
@@ -7,7 +7,8 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// The keepers that this node holds with what is left for each tenant, and who holds all others.
+/// Lists the keepers that this node holds, with the units left for each tenant, and the known
+/// holders of all keepers.
 pub fn report(node: &Node) -> Value {
     let now_us = node.now_us();
     let held: Vec<Value> = {
--- a/crates/gateway/src/quota/requester.rs
+++ b/crates/gateway/src/quota/requester.rs
@@ -1,4 +1,4 @@
-//! Has runs paid for by the tenant's keepers before they are sent.
+//! Charges the cost of runs against their tenant's quota before they are sent.
 
 use super::keeper;
 use super::{bounds, own_address};
@@ -18,16 +18,16 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Runs that wait for an answer, with what the desk does next about them.
+/// Runs that wait for a reply. The sender passes on the next action of the requester.
 pub type PendingQueries = HashMap<Ticket, oneshot::Sender<RequesterAction>>;
 
-/// Share by which a told wait is lengthened at random, so that callers that were refused together do
-/// not come back together.
+/// Maximum share by which the wait returned to a client is extended at random, so that clients that
+/// were refused together do not retry together.
 const RETRY_JITTER: f64 = 0.1;
-/// Shortest time between two alarms that no keeper can be reached, microseconds.
+/// Minimum time between two alarms that no keeper can be reached, microseconds.
 const ALARM_INTERVAL_US: u64 = 1_000_000;
 
-/// What one run of a request costs its tenant.
+/// The cost of one run of a request, with the limit that it is charged against.
 #[derive(Clone, Debug)]
 pub struct RunCost {
     tenant: Rc<Tenant>,
@@ -38,7 +38,8 @@
 }
 
 impl RunCost {
-    /// What a run costs under a version of the configuration; `None`: nothing.
+    /// The cost of a run of `tenant` under a version of the configuration; `None` if the run costs
+    /// nothing, because there is no tenant or no limit or the cost is 0.
     pub fn of(
         tenant: Option<&Rc<Tenant>>,
         metadata: &RequestMetadata,
@@ -51,25 +52,27 @@
         (cost > 0).then(|| Self { tenant: tenant.clone(), limit, version, cost, priority })
     }
 
-    /// The same for a request that a run was granted before: it goes before those that wait.
+    /// The same cost for a run that was granted before: its query takes precedence over those of
+    /// waiting requests.
     pub fn with_top_priority(&self) -> Self {
         Self { priority: 0, ..self.clone() }
     }
 }
 
-/// Why a run is not paid for.
+/// Why a run could not be charged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaRejection {
     /// The tenant has reached its limit.
     OverQuota {
-        /// Milliseconds until there is room.
+        /// Time until there is room for the run, with jitter, milliseconds.
         wait_ms: u64,
     },
-    /// No keeper of the tenant can be asked.
+    /// No keeper of the tenant could be reached.
     Unreachable,
 }
 
-/// A run that is paid for. It is given back when dropped, unless it is [spent](Payment::spend).
+/// A charged run that has not been sent. Dropping it refunds the charge, unless it is [marked as
+/// sent](QuotaReservation::mark_sent).
 pub struct QuotaReservation {
     node: Rc<Node>,
     tenant: Rc<Tenant>,
@@ -77,29 +80,30 @@
     grant: Option<QuotaGrant>,
 }
 
-/// A run that was paid for and is sent.
+/// A charged run that has been sent. Dropping it refunds the charge, unless the run may have
+/// [started](SentReservation::on_started).
 pub struct SentReservation(QuotaReservation);
 
 impl QuotaReservation {
-    /// Whether the run may still be sent.
+    /// Whether the run may still be sent: the grant has not expired.
     pub fn is_usable(&self) -> bool {
         let now_us = self.node.now_us();
         self.grant.as_ref().is_some_and(|grant| grant.is_usable(now_us))
     }
 
-    /// The run is sent now.
+    /// Call this when the run is sent.
     pub fn mark_sent(self) -> SentReservation {
         SentReservation(self)
     }
 }
 
 impl SentReservation {
-    /// The run has provably not begun: it is still paid for.
+    /// Returns the reservation for another attempt: the run has certainly not started.
     pub fn on_not_run(self) -> QuotaReservation {
         self.0
     }
 
-    /// The run may have begun.
+    /// Keeps the charge: the run may have started.
     pub fn on_started(mut self) {
         self.0.grant = None;
     }
@@ -114,7 +118,7 @@
     }
 }
 
-/// A question that is under way; a grant that comes after it is dropped is given back.
+/// Cancels a query when dropped. A grant that arrives later is refunded.
 struct QueryGuard<'a> {
     node: &'a Rc<Node>,
     ticket: Ticket,
@@ -131,7 +135,8 @@
     }
 }
 
-/// Has a run of a request paid for.
+/// Charges a run of a request against its tenant's quota. Fails if the tenant has reached its limit
+/// or if no keeper can be reached.
 pub async fn reserve(
     node: &Rc<Node>,
     request: &str,
@@ -157,14 +162,15 @@
         }
         QuotaOutcome::Unreachable => {
             node.metrics.quota.on_unreachable(tenant);
-            log::info!(target: "quota", request, tenant, cost = run.cost; "no keeper answered");
+            log::info!(target: "quota", request, tenant, cost = run.cost; "no quota keeper replied");
             alarm_unreachable(node, tenant);
             Err(QuotaRejection::Unreachable)
         }
     }
 }
 
-/// Tells operators, now and then, that requests of a tenant are refused for want of a keeper.
+/// Logs an alarm that requests of a tenant are refused because no keeper can be reached, at most
+/// once per [`ALARM_INTERVAL_US`] for all tenants.
 fn alarm_unreachable(node: &Node, tenant: &str) {
     let now_us = node.now_us();
     let last_us = node.quotas.last_alarm_us.get();
@@ -173,7 +179,7 @@
     }
     node.quotas.last_alarm_us.set(Some(now_us));
     let known = node.quotas.holders.borrow().all().count();
-    log::error!(target: "quota", tenant, known; "no keeper of a tenant can be reached");
+    log::error!(target: "quota", tenant, known; "no quota keeper of the tenant can be reached");
 }
 
 async fn request_grant(node: &Rc<Node>, run: &RunCost) -> QuotaOutcome {
@@ -203,7 +209,7 @@
     }
 }
 
-/// Asks a keeper, and waits for what follows.
+/// Sends a query to a keeper and returns the next action, after its reply or the timeout.
 async fn send_query(node: &Rc<Node>, query: QuotaQuery, timeout_us: u64) -> RequesterAction {
     let (ticket, keeper) = (query.ticket, query.keeper.clone());
     let (sender, receiver) = oneshot::channel();
@@ -221,7 +227,7 @@
 fn on_reply_timeout(node: &Node, keeper: &KeeperId) {
     node.metrics.quota.reply_timeouts.inc();
     if node.quotas.holders.borrow_mut().on_reply_timeout(keeper, node.now_us()) {
-        log::info!(target: "quota", keeper = keeper.to_string(); "passed over");
+        log::info!(target: "quota", keeper = keeper.to_string(); "quota keeper skipped after missed replies");
     }
 }
 
@@ -239,7 +245,8 @@
     move |keeper| node.quotas.holders.borrow().query_address(keeper, now_us).is_some()
 }
 
-/// Brings a question to the holder of the keeper that it names; without one it is lost.
+/// Delivers a query to the holder of the keeper that it names. If no holder is known, the query is
+/// dropped.
 pub(super) fn deliver_query(node: &Node, query: QuotaQuery) {
     let address = node.quotas.holders.borrow().query_address(&query.keeper, node.now_us());
     match address {
@@ -251,7 +258,7 @@
     }
 }
 
-/// Takes in a keeper's answer.
+/// Handles a keeper's reply to a query.
 pub fn on_reply(node: &Node, reply: &QuotaReply) {
     let now_us = node.now_us();
     {
@@ -271,8 +278,8 @@
     }
 }
 
-/// Hands what follows to the request that waits for it; if that has ended just now, a grant is
-/// given back.
+/// Passes the next action to the request that waits for it. If that request has just ended, its
+/// grant is refunded.
 fn resume(node: &Node, ticket: Ticket, action: RequesterAction) {
     let pending = node.quotas.pending.borrow_mut().remove(&ticket);
     let undelivered = match pending {
@@ -287,7 +294,7 @@
     }
 }
 
-/// Tells keepers that what they have paid for has not begun.
+/// Sends refunds to the holders of the keepers that made the charges.
 fn send_refunds(node: &Node, refunds: Vec<QuotaRefund>) {
     for refund in refunds {
         let address = node.quotas.holders.borrow().address_of(&refund.keeper);
@@ -296,10 +303,11 @@
             Some(address) => {
                 node.scheduling.socket.send(&PeerMessage::QuotaRefund(refund), &[address]);
             }
-            // What is not given back is lost to the tenant and opens nothing.
+            // The charge stays: the tenant loses these units, and nothing above its limit is
+            // granted.
             None => {
                 let (keeper, tenant) = (refund.keeper.to_string(), refund.tenant.as_str());
-                log::info!(target: "quota", keeper, tenant; "not given back");
+                log::info!(target: "quota", keeper, tenant; "quota charge not refunded: holder of the keeper is unknown");
             }
         }
     }
--- a/crates/gateway/src/unknown_headers.rs
+++ b/crates/gateway/src/unknown_headers.rs
@@ -1,18 +1,18 @@
-//! Names of headers in which runners say something that this program does not know.
+//! Names of response headers from runners that this version does not know.
 
 use std::collections::BTreeSet;
 
-/// Names that are remembered: each is logged once, and later ones beyond that not at all.
+/// Maximum number of names to remember. Each of them is logged once; further names are not logged.
 const MAX_NAMES: usize = 16;
 
-/// The names that have been met.
+/// The unknown header names received so far.
 #[derive(Debug, Default)]
 pub struct UnknownHeaders {
     names: BTreeSet<String>,
 }
 
 impl UnknownHeaders {
-    /// A name was met; returns whether operators are to hear of it.
+    /// Records a name. Returns whether it is to be logged.
     pub fn record(&mut self, name: &str) -> bool {
         self.names.len() < MAX_NAMES && self.names.insert(name.to_owned())
     }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -1,9 +1,11 @@
-//! Counts requests by tenant, and reports them while this node has the authority.
+//! Counts the requests that started to run, by tenant, and reports them to the platform while this
+//! node has the authority.
 //!
-//! The holder asks all nodes for their counts, fixes the report of a window in the store under the
-//! condition that nobody has fixed it yet, and only then sends it: whoever takes over finds it
-//! there and sends the same bytes again. What is counted where and when a window is complete is
-//! decided in [`pitchstall_serving::usage`].
+//! The holder of the authority queries all nodes for their counts. It finalizes the report of a
+//! window by writing it to the store, on the condition that no other node has done so, and only
+//! then sends it. A later holder finds the finalized report in the store and sends the same bytes
+//! again. [`pitchstall_serving::usage`] decides what is counted where and when a window is
+//! complete.
 
 use crate::clock::Instant;
 use crate::node::Node;
@@ -25,18 +27,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two looks at what is due.
+/// Time between two checks for reports that are due.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
-/// Between two questions to all nodes: what a node that dies has counted since the last one is
-/// lost, and a second of a window of some seconds is within what the users let pass.
+/// Time between two queries to all nodes. The counts of a node that fails are lost since the last
+/// query that it replied to; one second out of a window of several seconds is within the accepted
+/// loss.
 const QUERY_INTERVAL: Duration = Duration::from_millis(800);
-/// Limit of a call.
+/// Timeout of a call to the store or the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// First and longest pause after a call that the platform did not take.
+/// Minimum and maximum pause after a call that the platform did not accept.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(300);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(2_000);
-/// Time after a report is due for which it is still sent, in the time until it is due: it is late
-/// then, and what the tenants owe is known all the same.
+/// A report is dropped at this multiple of `due_ms` after the end of its window. Until then a late
+/// report is still sent, since it records what the tenants owe.
 const GIVE_UP_FACTOR: u64 = 3;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
@@ -46,17 +49,18 @@
     ReportSchedule { windows, due_ms: millis(section.due_s) }
 }
 
-/// When usage is reported; `None`: it is not.
+/// The schedule of usage reports; `None` if the settings do not configure usage reporting.
 fn usage_schedule(node: &Node) -> Option<ReportSchedule> {
     let settings = node.settings();
     let cloud = settings.cloud.as_ref().filter(|cloud| cloud.has(Duty::Usage))?;
     cloud.usage.map(report_schedule)
 }
 
-/// Counts a request that was sent to a runner as begun, once it is known that it has.
+/// Counts a request that was sent to a runner, once it is known to have started.
 ///
-/// A language model begins with its first token, which the head of its answer comes with. Other
-/// runners begin when the request comes, so one whose answer nobody waits for any more has begun.
+/// A language model starts a request with its first token, which arrives with the head of the
+/// response. Other runners start a request on arrival, so it also counts if the response is no
+/// longer awaited when this is dropped.
 pub struct StartRecorder {
     node: Rc<Node>,
     tenant: Option<TenantName>,
@@ -65,7 +69,8 @@
 }
 
 impl StartRecorder {
-    /// A request that is sent now. `tenant`: for whom it is to be counted.
+    /// A recorder for a request that is sent now. `tenant` is the tenant to count it for; `None` if
+    /// it is not to be counted.
     pub fn new(
         node: &Rc<Node>,
         tenant: Option<TenantName>,
@@ -75,17 +80,18 @@
         Self { node: node.clone(), tenant, sent_at, starts_on_arrival }
     }
 
-    /// The runner answers.
+    /// Counts the request: its response has started.
     pub fn on_response(&mut self) {
         self.count();
     }
 
-    /// The runner said that it does not run it.
+    /// Counts nothing: the runner replied that it does not run the request.
     pub fn on_declined(&mut self) {
         self.tenant = None;
     }
 
-    /// There is no answer; most likely the runner ran the request and the answer was lost.
+    /// Counts the request: there is no response, but the runner most likely ran the request and the
+    /// response was lost.
     pub fn on_no_response(&mut self) {
         self.count();
     }
@@ -105,7 +111,7 @@
     }
 }
 
-/// A request of a tenant began to run, so long ago.
+/// Counts a request of a tenant that started to run the given time ago.
 fn record_start(node: &Node, tenant: &TenantName, elapsed: Duration) {
     let Some(schedule) = usage_schedule(node) else { return };
     let elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or_default();
@@ -113,7 +119,7 @@
     node.usage.borrow_mut().on_request_started(window, tenant);
 }
 
-/// Answers the collector.
+/// Replies to a query of the collector.
 pub fn on_query(node: &Node, query: &UsageQuery) {
     let origin = own_origin(node);
     let ledger = node.usage.borrow();
@@ -132,9 +138,9 @@
     }
 }
 
-/// Takes in a node's counts, as the collector or its deputy.
+/// Merges a node's counts, as the collector or its deputy.
 pub fn on_message(node: &Node, message: &UsageMessage) {
-    // Words may come back to the node whose counts they hold, by way of another collector.
+    // A message relayed by another collector may return to the node whose counts it holds.
     if message.origin != own_origin(node) {
         node.usage.borrow_mut().merge(message);
     }
@@ -151,7 +157,7 @@
     NodeId::new(&node.settings().node.name)
 }
 
-/// A report that is fixed and not yet handed in.
+/// A report that is finalized and not yet accepted by the platform.
 struct PendingReport {
     body: Vec<u8>,
     next_try: Instant,
@@ -168,17 +174,17 @@
     node: Rc<Node>,
     store: PlatformClient,
     cloud: PlatformClient,
-    /// The term for which this is the reporter's work.
+    /// The fencing token of the term that the fields below belong to.
     fence: Option<FencingToken>,
     queried_at: Option<Instant>,
     queries_sent: u64,
-    /// Whether the reports that earlier holders have fixed are known.
+    /// Whether the reports that earlier holders finalized have been read from the store.
     has_read_finalized: bool,
-    /// Reports to hand in, by window.
+    /// Reports to send to the platform, by window.
     pending: BTreeMap<u64, PendingReport>,
-    /// Windows whose fixed reports are in the store.
+    /// Windows whose finalized reports are in the store.
     finalized_windows: Vec<u64>,
-    /// The time of day at which the node started.
+    /// When the node started, in milliseconds since 1970.
     started_ms: u64,
 }
 
@@ -234,13 +240,13 @@
         self.fence_for_orders().is_some()
     }
 
-    /// The fencing token of the term that this knows of, while it may act in it.
+    /// The fencing token of the reporter's term, while orders may be given in it.
     fn fence_for_orders(&self) -> Option<FencingToken> {
         let fence = self.node.authority.fence_for_orders(self.node.now_us());
         fence.filter(|fence| self.fence == Some(*fence))
     }
 
-    /// Asks all nodes for their counts, now and then.
+    /// Queries all nodes for their counts, if [`QUERY_INTERVAL`] has passed.
     fn query_nodes(&mut self, schedule: ReportSchedule) {
         if self.queried_at.is_some_and(|at| at.elapsed() < QUERY_INTERVAL) {
             return;
@@ -270,7 +276,7 @@
             .send(&PeerMessage::UsageQuery(query), &members.other_addresses());
     }
 
-    /// Learns what earlier holders have fixed.
+    /// Reads the reports that earlier holders finalized from the store.
     async fn read_finalized(&mut self, schedule: ReportSchedule) {
         let read = store::read_usage_reports();
         let response = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
@@ -282,13 +288,13 @@
         for item in page.items {
             let (key, revision) = (item.key.clone(), item.revision);
             let Some((window, body)) = store::usage_report_of(item) else {
-                let fault = EntryFault::Document("it tells of no window".to_owned());
+                let fault = EntryFault::Document("the entry names no usage window".to_owned());
                 self.node.on_refused_entry("usage", &key, revision, &fault);
                 continue;
             };
             self.finalized_windows.push(window);
             self.on_finalized(window, &body);
-            // An earlier holder may have died before it sent it.
+            // An earlier holder may have failed before it sent the report.
             if now_ms < schedule.windows.end_ms(window) + schedule.due_ms {
                 self.pending.insert(window, PendingReport::new(body));
             }
@@ -296,7 +302,7 @@
         self.has_read_finalized = true;
     }
 
-    /// Fixes the reports of windows that are complete.
+    /// Finalizes the reports of windows that are complete.
     async fn finalize_due(&mut self, schedule: ReportSchedule) {
         let now_ms = self.node.wall_ms();
         let due = {
@@ -305,7 +311,8 @@
         };
         for window in due {
             let counts = self.node.usage.borrow().to_report(window);
-            // Nobody knows what began before this node did, if nobody has told it anything.
+            // A window before the start of this node is only known from the counts of other nodes.
+            // Without any counts it must not be reported as empty.
             let precedes_start =
                 schedule.windows.end_ms(window) < self.started_ms + schedule.windows.length_ms;
             if counts.is_empty() && precedes_start {
@@ -329,7 +336,7 @@
             Some((StoreStatus::Conflict, body)) => {
                 self.finalized_by_other_node(window, fence, &body)
             }
-            // Done or not, the next try finds out.
+            // It is unknown whether the write succeeded; the next attempt shows it.
             _ => None,
         };
         let Some(body) = finalized else { return };
@@ -341,16 +348,18 @@
         self.pending.insert(window, PendingReport::new(body));
     }
 
-    /// A report lies in the store. Its counts are kept here too, in case the store comes back from a copy without it.
+    /// Records a report that is in the store. Its counts are also kept in memory, since the store
+    /// may be restored from an older copy without it.
     fn on_finalized(&self, window: u64, body: &[u8]) {
         self.node.usage_collector.borrow_mut().on_finalized(window);
         match cloud::parse_usage_report(body) {
             Some(counts) => self.node.usage.borrow_mut().on_finalized(window, counts),
-            None => log::warn!(target: "usage", window; "a fixed report cannot be read"),
+            None => log::warn!(target: "usage", window; "a finalized report cannot be parsed"),
         }
     }
 
-    /// The report that is in the store already; `None`: the authority has gone to another node.
+    /// The report that is already in the store; `None` if there is none because the authority has
+    /// passed to another node.
     fn finalized_by_other_node(
         &self,
         window: u64,
@@ -361,13 +370,13 @@
         let reports = items.into_iter().filter_map(store::usage_report_of);
         let found = reports.into_iter().find(|(of, _)| *of == window);
         if found.is_none() {
-            log::warn!(target: "usage", window, fence = fence.number(); "authority lost");
+            log::warn!(target: "usage", window, fence = fence.number(); "usage report not finalized: another node has the authority");
             self.node.authority.on_refused(fence);
         }
         found.map(|(_, report)| report)
     }
 
-    /// Sends fixed reports until the platform has taken them.
+    /// Sends finalized reports until the platform has accepted them or they are too late.
     async fn submit_pending(&mut self, schedule: ReportSchedule) {
         let now_ms = self.node.wall_ms();
         let is_submittable = |window: u64| {
@@ -376,7 +385,7 @@
         self.pending.retain(|window, _| {
             let is_retained = is_submittable(*window);
             if !is_retained {
-                log::error!(target: "usage", window; "report given up");
+                log::error!(target: "usage", window; "usage report dropped: the platform did not accept it in time");
             }
             is_retained
         });
