--- a/crates/gateway/tests/authority.rs
+++ b/crates/gateway/tests/authority.rs
@@ -1,4 +1,4 @@
-//! Orders to runners, given by the node that holds the authority.
+//! Orders to runners from the node that holds the authority.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -44,11 +44,11 @@
         let calls = node.store.calls();
         calls.iter().filter(|call| call.contains("pitchstall/authority")).count()
     };
-    wait_for("two looks at the authority", || reads() >= 2);
+    wait_for("two reads of the authority key", || reads() >= 2);
     assert!(orders(&one).is_empty());
 }
 
-/// A runner of a zone that is not the node's.
+/// Adds a runner in another zone than that of the node.
 fn add_runner_in(node: &Fixture, runner: &RunnerStandIn, zone: &str) {
     let entry = serde_json::json!({
         "service": "llm", "address": runner.address().to_string(), "zone": zone,
@@ -90,7 +90,8 @@
     assert_eq!(calls_containing(&node, "authority/roles"), 0);
 }
 
-/// Two prefill runners whose entries tell when they began; both have started again since, or say that they leave.
+/// A node with two prefill runners whose entries name an incarnation that started at 1,000 ms, and
+/// which send the given load report.
 fn start_with_load_report(report: &'static str) -> (Fixture, [RunnerStandIn; 2]) {
     let start = |id| {
         let script = move |request: &ReceivedRequest| match request.target.as_str() {
@@ -117,18 +118,19 @@
     runner.requests().iter().filter(|it| it.target == "/v1/report").count()
 }
 
-/// It has started again, and has taken as many orders as its life before: the number alone would hold by chance. A
-/// runner that leaves changes no role any more, though its entry does not say so yet.
-#[test_case(r#"{"stage":"prefill","busy":false,"seq":0,"queued":0,"born":2000}"#; "another life")]
-#[test_case(r#"{"stage":"prefill","busy":false,"seq":0,"queued":0,"born":1000,"state":"draining"}"#; "leaving")]
+/// A restarted runner may have processed as many orders as its previous incarnation, so the order
+/// number alone could match by chance. A draining runner no longer changes its role, even if its
+/// entry does not show the drain yet.
+#[test_case(r#"{"stage":"prefill","busy":false,"seq":0,"queued":0,"born":2000}"#; "another incarnation")]
+#[test_case(r#"{"stage":"prefill","busy":false,"seq":0,"queued":0,"born":1000,"state":"draining"}"#; "draining")]
 fn a_restarted_or_draining_runner_gets_no_order(report: &'static str) {
     let (_node, runners) = start_with_load_report(report);
-    wait_for("both to be asked", || runners.iter().all(|runner| load_report_requests(runner) > 0));
+    wait_for("both reports", || runners.iter().all(|runner| load_report_requests(runner) > 0));
     std::thread::sleep(Duration::from_millis(600));
     assert!(runners.iter().all(|runner| orders(runner).is_empty()));
     assert!(
         runners.iter().all(|runner| load_report_requests(runner) == 1),
-        "it is believed at once"
+        "the first report is accepted"
     );
 }
 
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Configuration, runners and planned stops, through a store that behaves and one that does not.
+//! Configuration, runners and graceful shutdown, with a working and a failing store.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -45,9 +45,9 @@
     node.add_runner(&one, "desk", None);
     assert_eq!(request(&node, "/lookup/1").0, 503);
     node.store.set_mode(StoreMode::Serving);
-    // The node may be ready before it knows the runner: its first list was empty, and the
-    // watch that the silent store swallowed takes its time to be replaced.
-    wait_for("the runner to answer", || request(&node, "/lookup/1") == (200, "i-1".to_owned()));
+    // The node may be ready before it knows the runner: its first read returned no entries, and the
+    // watch that was sent to the silent store is replaced only after its timeout.
+    wait_for("the response", || request(&node, "/lookup/1") == (200, "i-1".to_owned()));
     assert!(node.is_ready());
 }
 
@@ -60,7 +60,7 @@
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     node.store.set_mode(mode);
     let newcomer = node.start_seeded("node-2");
-    wait_for("the newcomer to serve", || {
+    wait_for("the new node to serve", || {
         request(&newcomer, "/lookup/1") == (200, "i-1".to_owned())
     });
     assert!(newcomer.is_ready());
@@ -85,7 +85,7 @@
     node.store.put("op/config", &newer);
     wait_for("the added route", || request(&node, "/added/1").0 == 200);
     node.store.put("op/config", &configuration(5));
-    // The watch has delivered the older version once a later write to it has been seen.
+    // The older version has been received once a later write to the key is observed.
     newer["version"] = 8.into();
     newer["routes"].as_array_mut().unwrap().push(route("marker", "idempotent", "desk"));
     assert_eq!(request(&node, "/added/1").0, 200);
@@ -99,11 +99,11 @@
     let (one, two) = (runner("i-1"), runner("i-2"));
     let node = Fixture::with_runners(&[(&one, "desk", None), (&two, "desk", None)]);
     node.put_runner(&one, "desk", None, "draining");
-    wait_for("only the other to answer", || {
+    wait_for("responses only from the other runner", || {
         (0..8).all(|_| request(&node, "/lookup/1") == (200, "i-2".to_owned()))
     });
     node.store.remove("servers/i-2");
-    wait_for("no runner to be left", || request(&node, "/lookup/1").0 == 503);
+    wait_for("all runners to be removed", || request(&node, "/lookup/1").0 == 503);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     node.add_runner(&three, "desk", None);
     node.store.forget_history();
     node.store.set_mode(StoreMode::Serving);
-    wait_for("the third to answer", || request(&node, "/lookup/1") == (200, "i-3".to_owned()));
+    wait_for("the third runner", || request(&node, "/lookup/1") == (200, "i-3".to_owned()));
 }
 
 #[test]
@@ -163,7 +163,7 @@
     late.request("GET", "/lookup/1", "id-2", "", b"");
     let answer = late.read_answer();
     assert_eq!((answer.status, answer.header("connection")), (200, Some("close")));
-    assert!(idle.is_closed_by_node(), "an idle connection is closed");
+    assert!(idle.is_closed_by_node(), "the idle connection is closed");
     let answer = busy.read_answer();
     assert_eq!((answer.status, answer.text().as_str()), (200, "done"));
     node.join();
@@ -188,7 +188,7 @@
     std::fs::write(&node.file, text.replace("contact_ms = 1000", "contact_ms = \"soon\"")).unwrap();
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(request(&node, "/lookup/1").0, 200);
-    // The store moves, and with it the configuration.
+    // The settings now name another store with a newer configuration.
     let moved = StoreStandIn::start().unwrap();
     moved.put("servers/unrelated", &serde_json::json!({}));
     let mut newer = configuration(9);
@@ -204,8 +204,8 @@
     wait_for("the configuration of the other store", || request(&node, "/added/1").0 == 200);
 }
 
-/// Found by a hunt on sapvsb-swapnet (hunt-abee-63): a request that was being read when the
-/// node stopped taking clients was passed on and then cut.
+/// Guards against a request that is cut off during a graceful shutdown: it was still being received
+/// when the node stopped accepting clients, and was forwarded and then aborted.
 #[test]
 fn a_graceful_shutdown_waits_for_a_request_that_is_being_received() {
     let one = runner("i-1");
@@ -217,7 +217,7 @@
     wait_for("the node not to be ready", || !node.is_ready());
     let mut slow = node.client();
     slow.send(b"GET /lookup/1 HTTP/1.1\r\nHost: desk.example\r\n");
-    assert!(idle.is_closed_by_node(), "the node takes no more clients");
+    assert!(idle.is_closed_by_node(), "the node accepts no more clients");
     std::thread::sleep(Duration::from_millis(300));
     slow.send(b"X-Pitchstall-Request-Id: id-1\r\n\r\n");
     let answer = slow.read_answer();
@@ -225,8 +225,9 @@
     node.join();
 }
 
-/// A fleet that the store tells in more than one page: nodes of the later pages would not be known until they
-/// spoke, and where they take turns to speak that is half a minute.
+/// The store returns the nodes of a large fleet in several pages. If only the first page is read,
+/// the nodes of later pages stay unknown until they send a digest, which takes half a minute where
+/// nodes send their digests in rotation.
 #[test]
 fn nodes_of_every_page_receive_a_digest() {
     const OTHER_NODES: usize = 120;
@@ -242,6 +243,6 @@
     store.put("pitchstall/nodes/last", &member(address));
     let _node = Fixture::start_before(store, "node-1");
     let mut buffer = [0; 60_000];
-    let (length, _) = last.recv_from(&mut buffer).expect("a greeting");
+    let (length, _) = last.recv_from(&mut buffer).expect("a digest");
     assert!(buffer[..length].starts_with(b"{\"digest\""));
 }
--- a/crates/gateway/tests/message_compatibility.rs
+++ b/crates/gateway/tests/message_compatibility.rs
@@ -1,4 +1,5 @@
-//! Words between nodes of builds that are not this one: what is not known is passed over, and costs nothing else.
+//! Messages from nodes of other versions: unknown fields are ignored, and an unreadable message has
+//! no effect but to be counted.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -10,12 +11,13 @@
 use support::{get, wait_for, Fixture};
 use test_case::test_case;
 
-/// A greeting as the build of the folder's commit has sent it, which knows of no limits of runners.
+/// A hello message recorded from the version whose commit names the folder; it does not know the
+/// limits of runners.
 fn hello_of_earlier_build() -> Value {
     serde_json::from_str(include_str!("recorded_words/5d6b701/hello.json")).unwrap()
 }
 
-/// The same of a later build, with fields that nobody knows here.
+/// The same message from a later version, with fields that this version does not know.
 fn hello_of_later_build() -> Value {
     let mut hello = hello_of_earlier_build();
     hello["hello"]["later"] = json!({ "field": [1, 2, 3] });
@@ -23,8 +25,8 @@
     hello
 }
 
-#[test_case(&hello_of_earlier_build(); "of a former build")]
-#[test_case(&hello_of_later_build(); "of a later build")]
+#[test_case(&hello_of_earlier_build(); "from an earlier version")]
+#[test_case(&hello_of_later_build(); "from a later version")]
 fn a_hello_of_another_build_is_parsed(hello: &Value) {
     let message: PeerMessage = serde_json::from_value(hello.clone()).unwrap();
     let PeerMessage::Hello(digest) = message else { unreachable!("{message:?}") };
@@ -32,7 +34,7 @@
     assert!(digest.limits.is_empty() && digest.held_keepers.is_empty());
 }
 
-/// What is written while no runner names a limit is what a former build writes, field by field.
+/// Without runner limits, this version writes the same fields as the earlier one.
 #[test]
 fn a_hello_without_limits_is_serialized_as_by_an_earlier_build() {
     let message: PeerMessage = serde_json::from_value(hello_of_earlier_build()).unwrap();
@@ -56,7 +58,7 @@
     for message in datagrams {
         socket.send_to(message, node.peers).unwrap();
     }
-    wait_for("the words to be counted", || {
+    wait_for("the datagrams to be counted", || {
         get(node.health, "/metrics").text().contains("pitchstall_words_unread_total 5")
     });
     let mut client = node.client();
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end the runners that run them, and come again.
+//! Requests that crash the runners that execute them and are sent again.
 #![allow(clippy::unwrap_used, clippy::panic, missing_docs)]
 
 mod support;
@@ -15,13 +15,13 @@
 
 const CRASHING_BODY: &[u8] = b"a request that ends runners";
 const HARMLESS_BODY: &[u8] = b"a request like any other";
-/// Ends of runners under a request after which it may be repeated but a few times.
+/// Number of crashes after which the request is quarantined.
 const QUARANTINE_CRASHES: usize = 3;
-/// The arrival, from 0, that a runner fails instead.
+/// Index of the arrival, from 0, that gets an error response instead of a crash.
 const FAILED_ARRIVAL: usize = 2;
-/// Repeats that may reach runners from then on.
+/// Maximum number of repetitions that reach runners after the quarantine.
 const MAX_REPEATS: usize = 3;
-/// `contact_ms` of the fixture, and some more.
+/// Time after which all nodes know of a crash: `contact_ms` of the fixture plus a margin.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
 fn engine(request: &ReceivedRequest, head: CrashHead) -> Reaction {
@@ -40,7 +40,7 @@
     (0..count).map(start).collect()
 }
 
-/// A node before a store with a configuration and these runners.
+/// A node with a configuration and these runners.
 fn node_with(runners: &[RunnerStandIn], service: &str) -> Fixture {
     let node = Fixture::start();
     node.store.put("op/config", &configuration(3));
@@ -57,7 +57,7 @@
     client.read_answer()
 }
 
-/// Takes a request out of quarantine as an operator does; returns the status.
+/// Lifts the quarantine of a request through the operator endpoint. Returns the status code.
 fn lift(node: &Fixture, identity: &str) -> u16 {
     let mut client = support::RawClient::connect(node.health);
     let request = format!("DELETE /quarantine/{identity} HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -65,12 +65,12 @@
     client.read_answer().status
 }
 
-/// Runners that have ended.
+/// Number of runners that have crashed.
 fn crashed_count(runners: &[RunnerStandIn]) -> usize {
     runners.iter().filter(|runner| runner.has_ended()).count()
 }
 
-/// Times that the deadly request has reached a runner.
+/// Number of times that the crashing request has reached a runner.
 fn arrivals(runners: &[RunnerStandIn]) -> usize {
     let of = |runner: &RunnerStandIn| {
         runner.requests().iter().filter(|request| request.body == CRASHING_BODY).count()
@@ -78,7 +78,8 @@
     runners.iter().map(of).sum()
 }
 
-/// Sends the deadly request to the nodes in turn until enough runners have ended under it.
+/// Sends the crashing request to the nodes in turn until [`QUARANTINE_CRASHES`] runners have
+/// crashed.
 fn send_until_crashed(nodes: &[&Fixture], path: &str, runners: &[RunnerStandIn]) {
     for sent in 0..40 {
         if crashed_count(runners) >= QUARANTINE_CRASHES {
@@ -86,12 +87,12 @@
         }
         send_to(nodes[sent % nodes.len()], path, &format!("deadly-{sent}"), CRASHING_BODY);
     }
-    panic!("the stand-ins do not end");
+    panic!("too few stand-ins have crashed");
 }
 
-#[test_case("/summary/7", "llm", CrashHead::Chunked; "a stream that has begun to run")]
+#[test_case("/summary/7", "llm", CrashHead::Chunked; "a stream that has started")]
 #[test_case("/summary/7", "llm", CrashHead::None; "a stream without a head")]
-#[test_case("/summary/7", "llm", CrashHead::Unframed; "a stream that seems to be whole")]
+#[test_case("/summary/7", "llm", CrashHead::Unframed; "a stream that looks complete")]
 #[test_case("/lookup/7", "desk", CrashHead::None; "no stream")]
 fn a_request_that_has_crashed_three_runners_reaches_few_others(
     path: &str,
@@ -110,7 +111,7 @@
         send_to(nodes[repeat % 2], path, &format!("again-{repeat}"), CRASHING_BODY);
     }
     let repeats = arrivals(&runners) - before;
-    assert!(repeats <= MAX_REPEATS, "it reached runners {repeats} times more");
+    assert!(repeats <= MAX_REPEATS, "the request reached runners {repeats} more times");
     assert_eq!(send_to(&first, path, "sound", HARMLESS_BODY).status, 200);
 }
 
@@ -160,7 +161,7 @@
     let is_written = || first.store.keys("pitchstall/crashes/").len() >= QUARANTINE_CRASHES;
     assert!(!is_written());
     first.store.set_mode(StoreMode::Serving);
-    wait_for("the ends to be written", is_written);
+    wait_for("the crashes to be written", is_written);
 }
 
 #[test]
@@ -178,7 +179,7 @@
     let before = arrivals(&runners);
     std::thread::sleep(PROPAGATION_TIME);
     send_to(&node, "/summary/7", "again", CRASHING_BODY);
-    assert!(arrivals(&runners) > before, "it is taken for one that ends runners");
+    assert!(arrivals(&runners) > before, "the request is quarantined without a crash");
     assert!(node.store.keys("pitchstall/crashes/").is_empty());
 }
 
@@ -207,7 +208,8 @@
         if request.body != CRASHING_BODY {
             return engine(request, CrashHead::None);
         }
-        // One runner fails it without running it: that tells nothing of what it does to others.
+        // One runner rejects the request without executing it, which shows nothing about its effect
+        // on other runners.
         match arrivals.fetch_add(1, Ordering::SeqCst) {
             FAILED_ARRIVAL => Reaction::Answer { status: 500, body: b"failed".to_vec() },
             _ => engine(request, CrashHead::None),
@@ -236,7 +238,7 @@
     send_until_crashed(&[&first], "/summary/7", &runners);
     let entries = || first.store.keys("pitchstall/crashes/").len();
     wait_for("the crashes to be written", || entries() >= QUARANTINE_CRASHES);
-    wait_for("the other node to know", || get(second.health, "/quarantine").text() != "[]");
+    wait_for("the crashes to spread", || get(second.health, "/quarantine").text() != "[]");
     std::thread::sleep(PROPAGATION_TIME);
     let writes = || first.store.calls().iter().filter(|call| *call == "/v1/kv-txn").count();
     let before = writes();
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -1,4 +1,5 @@
-//! Tenants' limits over several nodes: what is served, what is refused, and when nobody can be asked.
+//! Limits of tenants over several nodes: which requests are served or refused, and what happens if
+//! no keeper can be reached.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -11,10 +12,10 @@
 use std::time::{Duration, Instant};
 use support::{configuration, get, wait_for, Fixture, RawAnswer};
 
-/// Keys of two tenants: one with a limit and one without.
+/// Authorization headers of two tenants: the first one has a limit, the second has none.
 const TAXIS: &str = "Authorization: Token taxis-key\r\n";
 const BUSES: &str = "Authorization: Token buses-key\r\n";
-/// Windows of a second, with room for some requests above the limit.
+/// Windows of one second, with some slack above the limit.
 const QUOTA: &str = "[quota]\nwindow_s = 1\noverage = 0.1\nslack = 12\n";
 
 fn desk() -> RunnerStandIn {
@@ -22,7 +23,7 @@
     RunnerStandIn::start("i-desk", answer).unwrap()
 }
 
-/// A configuration in which the first of two tenants has these fields.
+/// A configuration with two tenants, the first of which has these additional fields.
 fn configuration_with_limit(version: u64, fields: &Value) -> Value {
     let mut taxis = json!({ "name": "taxis", "api_keys": ["taxis-key"], "priority": 0 });
     for (name, value) in fields.as_object().unwrap() {
@@ -33,7 +34,7 @@
     configuration
 }
 
-/// A node whose first tenant has a limit, in front of the runner.
+/// A node with one runner, whose first tenant has these additional fields.
 fn node_with(runner: &RunnerStandIn, fields: &Value) -> Fixture {
     let node = Fixture::start_with(QUOTA);
     node.store.put("op/config", &configuration_with_limit(3, fields));
@@ -42,7 +43,7 @@
     node
 }
 
-/// Another node before the same store, with the same settings.
+/// Starts another node with the same store and settings.
 fn start_second_node(node: &Fixture, name: &str) -> Fixture {
     let other = node.start_beside_with(name, QUOTA);
     other.wait_until_ready();
@@ -55,7 +56,8 @@
     client.read_answer()
 }
 
-/// Sends requests one after the other for some time; returns how many had each status.
+/// Sends requests in sequence, to the nodes in turn, for the given duration. Returns how many got
+/// status 200, 429 and any other.
 fn send_for(nodes: &[&Fixture], key: &str, duration: Duration) -> (usize, usize, usize) {
     let end = Instant::now() + duration;
     let (mut served, mut refused, mut other) = (0, 0, 0);
@@ -76,7 +78,7 @@
     serde_json::from_slice(&get(node.health, "/quota").body).unwrap()
 }
 
-/// Waits until all keepers are known to a node.
+/// Waits until a node knows the holders of all keepers.
 fn wait_for_keepers(node: &Fixture) {
     wait_for("keepers", || report(node)["keepers"].as_array().unwrap().len() == 2);
 }
@@ -126,7 +128,7 @@
     wait_for_keepers(&other);
     let duration = Duration::from_secs(4);
     let (served, refused, failed) = send_for(&[&node, &other], TAXIS, duration);
-    // All that a window allows, four times over.
+    // The maximum that the limits allow in one window, for four windows.
     let max_served = (f64::from(20 + 20) * 1.1 + 12.0) * 4.0;
     assert!((served as f64) <= max_served, "{served}");
     assert!(served >= 60, "{served} of at least 80 below the limit");
@@ -163,7 +165,7 @@
 fn a_tenant_with_an_invalid_limit_is_rejected_and_others_are_served() {
     let runner = desk();
     let node = node_with(&runner, &json!({ "rate_per_s": -1 }));
-    wait_for("a node that knows its configuration", || send(&node, TAXIS, 1).status == 401);
+    wait_for("the configuration to be applied", || send(&node, TAXIS, 1).status == 401);
     assert_eq!(send(&node, BUSES, 2).status, 200);
 }
 
@@ -172,16 +174,16 @@
     let runner = desk();
     let node = node_with(&runner, &json!({ "rate_per_s": 5, "burst": 5 }));
     wait_for_keepers(&node);
-    wait_for("a refusal", || send(&node, TAXIS, 1).status == 429);
+    wait_for("a refused request", || send(&node, TAXIS, 1).status == 429);
     node.store.put("op/config", &configuration_with_limit(4, &json!({})));
-    wait_for("the limit to be gone", || {
+    wait_for("the limit to be removed", || {
         (0..100).all(|number| send(&node, TAXIS, number).status == 200)
     });
-    wait_for("the keepers to be given up", || held_keeper_count(&node) == 0);
-    wait_for("their keys to be gone", || node.store.keys("pitchstall/quota/").is_empty());
+    wait_for("the keepers to be released", || held_keeper_count(&node) == 0);
+    wait_for("their keys to be removed", || node.store.keys("pitchstall/quota/").is_empty());
     node.store
         .put("op/config", &configuration_with_limit(5, &json!({ "rate_per_s": 5, "burst": 5 })));
-    wait_for("the limit to be back", || send(&node, TAXIS, 1).status == 429);
+    wait_for("the limit to be restored", || send(&node, TAXIS, 1).status == 429);
 }
 
 #[test]
@@ -191,7 +193,7 @@
     node.store
         .put("op/config", &configuration_with_limit(3, &json!({ "rate_per_s": 5, "burst": 5 })));
     node.add_runner(&runner, "desk", None);
-    // Another node holds all keepers, and nobody knows where it is.
+    // Another node holds all keepers, at an address where nobody replies.
     for number in 0..2 {
         let holder = json!({ "n": "gone", "a": "127.0.0.1:9" });
         node.store.put(&format!("pitchstall/quota//{number}"), &holder);
@@ -224,8 +226,8 @@
     wait_for_keepers(&other);
     assert_eq!(held_keeper_count(&other), 0);
     node.request_stop();
-    wait_for("the other to keep them", || held_keeper_count(&other) == 2);
-    // A new holder begins with nothing.
+    wait_for("the other node to hold the keepers", || held_keeper_count(&other) == 2);
+    // A new holder starts with no units to grant.
     wait_for("a grant", || send(&other, TAXIS, 1).status == 200);
 }
 
@@ -258,21 +260,22 @@
     let runner = RunnerStandIn::start("i-desk", answer).unwrap();
     let node = node_with(&runner, &json!({ "rate_per_s": 50, "burst": 50 }));
     wait_for_keepers(&node);
-    wait_for("room", || send(&node, TAXIS, 5).status == 200);
+    wait_for("units for a request", || send(&node, TAXIS, 5).status == 200);
     assert_eq!(send(&node, TAXIS, 0).status, 503);
     let metrics = || get(node.health, "/metrics").text();
-    wait_for("the return", || {
+    wait_for("the refund", || {
         metrics().contains("pitchstall_quota_returned_total{tenant=\"taxis\"} 1")
     });
 }
 
-/// A place where another node holds keepers, as far as the store says.
+/// A socket that is registered in the store as the holder of keepers.
 struct StubKeeper {
     socket: UdpSocket,
 }
 
 impl StubKeeper {
-    /// Holds some keepers, from before the node knows that there are limits.
+    /// Registers the socket as holder of some keepers. Call this before the node reads a
+    /// configuration with limits.
     fn register(node: &Fixture, numbers: &[u8]) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -283,7 +286,7 @@
         Self { socket }
     }
 
-    /// The next word of a kind, as text and value.
+    /// The next message of a kind, as text and as a value.
     fn receive(&self, kind: &str) -> (String, Value) {
         let mut buffer = [0; 60_000];
         loop {
@@ -296,7 +299,7 @@
         }
     }
 
-    /// Answers a question.
+    /// Replies to a query.
     fn answer(&self, query: &Value, verdict: &Value) {
         let answer = json!({ "quota": {
             "i": query["i"], "k": query["e"], "d": verdict, "l": 0,
@@ -406,7 +409,7 @@
     start_with_limit_of_fifty(&node, &runner);
     wait_for("the other keeper", || held_keeper_count(&node) == 1);
     let requester = StubKeeper::register(&node, &[]);
-    // More than the keeper ever has room for.
+    // The cost is more than the keeper can ever grant.
     let send_query = |number: u64| {
         let query = json!({ "quota?": {
             "i": { "f": 1, "k": number }, "a": requester.socket.local_addr().unwrap().to_string(),
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage reports of the node that holds the authority.
+//! Usage reports by the node that holds the authority.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -27,7 +27,7 @@
     node
 }
 
-/// Puts a configuration with a tenant and a runner in force.
+/// Applies a configuration with a tenant and a runner.
 fn configure(node: &Fixture, runner: &RunnerStandIn) {
     let mut configuration = configuration(3);
     configuration["tenants"] = json!([{ "name": "taxis", "api_keys": ["right"] }]);
@@ -49,7 +49,7 @@
     }
 }
 
-/// What the platform has taken, by window.
+/// Requests in the reports that the platform has accepted, by window.
 fn reported(cloud: &CloudStandIn) -> BTreeMap<u64, u64> {
     let accepted = cloud.calls().into_iter().filter(|call| call.status == 200);
     let count = |call: &CloudCall| call.body["counts"]["taxis"].as_u64().unwrap_or(0);
@@ -73,7 +73,7 @@
     let windows: Vec<u64> =
         cloud.calls().iter().filter_map(|it| it.body["window_id"].as_u64()).collect();
     let distinct: std::collections::BTreeSet<u64> = windows.iter().copied().collect();
-    assert_eq!(windows.len(), distinct.len(), "a report that was taken is not sent again");
+    assert_eq!(windows.len(), distinct.len(), "an accepted report is not sent again");
 }
 
 #[test]
