--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -59,11 +59,11 @@
     let one = runner("i-1");
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     node.store.set_mode(mode);
-    let newcomer = node.start_seeded("node-2");
+    let new_node = node.start_seeded("node-2");
     wait_for("the new node to serve", || {
-        request(&newcomer, "/lookup/1") == (200, "i-1".to_owned())
+        request(&new_node, "/lookup/1") == (200, "i-1".to_owned())
     });
-    assert!(newcomer.is_ready());
+    assert!(new_node.is_ready());
 }
 
 #[test]
@@ -189,18 +189,18 @@
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(request(&node, "/lookup/1").0, 200);
     // The settings now name another store with a newer configuration.
-    let moved = StoreStandIn::start().unwrap();
-    moved.put("servers/unrelated", &serde_json::json!({}));
+    let other_store = StoreStandIn::start().unwrap();
+    other_store.put("servers/unrelated", &serde_json::json!({}));
     let mut newer = configuration(9);
     newer["routes"].as_array_mut().unwrap().push(route("added", "idempotent", "desk"));
-    moved.put("op/config", &newer);
+    other_store.put("op/config", &newer);
     let entry = serde_json::json!({
         "service": "desk", "address": one.address().to_string(), "zone": "north", "slots": 8,
         "version": "v1", "state": "ready", "cold_left_ms": 0, "seq": 1,
     });
-    moved.put("servers/i-1", &entry);
+    other_store.put("servers/i-1", &entry);
     let before = node.store.address().to_string();
-    std::fs::write(&node.file, text.replace(&before, &moved.address().to_string())).unwrap();
+    std::fs::write(&node.file, text.replace(&before, &other_store.address().to_string())).unwrap();
     wait_for("the configuration of the other store", || request(&node, "/added/1").0 == 200);
 }
 
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -300,12 +300,12 @@
     }
 
     /// Replies to a query.
-    fn answer(&self, query: &Value, verdict: &Value) {
-        let answer = json!({ "quota": {
+    fn reply(&self, query: &Value, verdict: &Value) {
+        let reply = json!({ "quota": {
             "i": query["i"], "k": query["e"], "d": verdict, "l": 0,
         } });
         let to = query["a"].as_str().unwrap();
-        self.socket.send_to(answer.to_string().as_bytes(), to).unwrap();
+        self.socket.send_to(reply.to_string().as_bytes(), to).unwrap();
     }
 }
 
@@ -345,14 +345,14 @@
         let (text, query) = keeper.receive("quota?");
         assert!(text.contains("taxis") && !text.contains("taxis-key"), "{text}");
         assert_eq!((query["c"].as_u64(), query["v"].as_u64()), (Some(1), Some(3)));
-        keeper.answer(&query, &json!("g"));
+        keeper.reply(&query, &json!("g"));
         sent.join().unwrap()
     });
     assert_eq!(granted, 200);
     let refused = std::thread::scope(|scope| {
         let sent = scope.spawn(|| send(&node, TAXIS, 2));
         let (_, query) = keeper.receive("quota?");
-        keeper.answer(&query, &json!({ "r": { "w": 700 } }));
+        keeper.reply(&query, &json!({ "r": { "w": 700 } }));
         sent.join().unwrap()
     });
     assert_eq!(refused.status, 429);
@@ -373,7 +373,7 @@
     let (_, query) = keeper.receive("quota?");
     drop(client);
     std::thread::sleep(Duration::from_millis(100));
-    keeper.answer(&query, &json!("g"));
+    keeper.reply(&query, &json!("g"));
     let (_, refund) = keeper.receive("quota-");
     assert_eq!((&refund["i"], &refund["e"]), (&query["i"], &query["e"]));
     assert!(runner.requests().iter().all(|it| it.target != "/booking/1"));
@@ -423,7 +423,7 @@
     assert_eq!(forwarded["i"]["k"], 1);
     std::thread::sleep(Duration::from_millis(50));
     send_query(2);
-    let (_, answer) = requester.receive("quota");
-    assert_eq!(answer["i"]["k"], 2);
-    assert!(answer["d"]["r"]["w"].as_u64().unwrap() > 0, "{answer}");
+    let (_, reply) = requester.receive("quota");
+    assert_eq!(reply["i"]["k"], 2);
+    assert!(reply["d"]["r"]["w"].as_u64().unwrap() > 0, "{reply}");
 }
