--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of a node in the OpenMetrics text format.
 
-use crate::far_traffic::FarTraffic;
-use crate::quota::figures::QuotaFigures;
+use crate::cross_region_traffic::CrossRegionTraffic;
+use crate::quota::metrics::QuotaMetrics;
 use pitchstall_serving::scheduling::CrossRegionReason;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -85,7 +85,7 @@
     /// Requests for which a scheduler of another region was queried.
     pub cross_region_requests: Family<CrossRegionLabels, Counter>,
     /// Metrics of tenants' limits.
-    pub quota: QuotaFigures,
+    pub quota: QuotaMetrics,
     /// Calls to the store.
     pub store_calls: Counter,
     /// Calls to the store that failed.
@@ -105,7 +105,7 @@
 
 impl Metrics {
     /// Creates the metrics with all values 0. `far_traffic` counts the bytes sent to other regions.
-    pub fn new(far_traffic: &FarTraffic) -> Self {
+    pub fn new(cross_region_traffic: &CrossRegionTraffic) -> Self {
         const FIRST_BUCKET_S: f64 = 0.002;
         const BUCKETS: u16 = 14;
         let mut metrics = Self {
@@ -128,7 +128,7 @@
             placement_timeouts: Counter::default(),
             placements_forwarded: Counter::default(),
             cross_region_requests: Family::default(),
-            quota: QuotaFigures::default(),
+            quota: QuotaMetrics::default(),
             store_calls: Counter::default(),
             store_failures: Counter::default(),
             refused_entries: Family::default(),
@@ -140,7 +140,7 @@
         };
         metrics.register();
         let help = "Bytes of datagrams sent to nodes of other regions";
-        metrics.registry.register("far_bytes", help, far_traffic.bytes());
+        metrics.registry.register("far_bytes", help, cross_region_traffic.bytes());
         metrics
     }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,14 +1,14 @@
-//! The other nodes: finds them through the store, and hears from them.
+//! Discovers the other nodes through the store and exchanges messages with them.
 //!
-//! A node registers its address under a lease and reads who else is there. From then on it
-//! sends digests now and then; whoever gets one from an unknown node learns of it that way, so
-//! the list is read seldom. Nothing breaks without peers: the node then knows only what it and
-//! the runners see.
+//! A node registers its address under a lease and reads the list of nodes from the store. From then
+//! on, it sends digests at regular intervals. A node that receives a digest from an unknown node
+//! learns of it that way, so the list is rarely read. Without peers, a node keeps working with what
+//! it observes itself and what runners report.
 
 use crate::clock::Instant;
 use crate::held_parts;
 use crate::node::{machine_wall_ms, Node};
-use crate::peer_words::{PeerSocket, PeerWord, MOST_DATAGRAM_BYTES};
+use crate::peer_messages::{PeerMessage, PeerSocket, MAX_DATAGRAM_BYTES};
 use crate::platform_client::PlatformClient;
 use crate::quarantine;
 use crate::quota::{self, RegistrationLease};
@@ -33,47 +33,45 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Pause after a datagram could not be received.
-const RECEIVE_PAUSE: Duration = Duration::from_millis(120);
-/// Between two digests of a node. What they tell is not urgent, but for role changes, which are
-/// told to all at once.
-const DIGEST_EVERY: Duration = Duration::from_millis(1_000);
-/// A node that has not been heard or listed for this long is forgotten.
-const PEER_LIFE: Duration = Duration::from_secs(60);
-/// Nodes that one which knows nobody is told of: enough to follow the store by, and the others tell
-/// of themselves in their digests.
-const MEMBERS_TOLD: usize = 64;
-/// Time to live of a node's registration. Keepers of tenants' limits grant for most of it without a
-/// word from the store, so it is longer than stores are usually away.
+/// Pause after a failed receive.
+const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(120);
+/// Time between two digests of a node. Their contents are not urgent, except for role changes,
+/// which are sent to all nodes at once.
+const DIGEST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time after which a node is removed that has neither sent a digest nor been listed in the store.
+const PEER_TTL: Duration = Duration::from_secs(60);
+/// Maximum number of members in the reply to a node that knows no others. They are enough to follow
+/// the store through; the other nodes announce themselves in their digests.
+const MAX_MEMBERS_IN_REPLY: usize = 64;
+/// Time to live of a node's registration, milliseconds. Quota keepers continue to grant for most of
+/// it without contact with the store, so it is longer than the usual store outage.
 const REGISTRATION_TTL_MS: u64 = 30_000;
 const MICROS_PER_MILLI: u64 = 1_000;
-/// Between two renewals of the registration.
-const RENEW_EVERY: Duration = Duration::from_secs(5);
-/// Time within which a node registers again once the store has come back from an older copy, spread over it so that a
-/// fleet's writes do not come at once.
-const REGISTER_AGAIN_WITHIN: Duration = Duration::from_millis(700);
-/// Renewals between two readings of the list.
-const RENEWALS_A_LISTING: u32 = 6;
-/// Pause after a call to the store failed.
-const STORE_PAUSE: Duration = Duration::from_millis(1_000);
-/// Limit of a call to the store.
-const STORE_LIMIT: Duration = Duration::from_millis(1_500);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum delay before a node registers again after the store was restored from an older copy. The
+/// delay is random, so that the writes of a fleet are spread over this time.
+const MAX_REREGISTRATION_DELAY: Duration = Duration::from_millis(700);
+/// Number of renewals between two reads of the list of nodes.
+const RENEWALS_PER_LISTING: u32 = 6;
+/// Pause after a failed attempt to register.
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A call to the store failed.
+/// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallFailure {
-    /// What it was about is not there.
+    /// The object of the call does not exist.
     Absent,
-    /// It was refused or got no answer.
+    /// The call was rejected or got no response.
     Other,
 }
 
 struct Peer {
     address: SocketAddr,
-    heard_at: Instant,
+    last_received_at: Instant,
 }
 
-/// The other nodes that are known.
+/// The known nodes, and the socket to exchange messages with them.
 pub struct Peers {
     node: Rc<Node>,
     socket: PeerSocket,
@@ -85,64 +83,65 @@
 #[derive(Default)]
 struct PeerState {
     peers: HashMap<NodeId, Peer>,
-    order: DigestTracker,
+    digest_tracker: DigestTracker,
     sequence: u64,
-    turns: DigestRotation,
+    rotation: DigestRotation,
 }
 
 impl Peers {
-    /// Peers that are reached through the socket.
+    /// Creates an empty set of peers that are reached through the socket.
     pub fn new(node: Rc<Node>, socket: PeerSocket) -> Rc<Self> {
         let name = NodeId::new(&node.settings().node.name);
         let incarnation = node.incarnation;
         Rc::new(Self { node, socket, name, incarnation, state: RefCell::default() })
     }
 
-    /// Receives words until the task is dropped.
+    /// Receives and handles messages until the task is dropped.
     pub async fn receive(self: Rc<Self>) {
-        let mut buffer = vec![0; MOST_DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.receive(&mut buffer).await else {
-                sleep(RECEIVE_PAUSE).await;
+                sleep(RECEIVE_RETRY_PAUSE).await;
                 continue;
             };
-            match serde_json::from_slice::<PeerWord>(&buffer[..length]) {
-                Ok(word) => self.on_word(word, from),
-                // A later build may say what this one does not know; nothing else is lost by it.
+            match serde_json::from_slice::<PeerMessage>(&buffer[..length]) {
+                Ok(message) => self.on_message(message, from),
+                // A later version may send messages that this one does not know. Only that message
+                // is ignored.
                 Err(error) => {
                     self.node.metrics.unreadable_datagrams.inc();
                     let (error, from) = (error.to_string(), from.to_string());
-                    log::warn!(target: "peers", from, error; "unreadable word");
+                    log::warn!(target: "peers", from, error; "unreadable datagram");
                 }
             }
         }
     }
 
-    fn on_word(&self, word: PeerWord, from: SocketAddr) {
-        match word {
-            PeerWord::Digest(digest) => self.on_digest(&digest, from),
-            PeerWord::Hello(digest) => self.on_hello(&digest, from),
-            PeerWord::Members(members) => self.on_members(&members),
-            PeerWord::Question(question) => shard_scheduler::on_question(&self.node, question),
-            PeerWord::Answer(answer) => scheduling::on_answer(&self.node, answer, from),
-            PeerWord::Progress(word) => shard_scheduler::on_progress(&self.node, &word),
-            PeerWord::Loads(word) => self.node.on_shard_loads(&word),
-            PeerWord::RegionLoads(word) => scheduling::on_region_loads(&self.node, word),
-            PeerWord::PartsRead(readings) => held_parts::on_word(&self.node, &readings),
-            PeerWord::UsageQuestion(question) => usage::on_question(&self.node, &question),
-            PeerWord::Crash(word) => quarantine::on_word(&self.node, word),
-            PeerWord::QuotaQuestion(question) => {
-                quota::keeping::on_word(&self.node, &question, from)
+    fn on_message(&self, message: PeerMessage, from: SocketAddr) {
+        match message {
+            PeerMessage::Digest(digest) => self.on_digest(&digest, from),
+            PeerMessage::Hello(digest) => self.on_hello(&digest, from),
+            PeerMessage::Members(members) => self.on_members(&members),
+            PeerMessage::PlacementQuery(query) => shard_scheduler::on_question(&self.node, query),
+            PeerMessage::PlacementReply(reply) => scheduling::on_answer(&self.node, reply, from),
+            PeerMessage::ProgressMessage(message) => {
+                shard_scheduler::on_progress(&self.node, &message)
             }
-            PeerWord::QuotaAnswer(answer) => quota::asking::on_answer(&self.node, &answer),
-            PeerWord::QuotaTaken(keeper) => quota::keeping::on_taken(&self.node, &keeper),
-            PeerWord::QuotaReturn(word) => quota::keeping::on_return(&self.node, &word),
-            PeerWord::LimitQuestion(question) => {
-                runner_limits::on_question(&self.node, &question, from)
+            PeerMessage::ShardLoads(loads) => self.node.on_shard_loads(&loads),
+            PeerMessage::RegionLoads(loads) => scheduling::on_region_loads(&self.node, loads),
+            PeerMessage::CachedPrefixes(prefixes) => held_parts::on_word(&self.node, &prefixes),
+            PeerMessage::UsageQuery(query) => usage::on_query(&self.node, &query),
+            PeerMessage::CrashMessage(message) => quarantine::on_message(&self.node, message),
+            PeerMessage::QuotaQuery(query) => quota::keeper::on_query(&self.node, &query, from),
+            PeerMessage::QuotaReply(reply) => quota::requester::on_reply(&self.node, &reply),
+            PeerMessage::QuotaForwardAck(keeper) => {
+                quota::keeper::on_forward_ack(&self.node, &keeper)
             }
-            PeerWord::LimitAnswer(answer) => runner_limits::on_answer(&self.node, answer),
-            PeerWord::LimitWord(word) => runner_limits::on_word(&self.node, &word),
-            PeerWord::Usage(word) => usage::on_word(&self.node, &word),
+            PeerMessage::QuotaRefund(refund) => quota::keeper::on_refund(&self.node, &refund),
+            PeerMessage::LimitQuery(query) => runner_limits::on_question(&self.node, &query, from),
+            PeerMessage::LimitReply(reply) => runner_limits::on_answer(&self.node, reply),
+            PeerMessage::LimitMessage(message) => runner_limits::on_word(&self.node, &message),
+            PeerMessage::UsageMessage(message) => usage::on_message(&self.node, &message),
         }
     }
 
@@ -150,8 +149,8 @@
         if digest.node == self.name {
             return;
         }
-        let freshness = self.state.borrow_mut().order.on_digest(digest);
-        if freshness == DigestStatus::Stale {
+        let status = self.state.borrow_mut().digest_tracker.on_digest(digest);
+        if status == DigestStatus::Stale {
             return;
         }
         self.learn(&digest.node, &Member { address: from, ..digest.member.clone() });
@@ -160,7 +159,7 @@
             self.node.runner_limits.on_stopping(&digest.node);
         }
         quota::on_digest(&self.node, &digest.node, from, &digest.held_keepers);
-        if freshness == DigestStatus::NewIncarnation {
+        if status == DigestStatus::NewIncarnation {
             let peer = digest.node.as_str();
             log::info!(target: "peers", peer, incarnation = digest.incarnation; "met");
             if self.node.quotas.is_keeper() {
@@ -169,11 +168,12 @@
         }
     }
 
-    /// A node that knows nobody has asked: it learns of some, and of the others by their digests.
+    /// Replies to a node that knows no others with some members. The other nodes announce
+    /// themselves to it in their digests.
     fn on_hello(&self, digest: &Digest, from: SocketAddr) {
         self.on_digest(digest, from);
-        let members = self.node.members.borrow().sample(MEMBERS_TOLD);
-        self.socket.send(&PeerWord::Members(members), &[from]);
+        let members = self.node.members.borrow().sample(MAX_MEMBERS_IN_REPLY);
+        self.socket.send(&PeerMessage::Members(members), &[from]);
     }
 
     fn on_members(&self, members: &[(NodeId, Member)]) {
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Asks the machines that the settings name who is there, while nobody is known.
-    fn say_hello(&self) {
+    /// Asks the seed nodes in the settings for members, if no other node is known.
+    fn send_hello(&self) {
         if self.node.known_nodes() > 1 {
             return;
         }
@@ -194,16 +194,16 @@
         let at_seed = |seed: &SocketAddr| SocketAddr::new(seed.ip(), peers.port());
         let seeds = settings.node.seeds.iter().map(at_seed).filter(|address| *address != peers);
         let seeds: Vec<SocketAddr> = seeds.collect();
-        self.socket.send(&PeerWord::Hello(self.digest()), &seeds);
+        self.socket.send(&PeerMessage::Hello(self.digest()), &seeds);
     }
 
     fn learn(&self, name: &NodeId, member: &Member) {
-        let peer = Peer { address: member.address, heard_at: Instant::now() };
+        let peer = Peer { address: member.address, last_received_at: Instant::now() };
         self.state.borrow_mut().peers.insert(name.clone(), peer);
         self.node.runner_limits.on_heard(name, self.node.now_us());
         self.node.members.borrow_mut().upsert(name, member);
-        let is_far = !self.node.members.borrow().is_in_own_region(name);
-        self.socket.far_traffic().on_peer(member.address, is_far);
+        let is_remote = !self.node.members.borrow().is_in_own_region(name);
+        self.socket.cross_region_traffic().set_region(member.address, is_remote);
     }
 
     fn digest(&self) -> Digest {
@@ -217,7 +217,7 @@
             member: self.node.members.borrow().own().clone(),
             store: self.node.freshness.borrow().report(now_us),
             changing: self.node.fleet.borrow().role_changes(now_us),
-            held_keepers: self.node.quotas.kept(),
+            held_keepers: self.node.quotas.held_keepers(),
             limits: self.node.runner_limits.words(now_us),
             is_stopping: self.node.is_stopping(),
             wall_ms: machine_wall_ms(),
@@ -225,18 +225,18 @@
     }
 
     fn send_digest(&self, to: &[SocketAddr]) {
-        self.socket.send(&PeerWord::Digest(self.digest()), to);
+        self.socket.send(&PeerMessage::Digest(self.digest()), to);
     }
 
-    /// Tells the other nodes what changes, until the task is dropped.
+    /// Sends digests at regular intervals and at each relevant change, until the task is dropped.
     pub async fn announce(self: Rc<Self>) {
         loop {
             let to = tokio::select! {
-                // Runners that change their role decline requests: all nodes should know.
+                // Runners decline requests during a role change, so all nodes should know of it.
                 () = self.node.role_ordered.notified() => self.all_addresses(),
-                () = self.node.quotas.changed.notified() => self.all_addresses(),
+                () = self.node.quotas.keepers_changed.notified() => self.all_addresses(),
                 () = self.node.store_confirmed.notified() => self.node.members.borrow().other_store_readers(),
-                () = sleep(DIGEST_EVERY) => self.next_addresses(),
+                () = sleep(DIGEST_INTERVAL) => self.next_addresses(),
             };
             self.send_digest(&to);
         }
@@ -246,94 +246,101 @@
         self.state.borrow().peers.values().map(|peer| peer.address).collect()
     }
 
-    /// The nodes of this node's region, and those of other regions.
-    fn near_and_far(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    /// Addresses of the nodes of this node's region, and of those of other regions.
+    fn addresses_by_region(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let members = self.node.members.borrow();
         let state = self.state.borrow();
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (in_region, remote): (Vec<_>, Vec<_>) =
             state.peers.iter().partition(|(name, _)| members.is_in_own_region(name));
         let addresses = |peers: Vec<(&NodeId, &Peer)>| {
             peers.into_iter().map(|(_, peer)| peer.address).collect()
         };
-        (addresses(near), addresses(far))
+        (addresses(in_region), addresses(remote))
     }
 
-    /// The nodes that the next digest goes to.
+    /// Addresses of the nodes that receive the next digest.
     fn next_addresses(&self) -> Vec<SocketAddr> {
-        // Where tenants have limits, a keeper of them that is lost is noticed by its digests, at every
-        // node as soon.
-        let (near, far) = match quota::has_limits(&self.node) {
+        // Where tenants have limits, the loss of a keeper is detected by its missing digests. All
+        // nodes then receive every digest, so that each detects the loss equally soon.
+        let (in_region, remote) = match quota::has_limits(&self.node) {
             true => (self.all_addresses(), Vec::new()),
-            false => self.near_and_far(),
+            false => self.addresses_by_region(),
         };
-        let mut next = self.state.borrow_mut().turns.next(&near, &far);
+        let mut next = self.state.borrow_mut().rotation.next(&in_region, &remote);
         let own = self.node.settings().listen.peers;
-        next.extend(self.node.quotas.other_keepers(own));
+        next.extend(self.node.quotas.other_keeper_addresses(own));
         next.sort();
         next.dedup();
         next
     }
 
-    /// Keeps this node registered and the list of the others fresh, until the task is dropped.
+    /// Keeps this node registered and its list of other nodes up to date, until the task is
+    /// dropped.
     pub async fn register(self: Rc<Self>) {
         let mut client = PlatformClient::default();
         loop {
-            match self.join(&mut client).await {
-                Some(lease) => self.stay(&mut client, lease).await,
-                None => self.say_hello(),
+            match self.register_once(&mut client).await {
+                Some(lease) => self.keep_registered(&mut client, lease).await,
+                None => self.send_hello(),
             }
-            sleep(STORE_PAUSE).await;
+            sleep(STORE_RETRY_PAUSE).await;
         }
     }
 
-    async fn join(&self, client: &mut PlatformClient) -> Option<StoreLease> {
+    async fn register_once(&self, client: &mut PlatformClient) -> Option<StoreLease> {
         let sent_at_us = self.node.now_us();
         let (body, era) = self.call(client, &store::grant_lease(REGISTRATION_TTL_MS)).await.ok()?;
         let lease = StoreLease { era, number: readable("lease", store::parse_lease(&body))? };
-        let given_ttl_ms = readable("lease", store::parse_lease_ttl(&body))?;
-        let given_ttl_ms = given_ttl_ms.unwrap_or(REGISTRATION_TTL_MS);
+        let granted_ttl_ms = readable("lease", store::parse_lease_ttl(&body))?;
+        let granted_ttl_ms = granted_ttl_ms.unwrap_or(REGISTRATION_TTL_MS);
         let member = store::node_value(self.node.members.borrow().own());
         let key = store::node_key(self.name.as_str());
         let put = store::put_under_lease(&key, &member, lease.number);
         let (_, era) = self.call(client, &put).await.ok()?;
         if era != lease.era {
-            // The key hangs on whatever lease has that number now; the next try puts it under its own.
+            // The key is attached to whichever lease has that number now. The next attempt attaches
+            // it to its own lease.
             return None;
         }
-        let ttl_us = given_ttl_ms.min(REGISTRATION_TTL_MS) * MICROS_PER_MILLI;
+        let ttl_us = granted_ttl_ms.min(REGISTRATION_TTL_MS) * MICROS_PER_MILLI;
         let registered = RegistrationLease { id: lease, renewed_us: sent_at_us, ttl_us };
         self.node.quotas.on_registered(registered);
-        self.list(client, store::read_nodes).await;
+        self.list_nodes(client, store::read_nodes).await;
         Some(lease)
     }
 
-    /// Renews the registration until the store says that it is over. While the store is away
-    /// its leases wait, and a renewal costs a tenth of what registering anew does.
-    async fn stay(&self, client: &mut PlatformClient, lease: StoreLease) {
+    /// Renews the registration until the store reports that the lease has expired. Leases do not
+    /// expire while the store is unavailable, and a renewal costs a tenth of a new registration.
+    async fn keep_registered(&self, client: &mut PlatformClient, lease: StoreLease) {
         for renewal in 1_u32.. {
             if lease.era == self.node.store_era() {
-                // Either may end it.
-                let _ = timeout(RENEW_EVERY, self.node.era_began.notified()).await;
+                // The wait ends after the interval or when a new era begins.
+                let _ = timeout(RENEWAL_INTERVAL, self.node.era_began.notified()).await;
             }
             if lease.era != self.node.store_era() {
-                // All nodes register again; those that come back soon are known meanwhile.
-                return sleep(rand::rng().random_range(Duration::ZERO..REGISTER_AGAIN_WITHIN))
+                // All nodes register again after a random delay. Nodes that do so soon stay known in the
+                // meantime.
+                return sleep(rand::rng().random_range(Duration::ZERO..MAX_REREGISTRATION_DELAY))
                     .await;
             }
             let sent_at_us = self.node.now_us();
             match self.call(client, &store::keep_lease(lease.number)).await {
                 Ok(_) => self.node.quotas.on_renewed(sent_at_us),
-                Err(CallFailure::Absent) => return self.node.quotas.on_lease_over(),
+                Err(CallFailure::Absent) => return self.node.quotas.on_lease_expired(),
                 Err(CallFailure::Other) => {}
             }
-            if renewal % RENEWALS_A_LISTING == 0 {
-                self.list(client, store::read_nodes_cheaply).await;
+            if renewal % RENEWALS_PER_LISTING == 0 {
+                self.list_nodes(client, store::read_nodes_cheaply).await;
             }
         }
     }
 
-    /// Reads who is there and greets those that are not known.
-    async fn list(&self, client: &mut PlatformClient, read: fn(Option<&str>) -> PlatformCall) {
+    /// Reads the list of nodes from the store and sends a digest to the new ones.
+    async fn list_nodes(
+        &self,
+        client: &mut PlatformClient,
+        read: fn(Option<&str>) -> PlatformCall,
+    ) {
         let page = read_pages(async |after| {
             let (body, _) = self.call(client, &read(after.as_deref())).await?;
             readable("nodes", store::parse_page(&body)).ok_or(CallFailure::Other)
@@ -351,15 +358,15 @@
         let now = Instant::now();
         let is_listed = |name: &NodeId| others.iter().any(|(other, _)| other == name);
         let mut state = self.state.borrow_mut();
-        state.peers.retain(|name, peer| is_listed(name) || now < peer.heard_at + PEER_LIFE);
+        state.peers.retain(|name, peer| is_listed(name) || now < peer.last_received_at + PEER_TTL);
         self.node.members.borrow_mut().retain(|name| state.peers.contains_key(name));
     }
 
-    /// The node that an entry names; `None` if it names none.
+    /// The node that a store entry names; `None` if the entry is invalid.
     fn read_node(&self, item: &Item) -> Option<(NodeId, Member)> {
         let node = store::node_of(item);
         if node.is_none() {
-            let fault = EntryFault::Document("it tells of no node".to_owned());
+            let fault = EntryFault::Document("the entry names no node".to_owned());
             self.node.on_refused_entry("nodes", &item.key, item.revision, &fault);
         }
         node
@@ -372,15 +379,15 @@
     ) -> Result<(Vec<u8>, StoreEra), CallFailure> {
         self.node.metrics.store_calls.inc();
         let address = self.node.settings().store.address;
-        let (outcome, failure) = match client.call(address, call, STORE_LIMIT).await {
-            Ok(answer) => {
-                let Some(era) = self.node.on_told_era(address, answer.era) else {
+        let (outcome, failure) = match client.call(address, call, STORE_TIMEOUT).await {
+            Ok(response) => {
+                let Some(era) = self.node.on_told_era(address, response.era) else {
                     return Err(CallFailure::Other);
                 };
-                match store::parse_status(answer.status) {
-                    StoreStatus::Done => return Ok((answer.body, era)),
-                    StoreStatus::Absent => (answer.status.to_string(), CallFailure::Absent),
-                    _ => (answer.status.to_string(), CallFailure::Other),
+                match store::parse_status(response.status) {
+                    StoreStatus::Done => return Ok((response.body, era)),
+                    StoreStatus::Absent => (response.status.to_string(), CallFailure::Absent),
+                    _ => (response.status.to_string(), CallFailure::Other),
                 }
             }
             Err(error) => (error.to_string(), CallFailure::Other),
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,8 +1,9 @@
-//! Keeps the requests under which runners ended in the store, and takes in other nodes' words on them.
+//! Writes crashes, and the requests that were in progress at them, to the store, and handles
+//! messages of other nodes about them.
 //!
-//! The store is what lasts: it outlives every node, and reaches nodes that cannot reach each other.
-//! Words are sooner there. What is counted and when a request reaches no runner any more is decided in
-//! [`pitchstall_serving::quarantine`]; the store is followed by [`crate::watcher`].
+//! Crashes in the store outlive every node and reach nodes that cannot reach each other. Messages
+//! between nodes are faster. [`pitchstall_serving::quarantine`] decides which crashes count and
+//! when a request is quarantined. [`crate::watcher`] watches the entries in the store.
 
 use crate::clock::Instant;
 use crate::node::Node;
@@ -14,21 +15,20 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Limit of a call to the store.
-const STORE_LIMIT: Duration = Duration::from_millis(1_000);
-/// Pause after a call that the store did not take: a small part of the time after which nodes count
-/// as in touch with it again.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Pause after a call that the store did not accept: a small part of the time after which nodes
+/// must count as in contact again.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Time for which entries of requests that were cleared wait to be removed, so that one call removes many:
-/// sound requests lose nothing by it.
+/// Delay before the entries of cleared requests are removed, so that one call removes many of them.
+/// The delay does not affect these requests.
 const REMOVAL_DELAY: Duration = Duration::from_millis(2_000);
-/// Between two looks for crashes that are to be forgotten: they are kept for a day.
-const FORGET_EVERY: Duration = Duration::from_secs(60);
+/// Time between two checks for expired crashes, which are kept for a day.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Takes in another node's word.
-pub fn on_word(node: &Node, word: CrashMessage) {
+/// Handles another node's message about crashed runners or a cleared request.
+pub fn on_message(node: &Node, message: CrashMessage) {
     let now_us = node.now_us();
-    match word {
+    match message {
         CrashMessage::Ended { runner, requests } => {
             for request in requests {
                 let crash = Crash { request, runner: runner.clone() };
@@ -44,8 +44,9 @@
     }
 }
 
-/// Writes to the store what is to be written, until the task is dropped.
-pub async fn keep_written(node: Rc<Node>) {
+/// Writes pending crashes to the store and removes cleared and expired ones, until the task is
+/// dropped.
+pub async fn persist_crashes(node: Rc<Node>) {
     let mut client = PlatformClient::default();
     let mut remove_at = None;
     loop {
@@ -53,44 +54,44 @@
         if node.authority.fence().is_some() {
             node.quarantine.borrow_mut().schedule_removals(node.wall_ms());
         }
-        let is_taken = match write_due(&node, &mut client).await {
+        let is_written = match write_due(&node, &mut client).await {
             true => remove_due(&node, &mut client, &mut remove_at).await,
             false => false,
         };
-        if !is_taken {
+        if !is_written {
             sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-/// Waits until something is to be written or removed, or may be. `remove_at` is when what is to be removed
-/// now has waited long enough.
+/// Waits until a write or removal is due, or may be because the quarantine has changed. `remove_at`
+/// is when the pending removals are due; it is set here when the first one is found.
 async fn wait_until_due(node: &Node, remove_at: &mut Option<Instant>) {
     let (next_us, has_removals) = {
         let quarantine = node.quarantine.borrow();
         (quarantine.next_write_us(), !quarantine.due_removals().is_empty())
     };
-    let until_write = next_us.map_or(FORGET_EVERY, |next_us| {
+    let until_write = next_us.map_or(EXPIRY_CHECK_INTERVAL, |next_us| {
         Duration::from_micros(next_us.saturating_sub(node.now_us()))
     });
     let until_removal = if has_removals {
         let at = *remove_at.get_or_insert_with(|| Instant::now() + REMOVAL_DELAY);
         at.saturating_duration_since(Instant::now())
     } else {
-        FORGET_EVERY
+        EXPIRY_CHECK_INTERVAL
     };
-    let left = until_write.min(until_removal);
-    if !left.is_zero() {
-        // Something else may be due sooner by then, or nothing.
-        let _ = timeout(left, node.quarantine_changed.notified()).await;
+    let remaining = until_write.min(until_removal);
+    if !remaining.is_zero() {
+        // When this returns, another write or removal may be due, or nothing: the caller checks.
+        let _ = timeout(remaining, node.quarantine_changed.notified()).await;
     }
 }
 
-/// Writes what is due; returns whether the store has taken it.
+/// Writes the crashes that are due. Returns `false` if the store did not accept the call.
 async fn write_due(node: &Node, client: &mut PlatformClient) -> bool {
     let crashes = node.quarantine.borrow().due_writes(node.now_us());
     if !crashes.is_empty() {
-        if !is_taken(node, client, &store::write_crashes(&crashes)).await {
+        if !is_written(node, client, &store::write_crashes(&crashes)).await {
             return false;
         }
         node.quarantine.borrow_mut().on_written(&crashes);
@@ -98,7 +99,8 @@
     true
 }
 
-/// Removes what has waited long enough; returns whether the store has taken it.
+/// Removes the entries whose delay has passed. Returns `false` if the store did not accept the
+/// call.
 async fn remove_due(
     node: &Node,
     client: &mut PlatformClient,
@@ -109,7 +111,7 @@
     }
     let removals = node.quarantine.borrow().due_removals();
     if !removals.is_empty() {
-        if !is_taken(node, client, &store::remove_crashes(&removals)).await {
+        if !is_written(node, client, &store::remove_crashes(&removals)).await {
             return false;
         }
         node.quarantine.borrow_mut().on_removals_written(&removals);
@@ -118,11 +120,11 @@
     true
 }
 
-async fn is_taken(node: &Node, client: &mut PlatformClient, call: &PlatformCall) -> bool {
-    let answer = node.call_store(client, call, STORE_LIMIT).await;
-    let status = answer.map(|answer| answer.status);
+async fn is_written(node: &Node, client: &mut PlatformClient, call: &PlatformCall) -> bool {
+    let response = node.call_store(client, call, STORE_TIMEOUT).await;
+    let status = response.map(|response| response.status);
     if status != Some(StoreStatus::Done) {
-        log::info!(target: "crash", status:?; "not written");
+        log::info!(target: "crash", status:?; "crash entries not updated in the store");
     }
     status == Some(StoreStatus::Done)
 }
