--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,10 +1,10 @@
 //! One attempt: a request sent to one runner, up to the head of its answer.
 
-use crate::broken_attempt::{on_lost, on_under_way, BrokenAttempt, ConnectionUse};
 use crate::clock::Instant;
 use crate::http::request::request_bytes;
 use crate::http::{AnswerHead, BodyDecoder, Header, ReadFailure, Upstream};
 use crate::intake::{ClientRequest, WholeAnswer};
+use crate::interrupted_attempt::{on_lost, on_under_way, BrokenAttempt, ConnectionUse};
 use crate::node::Node;
 use crate::verification::{becomes_suspect, doubt, CONNECT_LIMIT};
 use pitchstall_platform_adapter::headers::{self, LeftOut};
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,7 +13,7 @@
 //! | [`scheduling`] | asks the scheduler of the runners where the request is to run |
 //! | [`reading`] | has a prompt read and keeps its handle |
 //! | [`attempt`] | one attempt at one runner |
-//! | [`broken_attempt`] | what follows for the runner of an attempt that ended early |
+//! | [`interrupted_attempt`] | what follows for the runner of an attempt that ended early |
 //! | [`verification`] | looks whether a silent runner can be reached |
 //! | [`relay`] | forwards a stream, and goes on at another runner |
 //! | [`answers`] | the answers that the node makes itself |
@@ -31,7 +31,6 @@
 pub mod answers;
 pub mod attempt;
 pub mod authority;
-pub mod broken_attempt;
 pub mod cache_listing;
 pub mod clock;
 pub mod compression;
@@ -41,20 +40,21 @@
 pub mod dispatch;
 pub mod entries;
 pub mod far_traffic;
-pub mod held_parts;
 pub mod http;
 pub mod intake;
+pub mod interrupted_attempt;
 pub mod json_lines;
 pub mod listener;
 pub mod logging;
 pub mod metrics;
 pub mod mirror;
-pub mod missed_answers;
+pub mod missed_replies;
 pub mod node;
 pub mod peer_words;
 pub mod peers;
 pub mod platform_client;
 pub mod policy;
+pub mod prefix_announcements;
 pub mod quarantine;
 pub mod quota;
 pub mod reading;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -6,10 +6,10 @@
 //! the runners see.
 
 use crate::clock::Instant;
-use crate::held_parts;
 use crate::node::{machine_wall_ms, Node};
 use crate::peer_words::{PeerSocket, PeerWord, MOST_DATAGRAM_BYTES};
 use crate::platform_client::PlatformClient;
+use crate::prefix_announcements;
 use crate::quarantine;
 use crate::quota::{self, RegistrationLease};
 use crate::refused_entries::EntryFault;
@@ -128,7 +128,7 @@
             PeerWord::Progress(word) => shard_scheduler::on_progress(&self.node, &word),
             PeerWord::Loads(word) => self.node.on_shard_loads(&word),
             PeerWord::RegionLoads(word) => scheduling::on_region_loads(&self.node, word),
-            PeerWord::PartsRead(readings) => held_parts::on_word(&self.node, &readings),
+            PeerWord::PartsRead(readings) => prefix_announcements::on_word(&self.node, &readings),
             PeerWord::UsageQuestion(question) => usage::on_question(&self.node, &question),
             PeerWord::Crash(word) => quarantine::on_word(&self.node, word),
             PeerWord::QuotaQuestion(question) => {
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -1,11 +1,11 @@
 //! Has a prompt read by a prefill runner, and keeps the handle until it is taken or freed.
 
 use crate::attempt::{self, AttemptEnd, AttemptParams, Prepared};
-use crate::broken_attempt::{on_broken, BrokenAttempt};
 use crate::clock::Instant;
 use crate::http::request::request_bytes;
 use crate::http::Upstream;
 use crate::intake::ClientRequest;
+use crate::interrupted_attempt::{on_broken, BrokenAttempt};
 use crate::node::Node;
 use pitchstall_platform_adapter::paths;
 use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -4,7 +4,7 @@
 //! What a keeper gives is decided in [`pitchstall_serving::limit_keeper`], what is believed of a runner in
 //! [`pitchstall_serving::runner_limit`]. Nothing is said while no runner names a limit.
 
-use crate::missed_answers::MissedAnswers;
+use crate::missed_replies::MissedAnswers;
 use crate::node::Node;
 use crate::peer_words::PeerWord;
 use crate::shard_scheduler::possible_shards;
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -4,10 +4,10 @@
 //! [`crate::shard_scheduler`]. Words are datagrams: one that is lost is not sent again.
 
 use crate::clock::Instant;
-use crate::held_parts::UntoldReadings;
-use crate::missed_answers::MissedAnswers;
+use crate::missed_replies::MissedAnswers;
 use crate::node::Node;
 use crate::peer_words::{PeerSocket, PeerWord};
+use crate::prefix_announcements::UntoldReadings;
 use pitchstall_serving::fleet::{Eligible, Scope};
 use pitchstall_serving::ids::{NodeId, RegionId, RunnerId, ServiceName};
 use pitchstall_serving::placement::{prefill_home, Demand, PrefillPlan, RunnerChoice};
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -4,9 +4,9 @@
 //! What is decided stands in [`pitchstall_serving::scheduler`], what is set aside in
 //! [`pitchstall_serving::reservations`].
 
-use crate::held_parts;
 use crate::node::Node;
 use crate::peer_words::PeerWord;
+use crate::prefix_announcements;
 use crate::runner_limits;
 use crate::scheduling::{choose_here, elsewhere, named, scheduler_of, PlacementDemand};
 use crate::verification::verify;
@@ -157,7 +157,7 @@
     let tokens = read.prefill.demand.prefill_tokens + read.prefill.demand.overdue_tokens;
     // What it held, or took over, is known where it was read.
     if tokens >= read.shared_prefixes.iter().map(|part| part.tokens).sum() {
-        held_parts::on_read(node, &read.prefill.runner, &read.shared_prefixes);
+        prefix_announcements::on_read(node, &read.prefill.runner, &read.shared_prefixes);
     }
     node.on_parts_held(&read.prefill.runner, &read.shared_prefixes);
     if let Some(writer) = &read.decode {
@@ -225,7 +225,7 @@
         if word % WORDS_A_REGION_WORD == 0 {
             tell_region_load(&node);
         }
-        held_parts::tell(&node);
+        prefix_announcements::tell(&node);
         if word % WORDS_A_LOOK == 0 {
             runner_limits::look(&node);
         }
