--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -4,7 +4,9 @@
 use crate::http::request::request_bytes;
 use crate::http::{AnswerHead, BodyDecoder, Header, ReadFailure, Upstream};
 use crate::intake::{ClientRequest, WholeAnswer};
-use crate::interrupted_attempt::{on_lost, on_under_way, BrokenAttempt, ConnectionUse};
+use crate::interrupted_attempt::{
+    on_connection_lost, record_unfinished_attempt, ConnectionUse, InterruptedAttempt,
+};
 use crate::node::Node;
 use crate::verification::{becomes_suspect, doubt, CONNECT_LIMIT};
 use pitchstall_platform_adapter::headers::{self, LeftOut};
@@ -19,21 +21,21 @@
 use tokio::time::timeout;
 
 /// Largest answer that is read whole.
-const MOST_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 /// Surplus answers that are passed over while waiting for the right one.
-const MOST_SURPLUS: usize = 4;
+const MAX_SURPLUS_RESPONSES: usize = 4;
 /// Largest surplus answer that is passed over.
-const MOST_SURPLUS_BYTES: usize = 1024 * 1024;
-const MICROS_PER_MILLI: u64 = 1_000;
+const MAX_SURPLUS_RESPONSE_BYTES: usize = 1024 * 1024;
+const US_PER_MS: u64 = 1_000;
 
 /// Counts an attempt as in flight at its runner until dropped.
-pub struct Flight {
+pub struct InFlightGuard {
     node: Rc<Node>,
     runner: RunnerId,
     demand: AttemptDemand,
 }
 
-impl Flight {
+impl InFlightGuard {
     fn new(node: &Rc<Node>, choice: &RunnerChoice) -> Self {
         node.fleet.borrow_mut().on_sent(&choice.runner, choice.demand);
         Self { node: node.clone(), runner: choice.runner.clone(), demand: choice.demand }
@@ -45,29 +47,29 @@
     }
 
     /// The runner has read the prompt; only the writing is left.
-    pub fn on_read(&mut self) {
+    pub fn on_prefilled(&mut self) {
         self.node.fleet.borrow_mut().on_prefilled(&self.runner, self.demand);
         self.demand.prefill_tokens = 0;
         self.demand.overdue_tokens = 0;
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.node.fleet.borrow_mut().on_ended(&self.runner, self.demand);
     }
 }
 
 /// A connection to a runner on which nothing of this request has been sent.
-pub struct Prepared {
+pub struct PreparedConnection {
     connection: Upstream,
     record: RunnerRecord,
-    flight: Flight,
+    in_flight: InFlightGuard,
     /// How long a kept connection has rested; `None`: a new one.
-    rested: Option<Duration>,
+    idle: Option<Duration>,
 }
 
-impl Prepared {
+impl PreparedConnection {
     /// The runner.
     pub fn record(&self) -> &RunnerRecord {
         &self.record
@@ -77,30 +79,30 @@
 /// How an attempt ended, up to the head of the answer.
 pub enum AttemptEnd {
     /// The runner answers.
-    Answering(Box<Answering>),
+    Responding(Box<AttemptResponse>),
     /// The runner has not run it and never will.
     Declined,
     /// The runner may have run it.
     Lost,
     /// No answer came within the attempt's time.
-    Silent,
+    Unanswered,
 }
 
 /// An answer whose head has come.
-pub struct Answering {
+pub struct AttemptResponse {
     /// The head.
     pub head: AnswerHead,
     /// The runner.
     pub record: RunnerRecord,
     /// Counts the attempt.
-    pub flight: Flight,
+    pub in_flight: InFlightGuard,
     connection: Upstream,
     decoder: BodyDecoder,
 }
 
 /// Why there is no connection to a chosen runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotPrepared {
+pub enum PrepareError {
     /// It takes no request from this node any more, or none now.
     Withheld,
     /// It cannot be reached.
@@ -108,25 +110,28 @@
 }
 
 /// Takes or opens a connection to the chosen runner.
-pub async fn prepare(node: &Rc<Node>, choice: &RunnerChoice) -> Result<Prepared, NotPrepared> {
-    let record = usable_record(node, &choice.runner)?;
-    if in_flight(node, &choice.runner) >= node.connection_share(&record.service) {
+pub async fn prepare(
+    node: &Rc<Node>,
+    choice: &RunnerChoice,
+) -> Result<PreparedConnection, PrepareError> {
+    let record = record_accepting_work(node, &choice.runner)?;
+    if attempts_in_flight(node, &choice.runner) >= node.connection_share(&record.service) {
         log::info!(target: "attempt", runner = choice.runner.as_str(); "no connection left");
-        return Err(NotPrepared::Unreachable);
+        return Err(PrepareError::Unreachable);
     }
-    let flight = Flight::new(node, choice);
+    let in_flight = InFlightGuard::new(node, choice);
     if let Some(kept) = node.pool.take(&record.id) {
-        let rested = Some(kept.rested);
-        return Ok(Prepared { connection: kept.connection, record, flight, rested });
+        let idle = Some(kept.rested);
+        return Ok(PreparedConnection { connection: kept.connection, record, in_flight, idle });
     }
     node.metrics.connections.inc();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     match Upstream::open(record.address, CONNECT_LIMIT).await {
         Ok(connection) => {
-            node.on_round_trip(&record.zone, begun.elapsed());
+            node.on_round_trip(&record.zone, started_at.elapsed());
             // The runner may have begun to leave, or to rest, while the connection was being opened.
-            let record = usable_record(node, &choice.runner)?;
-            Ok(Prepared { connection, record, flight, rested: None })
+            let record = record_accepting_work(node, &choice.runner)?;
+            Ok(PreparedConnection { connection, record, in_flight, idle: None })
         }
         Err(error) => {
             let is_refused = error.is_refused();
@@ -134,20 +139,20 @@
             let runner = record.id.as_str();
             log::info!(target: "attempt", runner, error; "unreachable");
             node.on_unreachable(&record.id, is_refused);
-            Err(NotPrepared::Unreachable)
+            Err(PrepareError::Unreachable)
         }
     }
 }
 
-fn in_flight(node: &Node, runner: &RunnerId) -> u32 {
+fn attempts_in_flight(node: &Node, runner: &RunnerId) -> u32 {
     node.fleet.borrow().get(runner).map_or(0, |runner| runner.in_flight)
 }
 
-fn usable_record(node: &Node, runner: &RunnerId) -> Result<RunnerRecord, NotPrepared> {
+fn record_accepting_work(node: &Node, runner: &RunnerId) -> Result<RunnerRecord, PrepareError> {
     let now_us = node.now_us();
     let fleet = node.fleet.borrow();
-    let usable = fleet.get(runner).filter(|runner| runner.accepts_work_from_this_node(now_us));
-    usable.map(|runner| runner.record.clone()).ok_or(NotPrepared::Withheld)
+    let accepting = fleet.get(runner).filter(|runner| runner.accepts_work_from_this_node(now_us));
+    accepting.map(|runner| runner.record.clone()).ok_or(PrepareError::Withheld)
 }
 
 /// What goes with an attempt.
@@ -168,75 +173,75 @@
     /// When the request's time is up.
     pub deadline: Instant,
     /// Longest wait for the head of the answer.
-    pub head_limit: Duration,
+    pub head_timeout: Duration,
     /// Time until the prompt should have been read.
-    pub expected: Duration,
+    pub expected_prefill: Duration,
     /// Silence after which the runner is looked at.
-    pub doubt_after: Duration,
+    pub verify_after: Duration,
     /// Whether the attempt ends when its runner cannot be reached any more: only for what may
     /// be repeated.
-    pub leaves_suspects: bool,
+    pub abandons_suspects: bool,
 }
 
 /// Sends a request and waits for the head of its answer.
 pub async fn send(
     node: &Rc<Node>,
     request: &ClientRequest,
-    prepared: Prepared,
+    prepared: PreparedConnection,
     params: &AttemptParams,
 ) -> AttemptEnd {
     let runner = prepared.record.id.clone();
     node.metrics.attempts.inc();
-    let bytes = attempt_bytes(request, &prepared.record, params);
+    let bytes = encode_attempt(request, &prepared.record, params);
     log_sent(request, &prepared, params);
     let sent_at = Instant::now();
     let sent_at_us = node.now_us();
-    let connection = ConnectionUse { rested: prepared.rested, sent_at };
-    let broken = BrokenAttempt { request, tenant: params.tenant.as_ref(), runner: &runner };
+    let connection = ConnectionUse { idle: prepared.idle, sent_at };
+    let attempt = InterruptedAttempt { request, tenant: params.tenant.as_ref(), runner: &runner };
     if !node.may_send_to(&runner) {
         node.metrics.unwanted_attempts.inc();
     }
     if let Err(error) = prepared.connection.send(bytes) {
-        on_lost(node, broken, connection, &error);
+        on_connection_lost(node, attempt, connection, &error);
         return AttemptEnd::Lost;
     }
-    let head = read_own_head(node, request, &prepared, sent_at_us);
-    let answer = tokio::select! {
-        answer = timeout(params.head_limit, head) => answer,
-        () = becomes_suspect(node, &runner), if params.leaves_suspects => {
+    let head = read_matching_head(node, request, &prepared, sent_at_us);
+    let outcome = tokio::select! {
+        outcome = timeout(params.head_timeout, head) => outcome,
+        () = becomes_suspect(node, &runner), if params.abandons_suspects => {
             log::info!(target: "attempt", request = request.facts.id.as_str(), runner = runner.as_str(); "left");
-            on_under_way(node, broken);
-            return AttemptEnd::Silent;
+            record_unfinished_attempt(node, attempt);
+            return AttemptEnd::Unanswered;
         }
-        () = doubt(node, &runner, params.doubt_after) => return AttemptEnd::Silent,
+        () = doubt(node, &runner, params.verify_after) => return AttemptEnd::Unanswered,
     };
-    match answer {
+    match outcome {
         Err(_) => {
-            let limit_ms = u64::try_from(params.head_limit.as_millis()).unwrap_or(u64::MAX);
+            let limit_ms = u64::try_from(params.head_timeout.as_millis()).unwrap_or(u64::MAX);
             let id = request.facts.id.as_str();
             log::info!(target: "attempt", request = id, runner = runner.as_str(), limit_ms; "silent");
             node.on_silence(&runner, sent_at_us);
-            on_under_way(node, broken);
-            AttemptEnd::Silent
+            record_unfinished_attempt(node, attempt);
+            AttemptEnd::Unanswered
         }
         Ok(Err(error)) => {
-            on_lost(node, broken, connection, &error);
+            on_connection_lost(node, attempt, connection, &error);
             AttemptEnd::Lost
         }
-        Ok(Ok((head, facts))) => {
-            log_head(request, &runner, &head, &facts, sent_at);
-            classify(node, request, prepared, params, head, &facts)
+        Ok(Ok((head, metadata))) => {
+            log_head(request, &runner, &head, &metadata, sent_at);
+            classify(node, request, prepared, params, head, &metadata)
         }
     }
 }
 
-fn attempt_bytes(
+fn encode_attempt(
     request: &ClientRequest,
     record: &RunnerRecord,
     params: &AttemptParams,
 ) -> Vec<u8> {
     let left = params.deadline.saturating_duration_since(Instant::now());
-    let order = AttemptInstructions {
+    let instructions = AttemptInstructions {
         deadline_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1),
         runner: record.id.clone(),
         priority: params.priority,
@@ -250,33 +255,33 @@
     let is_forwarded = |(name, value): &&Header| headers::is_forwarded(name, value, left_out);
     let forwarded = request.headers.iter().filter(is_forwarded);
     let mut all: Vec<Header> = forwarded.cloned().collect();
-    let own = headers::attempt_headers(&order).into_iter();
+    let own = headers::attempt_headers(&instructions).into_iter();
     all.extend(own.map(|(name, value)| (name.to_owned(), value.into_bytes())));
     request_bytes(&request.method, &request.target, &all, &request.body)
 }
 
 /// Reads heads until the one that answers this request. A surplus answer to an earlier
 /// request may stand in its place on a kept connection; what it says of its runner holds as well.
-async fn read_own_head(
+async fn read_matching_head(
     node: &Node,
     request: &ClientRequest,
-    prepared: &Prepared,
+    prepared: &PreparedConnection,
     sent_at_us: u64,
 ) -> Result<(AnswerHead, ResponseMetadata), ReadFailure> {
-    for _ in 0..MOST_SURPLUS {
+    for _ in 0..MAX_SURPLUS_RESPONSES {
         let head = prepared.connection.read_head().await?;
-        let facts = node.on_answer_head(&prepared.record.id, &head);
-        let is_other = facts.request_id.as_deref().is_some_and(|id| id != request.facts.id);
+        let metadata = node.on_answer_head(&prepared.record.id, &head);
+        let is_other = metadata.request_id.as_deref().is_some_and(|id| id != request.facts.id);
         // When an earlier request was sent is not known here.
         let sent_at_us = if is_other { 0 } else { sent_at_us };
-        node.on_limit_in_head(&prepared.record.id, &facts, sent_at_us);
-        if !is_other || prepared.rested.is_none() {
-            return Ok((head, facts));
+        node.on_limit_in_response(&prepared.record.id, &metadata, sent_at_us);
+        if !is_other || prepared.idle.is_none() {
+            return Ok((head, metadata));
         }
         let runner = prepared.record.id.as_str();
         log::info!(target: "attempt", request = request.facts.id.as_str(), runner; "surplus answer");
         let decoder = BodyDecoder::new(head.framing);
-        prepared.connection.read_whole_body(&decoder, MOST_SURPLUS_BYTES).await?;
+        prepared.connection.read_whole_body(&decoder, MAX_SURPLUS_RESPONSE_BYTES).await?;
     }
     Err(ReadFailure::Closed)
 }
@@ -285,28 +290,28 @@
 fn classify(
     node: &Rc<Node>,
     request: &ClientRequest,
-    prepared: Prepared,
+    prepared: PreparedConnection,
     params: &AttemptParams,
     head: AnswerHead,
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
 ) -> AttemptEnd {
     let runner = prepared.record.id.clone();
     let id = request.facts.id.as_str();
     let status = head.status;
-    if let Some(load) = facts.load {
+    if let Some(load) = metadata.load {
         node.fleet.borrow_mut().on_load(&runner, load, node.now_us());
     }
-    let is_own = facts.request_id.as_deref() == Some(id);
-    if facts.not_run && (is_own || facts.request_id.is_none()) {
-        let misdirected = facts.misdirected;
+    let is_own = metadata.request_id.as_deref() == Some(id);
+    if metadata.not_run && (is_own || metadata.request_id.is_none()) {
+        let misdirected = metadata.misdirected;
         log::info!(target: "attempt", request = id, runner = runner.as_str(), status, misdirected; "declined");
         on_declined(node, prepared, head, misdirected);
         return AttemptEnd::Declined;
     }
-    let success = (200..300).contains(&status);
-    let only_read = params.work == Work::Prefill && success;
+    let is_success = (200..300).contains(&status);
+    let is_prefill_response = params.work == Work::Prefill && is_success;
     // What is not signed by a runner is no runner's answer, whatever its status.
-    if !is_own || facts.encoded || !(facts.signed || only_read) {
+    if !is_own || metadata.encoded || !(metadata.signed || is_prefill_response) {
         log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "no answer");
         node.fleet.borrow_mut().on_answered(&runner, true, node.now_us());
         return AttemptEnd::Lost;
@@ -314,11 +319,17 @@
     node.fleet.borrow_mut().on_answered(&runner, status >= 500, node.now_us());
     node.fleet.borrow_mut().on_accepted(&runner);
     let decoder = BodyDecoder::new(head.framing);
-    let Prepared { connection, record, flight, .. } = prepared;
-    AttemptEnd::Answering(Box::new(Answering { head, record, flight, connection, decoder }))
+    let PreparedConnection { connection, record, in_flight, .. } = prepared;
+    AttemptEnd::Responding(Box::new(AttemptResponse {
+        head,
+        record,
+        in_flight,
+        connection,
+        decoder,
+    }))
 }
 
-fn on_declined(node: &Rc<Node>, prepared: Prepared, head: AnswerHead, misdirected: bool) {
+fn on_declined(node: &Rc<Node>, prepared: PreparedConnection, head: AnswerHead, misdirected: bool) {
     let runner = prepared.record.id.clone();
     if misdirected {
         node.fleet.borrow_mut().on_misdirected(&runner);
@@ -328,18 +339,18 @@
     node.fleet.borrow_mut().on_full(&runner, node.now_us());
     let node = node.clone();
     ntex::rt::spawn(async move {
-        let Prepared { connection, flight, .. } = prepared;
-        drop(flight);
+        let PreparedConnection { connection, in_flight, .. } = prepared;
+        drop(in_flight);
         let decoder = BodyDecoder::new(head.framing);
-        let whole = connection.read_whole_body(&decoder, MOST_SURPLUS_BYTES);
-        let read = timeout(CONNECT_LIMIT, whole).await;
-        if matches!(read, Ok(Ok(_))) && head.keep_alive {
+        let body = connection.read_whole_body(&decoder, MAX_SURPLUS_RESPONSE_BYTES);
+        let read_chunk = timeout(CONNECT_LIMIT, body).await;
+        if matches!(read_chunk, Ok(Ok(_))) && head.keep_alive {
             node.pool.give_back(&runner, connection, head.idle_limit);
         }
     });
 }
 
-fn log_sent(request: &ClientRequest, prepared: &Prepared, params: &AttemptParams) {
+fn log_sent(request: &ClientRequest, prepared: &PreparedConnection, params: &AttemptParams) {
     let work = match params.work {
         Work::Run => "run",
         Work::Prefill => "read",
@@ -347,11 +358,11 @@
     };
     let id = request.facts.id.as_str();
     let runner = prepared.record.id.as_str();
-    let reused = prepared.rested.is_some();
+    let reused = prepared.idle.is_some();
     let revision = prepared.record.revision.to_string();
-    let unread = prepared.flight.demand.prefill_tokens;
-    let late = prepared.flight.demand.overdue_tokens;
-    let expected_ms = u64::try_from(params.expected.as_millis()).unwrap_or(u64::MAX);
+    let unread = prepared.in_flight.demand.prefill_tokens;
+    let late = prepared.in_flight.demand.overdue_tokens;
+    let expected_ms = u64::try_from(params.expected_prefill.as_millis()).unwrap_or(u64::MAX);
     let rank = params.priority.unwrap_or_default();
     let fetch = params.fetch_from.is_some();
     log::info!(target: "attempt", request = id, runner, work, reused, revision, unread, late, rank, fetch, expected_ms; "sent");
@@ -361,25 +372,25 @@
     request: &ClientRequest,
     runner: &RunnerId,
     head: &AnswerHead,
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
     sent_at: Instant,
 ) {
     let id = request.facts.id.as_str();
     let runner = runner.as_str();
     let status = head.status;
     let head_ms = u64::try_from(sent_at.elapsed().as_millis()).unwrap_or(u64::MAX);
-    let running = facts.load.map_or(0, |load| load.running);
-    let waiting = facts.load.map_or(0, |load| load.waiting);
-    let RunnerNotice { leaving, rest_us, limit, malformed } = facts.notice;
+    let running = metadata.load.map_or(0, |load| load.running);
+    let waiting = metadata.load.map_or(0, |load| load.waiting);
+    let RunnerNotice { leaving, rest_us, limit, malformed } = metadata.notice;
     let limit = limit.map_or_else(|| "none".to_owned(), |limit| limit.to_string());
-    let rest_ms = rest_us / MICROS_PER_MILLI;
+    let rest_ms = rest_us / US_PER_MS;
     log::info!(
         target: "attempt",
         request = id, runner, status, head_ms, running, waiting, leaving, rest_ms, limit, malformed; "head"
     );
 }
 
-impl Answering {
+impl AttemptResponse {
     /// The headers of the answer that are for the client.
     pub fn client_headers(&self) -> Vec<Header> {
         let named = crate::http::named_by_connection(&self.head.headers);
@@ -391,7 +402,7 @@
     }
 
     /// Reads the next bytes of the body; `None` at its end.
-    pub async fn read(&self) -> Result<Option<ntex::util::Bytes>, ReadFailure> {
+    pub async fn read_chunk(&self) -> Result<Option<ntex::util::Bytes>, ReadFailure> {
         self.connection.read_body(&self.decoder).await
     }
 
@@ -401,13 +412,13 @@
     }
 
     /// Reads the whole body.
-    pub async fn read_whole(&self) -> Result<WholeAnswer, ReadFailure> {
-        let body = self.connection.read_whole_body(&self.decoder, MOST_ANSWER_BYTES).await?;
+    pub async fn read_all(&self) -> Result<WholeAnswer, ReadFailure> {
+        let body = self.connection.read_whole_body(&self.decoder, MAX_RESPONSE_BYTES).await?;
         Ok(WholeAnswer { status: self.head.status, headers: self.client_headers(), body })
     }
 
     /// The body was read to its end: the connection may serve another request.
-    pub fn give_back(self, node: &Node) {
+    pub fn return_connection(self, node: &Node) {
         if self.head.keep_alive {
             node.pool.give_back(&self.record.id, self.connection, self.head.idle_limit);
         }
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -20,16 +20,16 @@
 use tokio::time::{sleep, timeout};
 
 /// Between two looks whether the node is ready.
-const READY_POLL: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for the head of one runner's answer; the list is waited for as long as it makes progress.
-const LIST_LIMIT: Duration = Duration::from_millis(1_000);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Largest answer.
-const MOST_LIST_BYTES: usize = 1024 * 1024;
+const MAX_LIST_BYTES: usize = 1024 * 1024;
 /// Asks the runners of language models of the shards that this node schedules. A node that knows
 /// no others yet would ask all of them, so it waits until it has read who is there.
 pub async fn list_own_shards(node: Rc<Node>) {
     while !node.is_ready() || !node.has_listed_nodes() {
-        sleep(READY_POLL).await;
+        sleep(READY_POLL_INTERVAL).await;
     }
     let shards = own_shards(&node);
     let runners = runners_to_list(&node.fleet.borrow(), &shards);
@@ -37,38 +37,38 @@
         if !node.may_send_to(&runner) {
             continue;
         }
-        let told = list(address).await;
-        if let Some(other) = told.as_ref().filter(|told| !runner.matches_start(told.born_ms)) {
+        let reply = fetch_cache_list(address).await;
+        if let Some(other) = reply.as_ref().filter(|reply| !runner.matches_start(reply.born_ms)) {
             node.on_other_life(&runner, other.born_ms);
             continue;
         }
-        let parts = told.map(|told| told.what);
-        let listed = parts.as_ref().map_or(0, Vec::len);
-        let answered = parts.is_some();
+        let prefixes = reply.map(|reply| reply.what);
+        let listed = prefixes.as_ref().map_or(0, Vec::len);
+        let answered = prefixes.is_some();
         log::info!(target: "scheduling", runner = runner.as_str(), answered, listed; "cache listed");
-        node.on_parts_held(&runner, &parts.unwrap_or_default());
+        node.on_parts_held(&runner, &prefixes.unwrap_or_default());
     }
 }
 
 /// Runners of language models that belong to one of the shards.
 pub fn runners_to_list(fleet: &Fleet, shards: &[Shard]) -> Vec<(RunnerId, SocketAddr)> {
-    let has = |runner: &&Runner| {
-        let is_engine = runner.accepts_work() && runner.record.stage.is_some();
-        is_engine && shards.iter().any(|shard| shard.contains(runner))
+    let is_listed = |runner: &&Runner| {
+        let serves_model = runner.accepts_work() && runner.record.stage.is_some();
+        serves_model && shards.iter().any(|shard| shard.contains(runner))
     };
-    let listed = fleet.iter().filter(has);
+    let listed = fleet.iter().filter(is_listed);
     listed.map(|runner| (runner.record.id.clone(), runner.record.address)).collect()
 }
 
-async fn list(address: SocketAddr) -> Option<Told<Vec<PromptPart>>> {
+async fn fetch_cache_list(address: SocketAddr) -> Option<Told<Vec<PromptPart>>> {
     const OK: u16 = 200;
-    let connection = Upstream::open(address, LIST_LIMIT).await.ok()?;
+    let connection = Upstream::open(address, RESPONSE_HEAD_TIMEOUT).await.ok()?;
     let headers = [("host".to_owned(), address.to_string().into_bytes())];
     connection.send(request_bytes("GET", paths::LIST_CACHE, &headers, &[])).ok()?;
-    let head = timeout(LIST_LIMIT, connection.read_head()).await.ok()?.ok()?;
+    let head = timeout(RESPONSE_HEAD_TIMEOUT, connection.read_head()).await.ok()?.ok()?;
     let decoder = BodyDecoder::new(head.framing);
     let transfer = Transfer::default();
-    let body = read_body(&connection, &decoder, MOST_LIST_BYTES, &transfer).await.ok()?;
+    let body = read_body(&connection, &decoder, MAX_LIST_BYTES, &transfer).await.ok()?;
     if head.status == OK {
         paths::parse_cache_list(&body)
     } else {
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -113,11 +113,11 @@
     let peers = Peers::new(node.clone(), socket);
     ntex::rt::spawn(peers.clone().receive());
     ntex::rt::spawn(peers.clone().announce());
-    ntex::rt::spawn(shard_scheduler::tell_loads(node.clone()));
+    ntex::rt::spawn(shard_scheduler::report_loads(node.clone()));
     ntex::rt::spawn(peers.register());
     ntex::rt::spawn(authority::hold_fleet(node.clone()));
     ntex::rt::spawn(authority::hold_roles(node.clone()));
-    ntex::rt::spawn(roles::order_changes(node.clone()));
+    ntex::rt::spawn(roles::order_role_changes(node.clone()));
     ntex::rt::spawn(quarantine::keep_written(node.clone()));
     ntex::rt::spawn(usage::report(node.clone()));
     ntex::rt::spawn(quota::slots::keep(node.clone()));
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -39,10 +39,13 @@
             return Ok(Admission::Withheld);
         }
         let cost = self.arrivals.on_run();
-        if cost != ArrivalCost::Free && plan.prompt.is_none() && self.is_too_late(&plan.choice) {
+        if cost != ArrivalCost::Free
+            && plan.prefilled.is_none()
+            && self.would_miss_deadline(&plan.choice)
+        {
             return Err(EndReason::OutOfTime);
         }
-        if !self.pay(cost) {
+        if !self.pay_for_arrival(cost) {
             return Err(EndReason::Refused);
         }
         Ok(Admission::Paid(self.payment.take().map(Payment::spend)))
@@ -54,16 +57,16 @@
             return true;
         }
         let request = &self.request.facts.id;
-        runner_limits::permit(self.node, request, &plan.choice.runner).await.is_some()
+        runner_limits::request_permit(self.node, request, &plan.choice.runner).await.is_some()
     }
 
     /// Has the next run paid for by the tenant's keepers, if it is not; `None`: it is, or costs
     /// nothing.
-    pub(super) async fn payment_to_make(&self) -> Result<Option<Payment>, EndReason> {
+    pub(super) async fn request_payment(&self) -> Result<Option<Payment>, EndReason> {
         match &self.run_cost {
             Some(run) if self.payment.is_none() => {
                 let request = &self.request.facts.id;
-                asking::pay(self.node, request, run).await.map(Some).map_err(reason_of)
+                asking::pay(self.node, request, run).await.map(Some).map_err(end_reason)
             }
             _ => Ok(None),
         }
@@ -79,14 +82,14 @@
         let lapsed = self.payment.take();
         let run = if lapsed.is_some() { &run.granted_before() } else { run };
         drop(lapsed);
-        let paid = asking::pay(self.node, &self.request.facts.id, run).await;
-        self.payment = Some(paid.map_err(reason_of)?);
+        let payment = asking::pay(self.node, &self.request.facts.id, run).await;
+        self.payment = Some(payment.map_err(end_reason)?);
         Ok(())
     }
 
     /// Pays for an arrival at a runner before it is sent; `false`: it may not be sent.
-    pub(super) fn pay(&mut self, cost: ArrivalCost) -> bool {
-        cost == ArrivalCost::Free || std::mem::take(&mut self.is_prepaid) || self.withdraw()
+    pub(super) fn pay_for_arrival(&mut self, cost: ArrivalCost) -> bool {
+        cost == ArrivalCost::Free || std::mem::take(&mut self.has_prepaid_retry) || self.withdraw()
     }
 
     pub(super) fn withdraw(&self) -> bool {
@@ -97,7 +100,7 @@
     }
 }
 
-fn reason_of(unpaid: Unpaid) -> EndReason {
+fn end_reason(unpaid: Unpaid) -> EndReason {
     match unpaid {
         Unpaid::OverQuota { wait_ms } => EndReason::OverQuota { wait_ms },
         Unpaid::Unreachable => EndReason::QuotaUnknown,
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -10,11 +10,11 @@
 use self::admission::Admission;
 use self::planning::elapsed_ms;
 use crate::answers::OwnAnswer;
-use crate::attempt::{self, Answering, AttemptEnd, AttemptParams, NotPrepared};
+use crate::attempt::{self, AttemptEnd, AttemptParams, AttemptResponse, PrepareError};
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
 use crate::intake::{ClientRequest, RequestEnd, WholeAnswer};
-use crate::interrupted_attempt::{look_at_runner, on_broken, BrokenAttempt};
+use crate::interrupted_attempt::{on_interrupted, verify_runner, InterruptedAttempt};
 use crate::node::Node;
 use crate::policy::PlacementRules;
 use crate::quota::asking::{Payment, RunCost, Spent};
@@ -39,15 +39,15 @@
 use tokio::time::timeout;
 
 /// Runners that are tried without reaching them before a request is given up.
-const MOST_UNREACHABLE: usize = 8;
+const MAX_UNREACHABLE_RUNNERS: usize = 8;
 /// Part of the time left that one attempt may take when another could follow.
-const ATTEMPT_SHARE: f64 = 0.45;
+const MAX_ATTEMPT_TIME_SHARE: f64 = 0.45;
 /// Part of its target for which a request hears nothing before its runner is doubted.
-const DOUBT_SHARE: f64 = 0.5;
+const VERIFY_AFTER_TARGET_SHARE: f64 = 0.5;
 /// Pauses between events, in targets, after which a stream counts as silent.
-const SILENT_PAUSES: u32 = 4;
+const STALL_GAP_TARGETS: u32 = 4;
 /// Shortest pause after which a stream counts as silent.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(1_000);
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// One request on its way to its final answer.
 pub struct Dispatch<'a> {
@@ -63,7 +63,7 @@
     tenant: Option<Rc<Tenant>>,
     /// Whether the configuration has tenants.
     has_tenants: bool,
-    version: u64,
+    config_version: u64,
     /// What a run costs the tenant; `None`: nothing.
     run_cost: Option<RunCost>,
     /// The next run, if it is paid for by the tenant's keepers.
@@ -71,7 +71,7 @@
     /// Whether the request has been counted as begun.
     is_counted: bool,
     /// Whether the next attempt is paid for: it was when the one before was left.
-    is_prepaid: bool,
+    has_prepaid_retry: bool,
     deadline: Instant,
     /// What is known of the request after the attempts so far.
     execution: Execution,
@@ -80,14 +80,14 @@
     /// Which arrivals at runners draw on the retry budget.
     arrivals: ArrivalLedger,
     excluded: Vec<RunnerId>,
-    unreachable: usize,
+    unreachable_count: usize,
     /// A runner's own failure, for want of something better.
-    failure: Option<WholeAnswer>,
+    runner_failure: Option<WholeAnswer>,
     stream: StreamState,
 }
 
 enum Step {
-    Again,
+    Retry,
     Done(RequestEnd),
 }
 
@@ -113,18 +113,18 @@
             rules,
             tenant: None,
             has_tenants: !configuration.tenants.is_empty(),
-            version: configuration.version,
+            config_version: configuration.version,
             run_cost: None,
             payment: None,
             is_counted: false,
-            is_prepaid: false,
+            has_prepaid_retry: false,
             deadline,
             execution: Execution::NotRun,
             runs: 0,
             arrivals: ArrivalLedger::default(),
             excluded: Vec::new(),
-            unreachable: 0,
-            failure: None,
+            unreachable_count: 0,
+            runner_failure: None,
             stream: StreamState::new(request.facts.last_event_id),
         }
     }
@@ -132,7 +132,8 @@
     /// The request runs for a tenant.
     pub fn for_tenant(self, tenant: Option<Rc<Tenant>>) -> Self {
         let facts = &self.request.facts;
-        let run_cost = RunCost::of(tenant.as_ref(), facts, self.rules.priority, self.version);
+        let run_cost =
+            RunCost::of(tenant.as_ref(), facts, self.rules.priority, self.config_version);
         Self { tenant, run_cost, ..self }
     }
 
@@ -159,48 +160,48 @@
         let prepared = match attempt::prepare(self.node, &plan.choice).await {
             Ok(prepared) => prepared,
             // The runner is no candidate any more: another one is chosen.
-            Err(NotPrepared::Withheld) => return Step::Again,
-            Err(NotPrepared::Unreachable) => {
-                plan.tell(Progress::Unreachable(plan.choice.runner.clone()));
+            Err(PrepareError::Withheld) => return Step::Retry,
+            Err(PrepareError::Unreachable) => {
+                plan.report(Progress::Unreachable(plan.choice.runner.clone()));
                 return self.on_unreachable(plan.choice.runner);
             }
         };
         let spent = match self.admit(&plan).await {
             Ok(Admission::Paid(spent)) => spent,
-            Ok(Admission::Withheld) => return Step::Again,
+            Ok(Admission::Withheld) => return Step::Retry,
             Err(reason) => return self.give_up(reason),
         };
-        let work = match &plan.prompt {
+        let work = match &plan.prefilled {
             Some(prompt) => Work::DecodeFrom(prompt.handle.clone()),
             None => Work::Run,
         };
-        let params = self.params(work, &plan.choice);
+        let attempt_params = self.attempt_params(work, &plan.choice);
         let sent_at = Instant::now();
         let mut begin = self.begin_mark(sent_at);
-        let end = attempt::send(self.node, self.request, prepared, &params).await;
+        let end = attempt::send(self.node, self.request, prepared, &attempt_params).await;
         match (&end, spent) {
             (AttemptEnd::Declined, spent) => self.payment = spent.map(Spent::not_run),
             (_, Some(spent)) => spent.on_begun(),
             (_, None) => {}
         }
         match end {
-            AttemptEnd::Answering(answering) => {
+            AttemptEnd::Responding(response) => {
                 begin.on_answer();
                 self.is_counted = true;
-                if let Some(prompt) = &plan.prompt {
+                if let Some(prompt) = &plan.prefilled {
                     prompt.on_taken();
                 } else {
-                    plan.tell(Progress::Prefilled(elapsed_ms(sent_at)));
+                    plan.report(Progress::Prefilled(elapsed_ms(sent_at)));
                 }
-                self.deliver(*answering, client).await
+                self.deliver(*response, client).await
             }
             AttemptEnd::Declined => {
                 begin.on_declined();
-                plan.tell(Progress::Declined(plan.choice.runner.clone()));
+                plan.report(Progress::Declined(plan.choice.runner.clone()));
                 self.excluded.push(plan.choice.runner);
-                Step::Again
+                Step::Retry
             }
-            AttemptEnd::Lost | AttemptEnd::Silent => {
+            AttemptEnd::Lost | AttemptEnd::Unanswered => {
                 begin.on_lost();
                 self.is_counted = true;
                 self.on_lost(plan.choice.runner)
@@ -228,7 +229,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    fn params(&self, work: Work, choice: &RunnerChoice) -> AttemptParams {
+    fn attempt_params(&self, work: Work, choice: &RunnerChoice) -> AttemptParams {
         AttemptParams {
             fetch_from: self.address_of(choice.fetch_from.as_ref()),
             work,
@@ -238,12 +239,13 @@
                 .engine
                 .as_ref()
                 .map(|_| rank(self.rules.priority, choice, self.route.target_ms as f64)),
-            after_event: self.resume_point(),
+            after_event: self.resume_after_event(),
             deadline: self.deadline,
-            head_limit: self.attempt_limit(),
-            expected: Duration::from_micros(choice.expected_prefill_us),
-            doubt_after: Duration::from_millis(self.route.target_ms).mul_f64(DOUBT_SHARE),
-            leaves_suspects: self.could_follow(),
+            head_timeout: self.attempt_timeout(),
+            expected_prefill: Duration::from_micros(choice.expected_prefill_us),
+            verify_after: Duration::from_millis(self.route.target_ms)
+                .mul_f64(VERIFY_AFTER_TARGET_SHARE),
+            abandons_suspects: self.may_retry_after(),
         }
     }
 
@@ -253,7 +255,7 @@
     }
 
     /// The event after which the node itself makes a stream go on.
-    fn resume_point(&self) -> Option<u64> {
+    fn resume_after_event(&self) -> Option<u64> {
         if self.stream.begun {
             self.stream.join.last_id()
         } else {
@@ -262,18 +264,18 @@
     }
 
     /// Silence gives no reason to end an attempt, unless another can follow.
-    fn attempt_limit(&self) -> Duration {
+    fn attempt_timeout(&self) -> Duration {
         let left = self.time_left();
-        if self.could_follow() {
-            left.mul_f64(ATTEMPT_SHARE)
+        if self.may_retry_after() {
+            left.mul_f64(MAX_ATTEMPT_TIME_SHARE)
         } else {
             left
         }
     }
 
     /// Whether another attempt may follow the one that is made now.
-    fn could_follow(&self) -> bool {
-        self.may_run_again(1) && self.budget_allows_one()
+    fn may_retry_after(&self) -> bool {
+        self.may_run_again(1) && self.has_retry_budget()
     }
 
     /// Whether the request may run once more after so many further runs.
@@ -281,17 +283,17 @@
         self.route.is_repeatable() && self.runs + further < self.route.max_attempts
     }
 
-    fn budget_allows_one(&self) -> bool {
+    fn has_retry_budget(&self) -> bool {
         self.node.with_budget(&self.service, |budget| budget.has_attempt())
     }
 
     fn on_unreachable(&mut self, runner: RunnerId) -> Step {
         self.excluded.push(runner);
-        self.unreachable += 1;
-        if self.unreachable >= MOST_UNREACHABLE {
+        self.unreachable_count += 1;
+        if self.unreachable_count >= MAX_UNREACHABLE_RUNNERS {
             return self.give_up(EndReason::NoRunner);
         }
-        Step::Again
+        Step::Retry
     }
 
     fn on_lost(&mut self, runner: RunnerId) -> Step {
@@ -302,55 +304,55 @@
             return self.give_up(EndReason::OutOfTime);
         }
         if self.may_run_again(0) {
-            return Step::Again;
+            return Step::Retry;
         }
         self.give_up(EndReason::Failed)
     }
 
-    async fn deliver(&mut self, mut answering: Answering, client: &ClientConnection) -> Step {
-        answering.flight.on_read();
-        self.node.on_parts_held(&answering.record.id, self.prompt.shared_prefix());
+    async fn deliver(&mut self, mut response: AttemptResponse, client: &ClientConnection) -> Step {
+        response.in_flight.on_prefilled();
+        self.node.on_parts_held(&response.record.id, self.prompt.shared_prefix());
         let first_byte = self.request.received.elapsed().as_secs_f64();
         self.node.metrics.first_byte.observe(first_byte);
-        let success = (200..300).contains(&answering.head.status);
+        let success = (200..300).contains(&response.head.status);
         if success && self.route.kind == RequestKind::Streaming {
-            self.deliver_stream(answering, client).await
+            self.deliver_stream(response, client).await
         } else {
-            self.deliver_whole(answering).await
+            self.deliver_whole(response).await
         }
     }
 
-    async fn deliver_whole(&mut self, answering: Answering) -> Step {
-        let runner = answering.record.id.clone();
-        let answer = match timeout(self.attempt_limit(), answering.read_whole()).await {
+    async fn deliver_whole(&mut self, response: AttemptResponse) -> Step {
+        let runner = response.record.id.clone();
+        let answer = match timeout(self.attempt_timeout(), response.read_all()).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
                 let error = error.to_string();
                 let id = self.request.facts.id.as_str();
                 log::info!(target: "attempt", request = id, runner = runner.as_str(), error; "broken off");
-                on_broken(self.node, self.broken(&runner));
+                on_interrupted(self.node, self.interrupted_attempt_at(&runner));
                 return self.on_lost(runner);
             }
             Err(_) => return self.on_lost(runner),
         };
-        let is_framed = !answering.ends_with_connection();
-        answering.give_back(self.node);
+        let is_framed = !response.ends_with_connection();
+        response.return_connection(self.node);
         // A failure may come from a runner that has not begun to run it.
         if (200..300).contains(&answer.status) {
             self.on_success(&runner, is_framed);
         }
-        const FIRST_FAILURE: u16 = 500;
-        if answer.status < FIRST_FAILURE || self.stream.begun {
+        const MIN_SERVER_ERROR_STATUS: u16 = 500;
+        if answer.status < MIN_SERVER_ERROR_STATUS || self.stream.begun {
             return self.done_whole(answer);
         }
         self.execution = Execution::Ran;
         self.runs += 1;
         self.excluded.push(runner);
-        if !self.may_run_again(0) || !self.budget_allows_one() {
+        if !self.may_run_again(0) || !self.has_retry_budget() {
             return self.done_whole(answer);
         }
-        self.failure = Some(answer);
-        Step::Again
+        self.runner_failure = Some(answer);
+        Step::Retry
     }
 
     /// A runner has answered with success. Where only the end of the connection tells that the answer
@@ -359,7 +361,7 @@
         if is_framed {
             self.node.on_success(|| self.identity());
         } else {
-            look_at_runner(self.node, self.broken(runner));
+            verify_runner(self.node, self.interrupted_attempt_at(runner));
         }
     }
 
@@ -370,20 +372,24 @@
         Step::Done(RequestEnd::Whole(answer))
     }
 
-    async fn deliver_stream(&mut self, answering: Answering, client: &ClientConnection) -> Step {
-        let runner = answering.record.id.clone();
+    async fn deliver_stream(
+        &mut self,
+        response: AttemptResponse,
+        client: &ClientConnection,
+    ) -> Step {
+        let runner = response.record.id.clone();
         let mut splitter = EventSplitter::default();
         let end = loop {
-            let limits = RelayLimits { deadline: self.deadline, pause: self.longest_pause() };
-            let end = relay(&answering, client, &mut self.stream, &mut splitter, limits).await;
-            if end != RelayEnd::Silent || self.may_leave(&runner) {
+            let limits = RelayLimits { deadline: self.deadline, pause: self.max_stream_gap() };
+            let end = relay(&response, client, &mut self.stream, &mut splitter, limits).await;
+            if end != RelayEnd::Silent || self.may_abandon(&runner) {
                 break end;
             }
         };
         match end {
             RelayEnd::Complete => {
-                let is_framed = !answering.ends_with_connection();
-                answering.give_back(self.node);
+                let is_framed = !response.ends_with_connection();
+                response.return_connection(self.node);
                 self.on_success(&runner, is_framed);
                 Step::Done(RequestEnd::Streamed)
             }
@@ -392,15 +398,15 @@
             RelayEnd::Broken | RelayEnd::Silent => {
                 // The connection is closed first, so that the runner stops before the next
                 // one goes on.
-                drop(answering);
-                self.on_broken_stream(runner)
+                drop(response);
+                self.on_stream_interrupted(runner)
             }
         }
     }
 
     /// Whether a run that is silent is left: only if another runner is there to go on, and what that
     /// costs is paid. Silence alone is no reason to end an answer sooner.
-    fn may_leave(&mut self, runner: &RunnerId) -> bool {
+    fn may_abandon(&mut self, runner: &RunnerId) -> bool {
         let others: Vec<RunnerId> = self.excluded.iter().chain([runner]).cloned().collect();
         let eligible = Eligible {
             sender: Sender::ThisNode,
@@ -410,16 +416,16 @@
             scope: Scope::AllRegions,
         };
         let has_other = self.node.fleet.borrow().has_healthy(&eligible, self.node.now_us());
-        self.is_prepaid =
-            self.is_prepaid || (has_other && self.may_run_again(1) && self.withdraw());
-        self.is_prepaid
+        self.has_prepaid_retry =
+            self.has_prepaid_retry || (has_other && self.may_run_again(1) && self.withdraw());
+        self.has_prepaid_retry
     }
 
     /// Only a stream that can go on elsewhere is left because of a pause.
-    fn longest_pause(&self) -> Duration {
-        let gap = self.route.gap_target_ms.filter(|_| self.could_follow());
-        let silence = gap.map(|gap_ms| Duration::from_millis(gap_ms) * SILENT_PAUSES);
-        silence.map_or(self.time_left(), |silence| silence.max(SHORTEST_SILENCE))
+    fn max_stream_gap(&self) -> Duration {
+        let gap = self.route.gap_target_ms.filter(|_| self.may_retry_after());
+        let silence = gap.map(|gap_ms| Duration::from_millis(gap_ms) * STALL_GAP_TARGETS);
+        silence.map_or(self.time_left(), |silence| silence.max(MIN_STALL_TIMEOUT))
     }
 
     fn on_out_of_time(&mut self) -> Step {
@@ -427,13 +433,13 @@
         self.give_up(EndReason::OutOfTime)
     }
 
-    fn broken<'b>(&'b self, runner: &'b RunnerId) -> BrokenAttempt<'b> {
+    fn interrupted_attempt_at<'b>(&'b self, runner: &'b RunnerId) -> InterruptedAttempt<'b> {
         let tenant = self.tenant.as_ref().map(|tenant| &tenant.name);
-        BrokenAttempt { request: self.request, tenant, runner }
+        InterruptedAttempt { request: self.request, tenant, runner }
     }
 
-    fn on_broken_stream(&mut self, runner: RunnerId) -> Step {
-        on_broken(self.node, self.broken(&runner));
+    fn on_stream_interrupted(&mut self, runner: RunnerId) -> Step {
+        on_interrupted(self.node, self.interrupted_attempt_at(&runner));
         let id = self.request.facts.id.as_str();
         let after = self.stream.join.last_id().unwrap_or_default();
         let begun = self.stream.begun;
@@ -455,7 +461,7 @@
         if self.stream.begun {
             return Step::Done(RequestEnd::Cut);
         }
-        if let Some(answer) = self.failure.take() {
+        if let Some(answer) = self.runner_failure.take() {
             return Step::Done(RequestEnd::Whole(answer));
         }
         let answer = OwnAnswer::from(final_response(self.execution, reason));
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -1,11 +1,11 @@
 //! Plans the next attempt of a request: where it is placed, and the reading of its prompt.
 
 use super::{Dispatch, EndReason};
-use crate::attempt::{self, NotPrepared};
+use crate::attempt::{self, PrepareError};
 use crate::clock::Instant;
 use crate::reading::{self, ReadPrompt, ReadingDemand, ReadingEnd};
 use crate::runner_limits::{self, SendPermit};
-use crate::scheduling::{self, FollowUp, Placement, PlacementDemand};
+use crate::scheduling::{self, Placement, PlacementDemand, ProgressReporter};
 use pitchstall_serving::configuration::EngineSpec;
 use pitchstall_serving::fleet::{Eligible, Scope, Sender};
 use pitchstall_serving::ids::ZoneId;
@@ -18,41 +18,41 @@
 use tokio::time::{sleep, timeout};
 
 /// Part of the time left that a reading may take: a busy runner is no reason to read anew.
-const READING_SHARE: f64 = 0.8;
+const MAX_PREFILL_TIME_SHARE: f64 = 0.8;
 /// Part of its target for which a request waits for a runner to appear.
-const WAIT_SHARE: f64 = 0.25;
+const MAX_WAIT_TARGET_SHARE: f64 = 0.25;
 
 /// Where and how the request is to run next.
 pub(super) struct Plan {
     pub(super) choice: RunnerChoice,
-    pub(super) prompt: Option<ReadPrompt>,
+    pub(super) prefilled: Option<ReadPrompt>,
     /// Tells the scheduler that has placed it; `None`: nobody schedules it.
-    follow_up: Option<FollowUp>,
+    progress_reporter: Option<ProgressReporter>,
     /// Leave to send it; `None`: it has not been asked for.
     pub(super) permit: Option<SendPermit>,
 }
 
 impl Plan {
     /// Tells the scheduler of progress.
-    pub(super) fn tell(&self, progress: Progress) {
-        if let Some(follow_up) = &self.follow_up {
-            follow_up.tell(progress);
+    pub(super) fn report(&self, progress: Progress) {
+        if let Some(progress_reporter) = &self.progress_reporter {
+            progress_reporter.report(progress);
         }
     }
 }
 
 /// A runner takes requests of this node again.
 #[derive(Clone, Copy)]
-struct NextOpening {
-    opens_in: Duration,
+struct NextAvailability {
+    available_in: Duration,
     has_limit: bool,
 }
 
-impl NextOpening {
+impl NextAvailability {
     /// Why a request is given up that can't wait so long. Another node has nothing more to give of a limit, so the caller
     /// is told when there will be something.
-    fn give_up(self) -> EndReason {
-        let wait_ms = u64::try_from(self.opens_in.as_millis()).unwrap_or(u64::MAX);
+    fn end_reason(self) -> EndReason {
+        let wait_ms = u64::try_from(self.available_in.as_millis()).unwrap_or(u64::MAX);
         match self.has_limit {
             true => EndReason::LimitUsedUp { wait_ms },
             false => EndReason::NoRunner,
@@ -85,32 +85,35 @@
 
     /// Finds where the request runs next; waits a little if no runner takes work.
     pub(super) async fn plan(&mut self) -> Result<Plan, EndReason> {
-        let give_up_at = Instant::now() + self.longest_wait();
+        let give_up_at = Instant::now() + self.max_wait();
         loop {
             if let Some(plan) = self.plan_now().await? {
                 return Ok(plan);
             }
-            let left = give_up_at.saturating_duration_since(Instant::now());
+            let remaining = give_up_at.saturating_duration_since(Instant::now());
             // Waiting for a rest that ends too late keeps the caller from trying elsewhere.
-            let opening = self.next_availability();
-            if let Some(opening) = opening.filter(|opening| opening.opens_in > left) {
-                return Err(opening.give_up());
+            let availability = self.next_availability();
+            if let Some(availability) =
+                availability.filter(|availability| availability.available_in > remaining)
+            {
+                return Err(availability.end_reason());
             }
-            let rest_left = opening.map(|opening| opening.opens_in);
+            let rest_remaining = availability.map(|availability| availability.available_in);
             let changed = self.node.fleet_changed.notified();
-            let has_waited = timeout(rest_left.unwrap_or(left), changed).await.is_err();
-            if has_waited && rest_left.is_none() {
+            let has_timed_out =
+                timeout(rest_remaining.unwrap_or(remaining), changed).await.is_err();
+            if has_timed_out && rest_remaining.is_none() {
                 return Err(EndReason::NoRunner);
             }
         }
     }
 
     /// When the first runner takes requests again that is only withheld; `None`: none is.
-    fn next_availability(&self) -> Option<NextOpening> {
+    fn next_availability(&self) -> Option<NextAvailability> {
         let Demand { eligible, now_us, .. } = self.demand();
-        let opening = self.node.fleet.borrow().next_availability(&eligible, now_us)?;
-        let opens_in = Duration::from_micros(opening.at_us.saturating_sub(now_us));
-        Some(NextOpening { opens_in, has_limit: opening.has_limit })
+        let availability = self.node.fleet.borrow().next_availability(&eligible, now_us)?;
+        let available_in = Duration::from_micros(availability.at_us.saturating_sub(now_us));
+        Some(NextAvailability { available_in, has_limit: availability.has_limit })
     }
 
     async fn plan_now(&mut self) -> Result<Option<Plan>, EndReason> {
@@ -119,22 +122,22 @@
             let choice = choose_least_occupied(&self.node.fleet.borrow(), &self.demand());
             return Ok(choice.map(|choice| Plan {
                 choice,
-                prompt: None,
-                follow_up: None,
+                prefilled: None,
+                progress_reporter: None,
                 permit: None,
             }));
         }
-        let (placement, paid) = tokio::join!(self.place(), self.payment_to_make());
-        self.payment = paid?.or(self.payment.take());
-        let Placement { reading, writer, follow_up } = placement;
-        match reading {
+        let (placement, payment) = tokio::join!(self.place(), self.request_payment());
+        self.payment = payment?.or(self.payment.take());
+        let Placement { prefill, decode, progress_reporter } = placement;
+        match prefill {
             None => Ok(None),
             Some(PrefillPlan::Direct(choice)) => {
-                let follow_up = Some(follow_up);
-                Ok(Some(Plan { choice, prompt: None, follow_up, permit: None }))
+                let progress_reporter = Some(progress_reporter);
+                Ok(Some(Plan { choice, prefilled: None, progress_reporter, permit: None }))
             }
-            Some(PrefillPlan::Split(reader)) => {
-                self.read_then_write(reader, writer, follow_up).await
+            Some(PrefillPlan::Split(prefill_runner)) => {
+                self.prefill_then_decode(prefill_runner, decode, progress_reporter).await
             }
         }
     }
@@ -146,115 +149,118 @@
             demand: self.demand(),
             target_ms: self.route.target_ms,
             elapsed: self.request.received.elapsed(),
-            left: self.time_left(),
+            remaining: self.time_left(),
         };
         scheduling::place(self.node, &demand).await
     }
 
     /// Has the prompt read, then has it written where that was planned. A prompt that could not
     /// be read apart is read by the decode runner; while it was read, much may have changed.
-    async fn read_then_write(
+    async fn prefill_then_decode(
         &mut self,
-        reader: RunnerChoice,
-        writer: Option<RunnerChoice>,
-        follow_up: FollowUp,
+        prefill_runner: RunnerChoice,
+        decode_runner: Option<RunnerChoice>,
+        progress_reporter: ProgressReporter,
     ) -> Result<Option<Plan>, EndReason> {
         let sent_at = Instant::now();
-        let prompt = self.read_prompt(reader, &follow_up).await;
+        let prefilled = self.prefill_prompt(prefill_runner, &progress_reporter).await;
         if self.time_left().is_zero() {
             return Err(EndReason::OutOfTime);
         }
-        if prompt.is_some() {
-            follow_up.tell(Progress::Prefilled(elapsed_ms(sent_at)));
+        if prefilled.is_some() {
+            progress_reporter.report(Progress::Prefilled(elapsed_ms(sent_at)));
         }
         let is_usable =
-            |writer: &RunnerChoice| prompt.is_some() && self.node.accepts_work(&writer.runner);
-        let writer = writer.filter(is_usable);
-        let zone = prompt.as_ref().map(|prompt| prompt.zone.clone());
-        let (choice, permit) = self.permitted_writer(writer, zone.as_ref()).await.unzip();
+            |choice: &RunnerChoice| prefilled.is_some() && self.node.accepts_work(&choice.runner);
+        let decode_runner = decode_runner.filter(is_usable);
+        let zone = prefilled.as_ref().map(|prefilled| prefilled.zone.clone());
+        let (choice, permit) =
+            self.permitted_decode_runner(decode_runner, zone.as_ref()).await.unzip();
         // A move between regions takes longer than reading the prompt anew.
-        let is_near = |prompt: &ReadPrompt| {
+        let is_in_same_region = |prefilled: &ReadPrompt| {
             let choice = choice.as_ref();
-            choice.is_some_and(|choice| self.node.is_in_region_of(&choice.runner, &prompt.zone))
+            choice.is_some_and(|choice| self.node.is_in_region_of(&choice.runner, &prefilled.zone))
         };
-        let prompt = prompt.filter(is_near);
-        let follow_up = Some(follow_up);
-        Ok(choice.map(|choice| Plan { choice, prompt, follow_up, permit }))
+        let prefilled = prefilled.filter(is_in_same_region);
+        let progress_reporter = Some(progress_reporter);
+        Ok(choice.map(|choice| Plan { choice, prefilled, progress_reporter, permit }))
     }
 
     /// A writer that takes one request more of what it has named as its limit: the planned one, or another one, so that a
     /// prompt is not read in vain. Waits a little if all have none left.
-    async fn permitted_writer(
+    async fn permitted_decode_runner(
         &self,
         planned: Option<RunnerChoice>,
         source: Option<&ZoneId>,
     ) -> Option<(RunnerChoice, SendPermit)> {
-        let give_up_at = Instant::now() + self.longest_wait();
+        let give_up_at = Instant::now() + self.max_wait();
         let mut planned = planned;
         loop {
-            let any = || {
+            let other_decode_runner = || {
                 choose_decode_runner_in_any_region(
                     &self.node.fleet.borrow(),
                     &self.demand(),
                     source,
                 )
             };
-            if let Some(writer) = planned.take().or_else(any) {
+            if let Some(decode_runner) = planned.take().or_else(other_decode_runner) {
                 let request = &self.request.facts.id;
-                let permit = runner_limits::permit(self.node, request, &writer.runner).await;
+                let permit =
+                    runner_limits::request_permit(self.node, request, &decode_runner.runner).await;
                 match permit {
-                    Some(permit) => return Some((writer, permit)),
+                    Some(permit) => return Some((decode_runner, permit)),
                     None => continue,
                 }
             }
-            let opens_in = self.next_availability()?.opens_in;
-            if Instant::now() + opens_in > give_up_at {
+            let available_in = self.next_availability()?.available_in;
+            if Instant::now() + available_in > give_up_at {
                 return None;
             }
-            sleep(opens_in).await;
+            sleep(available_in).await;
         }
     }
 
     /// How long a request waits for a runner.
-    fn longest_wait(&self) -> Duration {
-        let wait = Duration::from_millis(self.route.target_ms).mul_f64(WAIT_SHARE);
+    fn max_wait(&self) -> Duration {
+        let wait = Duration::from_millis(self.route.target_ms).mul_f64(MAX_WAIT_TARGET_SHARE);
         wait.min(self.time_left())
     }
 
-    async fn read_prompt(
+    async fn prefill_prompt(
         &mut self,
-        reader: RunnerChoice,
-        follow_up: &FollowUp,
+        prefill_runner: RunnerChoice,
+        progress_reporter: &ProgressReporter,
     ) -> Option<ReadPrompt> {
-        let prepared = match attempt::prepare(self.node, &reader).await {
+        let prepared = match attempt::prepare(self.node, &prefill_runner).await {
             Ok(prepared) => prepared,
-            Err(NotPrepared::Withheld) => return None,
-            Err(NotPrepared::Unreachable) => {
-                follow_up.tell(Progress::Unreachable(reader.runner.clone()));
-                self.excluded.push(reader.runner);
+            Err(PrepareError::Withheld) => return None,
+            Err(PrepareError::Unreachable) => {
+                progress_reporter.report(Progress::Unreachable(prefill_runner.runner.clone()));
+                self.excluded.push(prefill_runner.runner);
                 return None;
             }
         };
-        runner_limits::permit(self.node, &self.request.facts.id, &reader.runner).await?;
+        runner_limits::request_permit(self.node, &self.request.facts.id, &prefill_runner.runner)
+            .await?;
         if self.is_quarantined() {
             return None;
         }
         let cost = self.arrivals.on_prefill();
-        if cost != ArrivalCost::Free && self.is_too_late(&reader) {
+        if cost != ArrivalCost::Free && self.would_miss_deadline(&prefill_runner) {
             return None;
         }
-        if !self.pay(cost) {
+        if !self.pay_for_arrival(cost) {
             return None;
         }
-        let mut params = self.params(Work::Prefill, &reader);
+        let mut params = self.attempt_params(Work::Prefill, &prefill_runner);
         params.after_event = None;
-        params.head_limit = self.time_left().mul_f64(READING_SHARE);
-        params.leaves_suspects = self.budget_allows_one();
+        params.head_timeout = self.time_left().mul_f64(MAX_PREFILL_TIME_SHARE);
+        params.abandons_suspects = self.has_retry_budget();
         let demand = ReadingDemand {
             request: self.request,
             service: &self.service,
             prompt: &self.prompt,
-            choice: &reader,
+            choice: &prefill_runner,
         };
         match reading::read_prompt(self.node, &demand, prepared, &params).await {
             ReadingEnd::Read(prompt) => {
@@ -265,10 +271,10 @@
             }
             end @ (ReadingEnd::Declined | ReadingEnd::Failed) => {
                 if matches!(end, ReadingEnd::Declined) {
-                    follow_up.tell(Progress::Declined(reader.runner.clone()));
+                    progress_reporter.report(Progress::Declined(prefill_runner.runner.clone()));
                 }
                 self.arrivals.on_prefill_not_accepted();
-                self.excluded.push(reader.runner);
+                self.excluded.push(prefill_runner.runner);
                 None
             }
         }
@@ -276,7 +282,7 @@
 
     /// Whether the prompt would be read only when the request's time is up: an extra attempt
     /// that cannot be answered in time takes budget and capacity from those that can.
-    pub(super) fn is_too_late(&self, choice: &RunnerChoice) -> bool {
+    pub(super) fn would_miss_deadline(&self, choice: &RunnerChoice) -> bool {
         Duration::from_micros(choice.expected_prefill_us) > self.time_left()
     }
 }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -369,7 +369,7 @@
     pub fn on_peer_digest(&self, digest: &Digest) {
         let now_us = self.now_us();
         self.fleet.borrow_mut().on_role_changes_reported(&digest.changing, now_us);
-        digest.limits.iter().for_each(|word| self.on_limit_word(word));
+        digest.limits.iter().for_each(|word| self.on_limit_message(word));
         self.freshness.borrow_mut().on_report(&digest.store, &self.eras.borrow(), now_us);
         self.wall_clock.borrow_mut().on_peer_clock(&digest.node, digest.wall_ms, now_us);
     }
@@ -415,7 +415,7 @@
 
     /// A runner of a service has read a prompt.
     pub fn on_read_in(&self, service: &ServiceName, runner: &RunnerId, sample: PrefillSample) {
-        let observes_all_prefills = shard_scheduler::schedules(self, runner);
+        let observes_all_prefills = shard_scheduler::is_scheduler_of(self, runner);
         let reading = self.with_pace(service, |speed| {
             speed.on_prefilled(sample);
             speed.timing_of(&sample, observes_all_prefills)
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -123,12 +123,12 @@
             PeerWord::Digest(digest) => self.on_digest(&digest, from),
             PeerWord::Hello(digest) => self.on_hello(&digest, from),
             PeerWord::Members(members) => self.on_members(&members),
-            PeerWord::Question(question) => shard_scheduler::on_question(&self.node, question),
-            PeerWord::Answer(answer) => scheduling::on_answer(&self.node, answer, from),
+            PeerWord::Question(question) => shard_scheduler::on_query(&self.node, question),
+            PeerWord::Answer(answer) => scheduling::on_reply(&self.node, answer, from),
             PeerWord::Progress(word) => shard_scheduler::on_progress(&self.node, &word),
             PeerWord::Loads(word) => self.node.on_shard_loads(&word),
             PeerWord::RegionLoads(word) => scheduling::on_region_loads(&self.node, word),
-            PeerWord::PartsRead(readings) => prefix_announcements::on_word(&self.node, &readings),
+            PeerWord::PartsRead(readings) => prefix_announcements::apply(&self.node, &readings),
             PeerWord::UsageQuestion(question) => usage::on_question(&self.node, &question),
             PeerWord::Crash(word) => quarantine::on_word(&self.node, word),
             PeerWord::QuotaQuestion(question) => {
@@ -138,10 +138,10 @@
             PeerWord::QuotaTaken(keeper) => quota::keeping::on_taken(&self.node, &keeper),
             PeerWord::QuotaReturn(word) => quota::keeping::on_return(&self.node, &word),
             PeerWord::LimitQuestion(question) => {
-                runner_limits::on_question(&self.node, &question, from)
+                runner_limits::on_query(&self.node, &question, from)
             }
-            PeerWord::LimitAnswer(answer) => runner_limits::on_answer(&self.node, answer),
-            PeerWord::LimitWord(word) => runner_limits::on_word(&self.node, &word),
+            PeerWord::LimitAnswer(answer) => runner_limits::on_reply(&self.node, answer),
+            PeerWord::LimitWord(word) => runner_limits::on_message(&self.node, &word),
             PeerWord::Usage(word) => usage::on_word(&self.node, &word),
         }
     }
@@ -200,7 +200,7 @@
     fn learn(&self, name: &NodeId, member: &Member) {
         let peer = Peer { address: member.address, heard_at: Instant::now() };
         self.state.borrow_mut().peers.insert(name.clone(), peer);
-        self.node.runner_limits.on_heard(name, self.node.now_us());
+        self.node.runner_limits.on_node_message(name, self.node.now_us());
         self.node.members.borrow_mut().upsert(name, member);
         let is_far = !self.node.members.borrow().is_in_own_region(name);
         self.socket.far_traffic().on_peer(member.address, is_far);
@@ -218,7 +218,7 @@
             store: self.node.freshness.borrow().report(now_us),
             changing: self.node.fleet.borrow().role_changes(now_us),
             held_keepers: self.node.quotas.kept(),
-            limits: self.node.runner_limits.words(now_us),
+            limits: self.node.runner_limits.digest_messages(now_us),
             is_stopping: self.node.is_stopping(),
             wall_ms: machine_wall_ms(),
         }
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -1,11 +1,11 @@
 //! Has a prompt read by a prefill runner, and keeps the handle until it is taken or freed.
 
-use crate::attempt::{self, AttemptEnd, AttemptParams, Prepared};
+use crate::attempt::{self, AttemptEnd, AttemptParams, PreparedConnection};
 use crate::clock::Instant;
 use crate::http::request::request_bytes;
 use crate::http::Upstream;
 use crate::intake::ClientRequest;
-use crate::interrupted_attempt::{on_broken, BrokenAttempt};
+use crate::interrupted_attempt::{on_interrupted, InterruptedAttempt};
 use crate::node::Node;
 use pitchstall_platform_adapter::paths;
 use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
@@ -85,7 +85,7 @@
 pub async fn read_prompt(
     node: &Rc<Node>,
     demand: &ReadingDemand<'_>,
-    prepared: Prepared,
+    prepared: PreparedConnection,
     params: &AttemptParams,
 ) -> ReadingEnd {
     let begun = Instant::now();
@@ -93,18 +93,18 @@
     let tokens = demand.choice.prefill_tokens();
     let was_unqueued = node.has_nothing_else_to_read(&runner, tokens);
     let answering = match attempt::send(node, demand.request, prepared, params).await {
-        AttemptEnd::Answering(answering) => answering,
+        AttemptEnd::Responding(answering) => answering,
         AttemptEnd::Declined => return ReadingEnd::Declined,
-        AttemptEnd::Silent | AttemptEnd::Lost => return ReadingEnd::Failed,
+        AttemptEnd::Unanswered | AttemptEnd::Lost => return ReadingEnd::Failed,
     };
-    let answer = match timeout(params.head_limit, answering.read_whole()).await {
+    let answer = match timeout(params.head_timeout, answering.read_all()).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => {
             let (request, error) = (demand.request.facts.id.as_str(), error.to_string());
             log::info!(target: "reading", request, runner = runner.as_str(), error; "broken off");
             let tenant = params.tenant.as_ref();
-            let broken = BrokenAttempt { request: demand.request, tenant, runner: &runner };
-            on_broken(node, broken);
+            let broken = InterruptedAttempt { request: demand.request, tenant, runner: &runner };
+            on_interrupted(node, broken);
             return ReadingEnd::Failed;
         }
         Err(_) => return ReadingEnd::Failed,
@@ -122,6 +122,6 @@
     node.on_read_in(demand.service, &runner, sample);
     let handle = KvHandle { address: answering.record.address, name };
     let zone = answering.record.zone.clone();
-    answering.give_back(node);
+    answering.return_connection(node);
     ReadingEnd::Read(ReadPrompt { handle, zone, runner, taken: Cell::new(false) })
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,6 +1,6 @@
 //! Forwards a stream's events to the client as they come.
 
-use crate::attempt::Answering;
+use crate::attempt::AttemptResponse;
 use crate::clock::Instant;
 use crate::connection::{ClientConnection, ClientGone};
 use crate::http::Header;
@@ -52,7 +52,7 @@
 /// Forwards one run of a stream. Only whole events pass, so that another run can follow. What is left
 /// of an event stays in `splitter`: a run that was silent can be followed on.
 pub async fn relay(
-    answering: &Answering,
+    answering: &AttemptResponse,
     client: &ClientConnection,
     state: &mut StreamState,
     splitter: &mut EventSplitter,
@@ -61,12 +61,12 @@
     let headers = answering.client_headers();
     loop {
         let left = limits.deadline.saturating_duration_since(Instant::now());
-        let read = match timeout(left.min(limits.pause), answering.read()).await {
+        let read = match timeout(left.min(limits.pause), answering.read_chunk()).await {
             Ok(read) => read,
             Err(_) if left <= limits.pause => return RelayEnd::OutOfTime,
             Err(_) => return RelayEnd::Silent,
         };
-        answering.flight.on_progress();
+        answering.in_flight.on_progress();
         let forwarded = match read {
             Ok(Some(bytes)) => forward(&bytes, splitter, client, state, &headers).await,
             Ok(None) => return end(answering, splitter, client, state, &headers).await,
@@ -115,7 +115,7 @@
 /// The body has ended. Without a length, the end of the connection is also what a runner that
 /// stops in the middle of an event leaves behind.
 async fn end(
-    answering: &Answering,
+    answering: &AttemptResponse,
     splitter: &EventSplitter,
     client: &ClientConnection,
     state: &mut StreamState,
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -25,67 +25,69 @@
 use tokio::time::{sleep, timeout};
 
 /// Between two looks at the fleet.
-const PLAN_EVERY: Duration = Duration::from_millis(250);
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
 /// Limit of a call to a runner.
-const RUNNER_LIMIT: Duration = Duration::from_millis(700);
+const RUNNER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest time for which a runner counts as changing its role. The list tells earlier, unless
 /// the order was lost.
-const CHANGING_US: u64 = 6_000_000;
-const MOST_REPORT_BYTES: usize = 1024 * 1024;
+const MAX_ROLE_CHANGE_US: u64 = 6_000_000;
+const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
 /// Between two lines on what a service's planner saw when it ordered nothing.
-const LINE_EVERY_US: u64 = 1_000_000;
+const LOG_INTERVAL_US: u64 = 1_000_000;
 
-struct Roles {
+struct RoleController {
     node: Rc<Node>,
     /// The subject under which this node may order.
     subject: AuthoritySubject,
     planners: HashMap<ServiceName, RolePlanner>,
     /// When a service's last line was written.
-    lines: HashMap<ServiceName, u64>,
+    last_logged_us: HashMap<ServiceName, u64>,
 }
 
 /// Orders role changes whenever this node may, until the task is dropped.
-pub async fn order_changes(node: Rc<Node>) {
+pub async fn order_role_changes(node: Rc<Node>) {
     let subject = roles_subject(&node);
-    let mut roles = Roles { node, subject, planners: HashMap::new(), lines: HashMap::new() };
+    let mut controller =
+        RoleController { node, subject, planners: HashMap::new(), last_logged_us: HashMap::new() };
     loop {
-        sleep(PLAN_EVERY).await;
-        let subject = roles_subject(&roles.node);
-        let is_other = std::mem::replace(&mut roles.subject, subject) != roles.subject;
-        if is_other || roles.holding().fence().is_none() {
+        sleep(PLAN_INTERVAL).await;
+        let subject = roles_subject(&controller.node);
+        let has_new_subject =
+            std::mem::replace(&mut controller.subject, subject) != controller.subject;
+        if has_new_subject || controller.holding().fence().is_none() {
             // What was seen in an earlier term, or of other runners, says nothing about the next.
-            roles.planners.clear();
+            controller.planners.clear();
             continue;
         }
-        roles.plan().await;
+        controller.plan().await;
     }
 }
 
-impl Roles {
+impl RoleController {
     fn holding(&self) -> &Holding {
         roles_holding(&self.node, &self.subject)
     }
 
     async fn plan(&mut self) {
         for (service, engine) in self.node.engine_services() {
-            let Some(plan) = self.look(&service, &engine) else { continue };
+            let Some(plan) = self.plan_service(&service, &engine) else { continue };
             let changes = match plan.decision {
                 Ok(_) if self.fence_now().is_none() => {
                     // The planner's pressure goes on: orders follow when the term allows them.
-                    self.log_nothing(&service, &plan.metrics, "authority not ready");
+                    self.log_no_order(&service, &plan.metrics, "authority not ready");
                     continue;
                 }
                 Ok(changes) => changes,
                 Err(NoChangeReason::NoPressure) => continue,
                 Err(reason) => {
-                    self.log_nothing(&service, &plan.metrics, reason.name());
+                    self.log_no_order(&service, &plan.metrics, reason.name());
                     continue;
                 }
             };
-            log_seen(&service, &plan.metrics, changes.len());
+            log_ordering(&service, &plan.metrics, changes.len());
             for change in &changes {
-                self.order(change).await;
+                self.order_change(change).await;
             }
             if let Some(planner) = self.planners.get_mut(&service) {
                 planner.on_ordered(self.node.now_us());
@@ -94,16 +96,16 @@
     }
 
     /// Says what a planner saw under pressure and why it ordered nothing.
-    fn log_nothing(&mut self, service: &ServiceName, seen: &RoleMetrics, reason: &str) {
+    fn log_no_order(&mut self, service: &ServiceName, metrics: &RoleMetrics, reason: &str) {
         let now_us = self.node.now_us();
-        let last_us = self.lines.get(service).copied();
-        if last_us.is_some_and(|last_us| now_us < last_us + LINE_EVERY_US) {
+        let last_us = self.last_logged_us.get(service).copied();
+        if last_us.is_some_and(|last_us| now_us < last_us + LOG_INTERVAL_US) {
             return;
         }
-        self.lines.insert(service.clone(), now_us);
-        let RoleMetrics { prefill, decode, .. } = *seen;
-        let needed = seen.prefill_needed.round() as u64;
-        let [wait, late, occupancy, memory] = percents(seen);
+        self.last_logged_us.insert(service.clone(), now_us);
+        let RoleMetrics { prefill, decode, .. } = *metrics;
+        let needed = metrics.prefill_needed.round() as u64;
+        let [wait, late, occupancy, memory] = percents(metrics);
         let service = service.as_str();
         log::info!(
             target: "authority",
@@ -112,7 +114,7 @@
     }
 
     /// `None` for a service for which the configuration names no target.
-    fn look(&mut self, service: &ServiceName, engine: &EngineSpec) -> Option<RolePlan> {
+    fn plan_service(&mut self, service: &ServiceName, engine: &EngineSpec) -> Option<RolePlan> {
         let configuration = self.node.configuration();
         let target_ms = configuration.and_then(|it| it.min_target_ms(service))?;
         let demand = RoleDemand {
@@ -125,10 +127,10 @@
         let new_planner = || RolePlanner::new(RolePolicy::default());
         let planner = self.planners.entry(service.clone()).or_insert_with(new_planner);
         let fleet = self.node.fleet.borrow();
-        Some(self.node.with_pace(service, |pace| planner.plan(&fleet, pace, &demand, now_us)))
+        Some(self.node.with_pace(service, |speeds| planner.plan(&fleet, speeds, &demand, now_us)))
     }
 
-    async fn order(&mut self, change: &RoleChange) {
+    async fn order_change(&mut self, change: &RoleChange) {
         let Some(fence) = self.fence_now() else { return };
         // An order is two requests, which nobody counts; a runner in need keeps its role.
         let has_limit =
@@ -142,7 +144,7 @@
         let now_us = self.node.now_us();
         // An order without an answer may have been taken.
         if !matches!(answer, Some(OrderAnswer::Refused | OrderAnswer::Outdated)) {
-            let until_us = now_us + CHANGING_US;
+            let until_us = now_us + MAX_ROLE_CHANGE_US;
             self.node.on_role_ordered(&record.id, change.stage, until_us);
         }
         let runner = record.id.as_str();
@@ -192,16 +194,16 @@
 }
 
 /// Wait, late work, slots and memory in use, each in hundredths.
-fn percents(seen: &RoleMetrics) -> [u64; 4] {
+fn percents(metrics: &RoleMetrics) -> [u64; 4] {
     let percent = |share: f64| (share * 100.0).round() as u64;
-    [seen.wait, seen.overdue_wait, seen.occupancy, seen.memory].map(percent)
+    [metrics.wait, metrics.overdue_wait, metrics.occupancy, metrics.memory].map(percent)
 }
 
 /// Says what a planner saw when it orders changes.
-fn log_seen(service: &ServiceName, seen: &RoleMetrics, changes: usize) {
-    let RoleMetrics { prefill, decode, .. } = *seen;
-    let needed = seen.prefill_needed.round() as u64;
-    let [wait, late, occupancy, memory] = percents(seen);
+fn log_ordering(service: &ServiceName, metrics: &RoleMetrics, changes: usize) {
+    let RoleMetrics { prefill, decode, .. } = *metrics;
+    let needed = metrics.prefill_needed.round() as u64;
+    let [wait, late, occupancy, memory] = percents(metrics);
     let service = service.as_str();
     log::info!(
         target: "authority",
@@ -217,7 +219,7 @@
     body: &[u8],
 ) -> Option<(u16, Vec<u8>)> {
     let exchange = async {
-        let connection = Upstream::open(record.address, RUNNER_LIMIT).await.ok()?;
+        let connection = Upstream::open(record.address, RUNNER_CALL_TIMEOUT).await.ok()?;
         let mut all: Vec<Header> =
             vec![("host".to_owned(), record.address.to_string().into_bytes())];
         let own = headers::order_headers(&record.id).into_iter();
@@ -228,11 +230,11 @@
         let sent_at_us = node.now_us();
         connection.send(request_bytes(method, target, &all, body)).ok()?;
         let head = connection.read_head().await.ok()?;
-        let facts = node.on_answer_head(&record.id, &head);
-        node.on_limit_in_head(&record.id, &facts, sent_at_us);
+        let metadata = node.on_answer_head(&record.id, &head);
+        node.on_limit_in_response(&record.id, &metadata, sent_at_us);
         let decoder = BodyDecoder::new(head.framing);
-        let body = connection.read_whole_body(&decoder, MOST_REPORT_BYTES).await.ok()?;
+        let body = connection.read_whole_body(&decoder, MAX_REPORT_BYTES).await.ok()?;
         Some((head.status, body))
     };
-    timeout(RUNNER_LIMIT, exchange).await.ok().flatten()
+    timeout(RUNNER_CALL_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -4,10 +4,10 @@
 //! What a keeper gives is decided in [`pitchstall_serving::limit_keeper`], what is believed of a runner in
 //! [`pitchstall_serving::runner_limit`]. Nothing is said while no runner names a limit.
 
-use crate::missed_replies::MissedAnswers;
+use crate::missed_replies::MissedReplies;
 use crate::node::Node;
 use crate::peer_words::PeerWord;
-use crate::shard_scheduler::possible_shards;
+use crate::shard_scheduler::candidate_shards;
 use pitchstall_serving::digest::silence_timeout_us;
 use pitchstall_serving::ids::{NodeId, RunnerId};
 use pitchstall_serving::limit_keeper::{
@@ -27,52 +27,52 @@
 use tokio::time::timeout;
 
 /// How long a keeper's answer is waited for beyond a round trip, as with keepers of tenants' limits.
-const PATIENCE: Duration = Duration::from_millis(30);
+const REPLY_TIMEOUT_MARGIN: Duration = Duration::from_millis(30);
 /// Keepers that are asked for one request.
-const MOST_ASKED: usize = 2;
+const MAX_KEEPERS_QUERIED: usize = 2;
 /// Time for which a runner gets nothing whose keepers do not answer, microseconds.
-const NOBODY_PAUSE_US: u64 = 250_000;
+const NO_KEEPER_BACKOFF_US: u64 = 250_000;
 /// Shortest time for which a runner without a request left gets nothing, microseconds: below it asking costs more than the
 /// request gains.
-const SHORTEST_WAIT_US: u64 = 5_000;
+const MIN_BACKOFF_US: u64 = 5_000;
 /// Runners' words in one digest: some 2 KB.
-const MOST_WORDS_TOLD: usize = 32;
+const MAX_DIGEST_LIMITS: usize = 32;
 
 /// What a node knows and keeps of runners' limits.
 #[derive(Default)]
 pub struct RunnerLimits {
     keeper: RefCell<LimitKeeper>,
     terms: RefCell<HashMap<Shard, LimitKeeperTerm>>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<LimitVerdict>>>,
-    missed: MissedAnswers,
+    pending_queries: RefCell<HashMap<Ticket, oneshot::Sender<LimitVerdict>>>,
+    missed_replies: MissedReplies,
     /// When each node was heard of last, microseconds; `None`: it is stopping.
-    last_heard_us: RefCell<HashMap<NodeId, Option<u64>>>,
+    last_received_us: RefCell<HashMap<NodeId, Option<u64>>>,
 }
 
 impl RunnerLimits {
     /// Another node has said something.
-    pub fn on_heard(&self, node: &NodeId, now_us: u64) {
-        self.last_heard_us.borrow_mut().insert(node.clone(), Some(now_us));
+    pub fn on_node_message(&self, node: &NodeId, now_us: u64) {
+        self.last_received_us.borrow_mut().insert(node.clone(), Some(now_us));
     }
 
     /// Another node has begun a planned stop: the next one takes its place at once, not when it has not been heard of for
     /// some seconds.
     pub fn on_stopping(&self, node: &NodeId) {
-        self.last_heard_us.borrow_mut().insert(node.clone(), None);
+        self.last_received_us.borrow_mut().insert(node.clone(), None);
     }
 
     fn is_stopping(&self, node: &NodeId) -> bool {
-        self.last_heard_us.borrow().get(node) == Some(&None)
+        self.last_received_us.borrow().get(node) == Some(&None)
     }
 
     /// What this node's digest tells of the limits that it counts.
-    pub fn words(&self, now_us: u64) -> Vec<LimitMessage> {
-        self.keeper.borrow().messages(MOST_WORDS_TOLD, now_us)
+    pub fn digest_messages(&self, now_us: u64) -> Vec<LimitMessage> {
+        self.keeper.borrow().messages(MAX_DIGEST_LIMITS, now_us)
     }
 
-    fn is_there(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
-        let heard_us = self.last_heard_us.borrow().get(node).copied().unwrap_or(Some(0));
-        heard_us.is_some_and(|heard_us| now_us < heard_us + silence_timeout_us(nodes))
+    fn is_alive(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
+        let received_us = self.last_received_us.borrow().get(node).copied().unwrap_or(Some(0));
+        received_us.is_some_and(|received_us| now_us < received_us + silence_timeout_us(nodes))
     }
 }
 
@@ -80,49 +80,53 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SendPermit {
     /// A runner without a limit may name one at any moment, so a permit for it holds for no time: asking again costs nothing.
-    usable_until_us: u64,
+    expires_at_us: u64,
 }
 
 impl SendPermit {
     /// Whether the request may still be sent.
     pub fn is_usable(&self, now_us: u64) -> bool {
-        now_us < self.usable_until_us
+        now_us < self.expires_at_us
     }
 }
 
 /// Asks whether one request may be sent to a runner now; `None`: it may not, and the runner is left out of this node's plans
 /// until there may be one.
-pub async fn permit(node: &Rc<Node>, request: &str, runner: &RunnerId) -> Option<SendPermit> {
-    let asked_at_us = node.now_us();
-    let word = node.fleet.borrow().limit_message(runner, asked_at_us);
-    let unlimited = SendPermit { usable_until_us: asked_at_us };
-    let Some(word) = word else { return Some(unlimited) };
-    let verdict = ask(node, word).await;
+pub async fn request_permit(
+    node: &Rc<Node>,
+    request: &str,
+    runner: &RunnerId,
+) -> Option<SendPermit> {
+    let queried_at_us = node.now_us();
+    let message = node.fleet.borrow().limit_message(runner, queried_at_us);
+    let unlimited = SendPermit { expires_at_us: queried_at_us };
+    let Some(message) = message else { return Some(unlimited) };
+    let verdict = query_keepers(node, message).await;
     let now_us = node.now_us();
     let wait_us = match verdict {
         Some(LimitVerdict::Granted) => {
             node.metrics.limit_grants.inc();
-            let permit = SendPermit { usable_until_us: asked_at_us + GRANT_TTL_US };
-            if permit.is_usable(now_us) {
-                return Some(permit);
+            let request_permit = SendPermit { expires_at_us: queried_at_us + GRANT_TTL_US };
+            if request_permit.is_usable(now_us) {
+                return Some(request_permit);
             }
-            SHORTEST_WAIT_US
+            MIN_BACKOFF_US
         }
         Some(LimitVerdict::Refused { wait_us }) => {
             node.metrics.limit_refusals.inc();
-            wait_us.max(SHORTEST_WAIT_US)
+            wait_us.max(MIN_BACKOFF_US)
         }
         Some(LimitVerdict::Lifted { age_us }) => {
-            let word = LimitMessage { runner: runner.clone(), rate: None, age_us };
-            node.on_limit_word(&word);
+            let message = LimitMessage { runner: runner.clone(), rate: None, age_us };
+            node.on_limit_message(&message);
             if node.fleet.borrow().limit_message(runner, now_us).is_none() {
                 return Some(unlimited);
             }
-            SHORTEST_WAIT_US
+            MIN_BACKOFF_US
         }
         Some(LimitVerdict::NotKeeper) | None => {
             node.metrics.limit_unanswered.inc();
-            NOBODY_PAUSE_US
+            NO_KEEPER_BACKOFF_US
         }
     };
     node.fleet.borrow_mut().on_limit_exhausted(runner, wait_us, now_us);
@@ -141,15 +145,15 @@
 }
 
 /// Asks the first keeper that answers; `None`: none did.
-async fn ask(node: &Rc<Node>, word: LimitMessage) -> Option<LimitVerdict> {
-    let shard = shard_of(node, &word.runner)?;
-    for (keeper, address) in keepers(node, &shard).into_iter().take(MOST_ASKED) {
+async fn query_keepers(node: &Rc<Node>, message: LimitMessage) -> Option<LimitVerdict> {
+    let shard = shard_of(node, &message.runner)?;
+    for (keeper, address) in keepers(node, &shard).into_iter().take(MAX_KEEPERS_QUERIED) {
         let ticket = node.scheduling.next_ticket();
-        let question = LimitQuery { ticket, message: word.clone() };
+        let query = LimitQuery { ticket, message: message.clone() };
         let verdict = if keeper == node.own_name() {
-            Some(verdict_of(node, &question))
+            Some(verdict_of(node, &query))
         } else {
-            put(node, &keeper, address, question).await
+            query_keeper(node, &keeper, address, query).await
         };
         match verdict {
             Some(LimitVerdict::NotKeeper) | None => {}
@@ -163,36 +167,36 @@
 fn keepers(node: &Node, shard: &Shard) -> Vec<(NodeId, SocketAddr)> {
     let now_us = node.now_us();
     let members = node.members.borrow();
-    let in_order = members.schedulers_by_rank(shard).into_iter().take(MAX_KEEPERS);
+    let by_rank = members.schedulers_by_rank(shard).into_iter().take(MAX_KEEPERS);
     let limits = &node.runner_limits;
-    let answers = |(name, _): &(&NodeId, _)| {
-        !limits.missed.is_passed_over(name, now_us) && !limits.is_stopping(name)
+    let is_reachable = |(name, _): &(&NodeId, _)| {
+        !limits.missed_replies.is_skipped(name, now_us) && !limits.is_stopping(name)
     };
-    in_order.filter(answers).map(|(name, address)| (name.clone(), address)).collect()
+    by_rank.filter(is_reachable).map(|(name, address)| (name.clone(), address)).collect()
 }
 
-async fn put(
+async fn query_keeper(
     node: &Rc<Node>,
     keeper: &NodeId,
     address: SocketAddr,
-    question: LimitQuery,
+    query: LimitQuery,
 ) -> Option<LimitVerdict> {
-    let ticket = question.ticket;
+    let ticket = query.ticket;
     let (sender, receiver) = oneshot::channel();
-    node.runner_limits.waiting.borrow_mut().insert(ticket, sender);
-    node.scheduling.socket.send(&PeerWord::LimitQuestion(question), &[address]);
+    node.runner_limits.pending_queries.borrow_mut().insert(ticket, sender);
+    node.scheduling.socket.send(&PeerWord::LimitQuestion(query), &[address]);
     let zone = node.members.borrow().zone_of(keeper).cloned();
-    let way = zone.map_or(Duration::ZERO, |zone| node.round_trip(&zone));
-    let answer = timeout(way + PATIENCE, receiver).await;
-    node.runner_limits.waiting.borrow_mut().remove(&ticket);
-    let missed = &node.runner_limits.missed;
-    match answer {
+    let round_trip = zone.map_or(Duration::ZERO, |zone| node.round_trip(&zone));
+    let reply = timeout(round_trip + REPLY_TIMEOUT_MARGIN, receiver).await;
+    node.runner_limits.pending_queries.borrow_mut().remove(&ticket);
+    let missed_replies = &node.runner_limits.missed_replies;
+    match reply {
         Ok(Ok(verdict)) => {
-            missed.on_answered(keeper);
+            missed_replies.on_reply(keeper);
             Some(verdict)
         }
         _ => {
-            if missed.on_missed(keeper, node.now_us()) {
+            if missed_replies.on_timeout(keeper, node.now_us()) {
                 log::info!(target: "limit", keeper = keeper.as_str(); "passed over");
             }
             None
@@ -201,46 +205,46 @@
 }
 
 /// Takes in a keeper's answer. One that comes too late is lost to all, and safe.
-pub fn on_answer(node: &Node, answer: LimitReply) {
-    let waiting = node.runner_limits.waiting.borrow_mut().remove(&answer.ticket);
-    if let Some(sender) = waiting {
+pub fn on_reply(node: &Node, reply: LimitReply) {
+    let pending_queries = node.runner_limits.pending_queries.borrow_mut().remove(&reply.ticket);
+    if let Some(sender) = pending_queries {
         // The request may have ended just now: then what it was granted is lost.
-        let _ = sender.send(answer.verdict);
+        let _ = sender.send(reply.verdict);
     }
 }
 
 /// Answers another node's question.
-pub fn on_question(node: &Node, question: &LimitQuery, from: SocketAddr) {
-    let verdict = verdict_of(node, question);
-    let answer = LimitReply { ticket: question.ticket, verdict };
-    node.scheduling.socket.send(&PeerWord::LimitAnswer(answer), &[from]);
+pub fn on_query(node: &Node, query: &LimitQuery, from: SocketAddr) {
+    let verdict = verdict_of(node, query);
+    let reply = LimitReply { ticket: query.ticket, verdict };
+    node.scheduling.socket.send(&PeerWord::LimitAnswer(reply), &[from]);
 }
 
-fn verdict_of(node: &Node, question: &LimitQuery) -> LimitVerdict {
-    let shard = shard_of(node, &question.message.runner);
+fn verdict_of(node: &Node, query: &LimitQuery) -> LimitVerdict {
+    let shard = shard_of(node, &query.message.runner);
     let share = shard.and_then(|shard| own_share(node, &shard));
     let Some(share) = share else { return LimitVerdict::NotKeeper };
     let now_us = node.now_us();
-    node.runner_limits.keeper.borrow_mut().on_query(question, share, now_us)
+    node.runner_limits.keeper.borrow_mut().on_query(query, share, now_us)
 }
 
 /// Another node has heard what a runner takes.
-pub fn on_word(node: &Node, word: &LimitMessage) {
-    node.runner_limits.keeper.borrow_mut().on_message(word, node.now_us());
-    node.on_limit_word(word);
+pub fn on_message(node: &Node, message: &LimitMessage) {
+    node.runner_limits.keeper.borrow_mut().on_message(message, node.now_us());
+    node.on_limit_message(message);
 }
 
 /// Runners of a shard that have none left, as far as this node counts.
-pub fn short_runners(node: &Node, shard: &Shard) -> Vec<RunnerId> {
+pub fn exhausted_runners(node: &Node, shard: &Shard) -> Vec<RunnerId> {
     // Asked for each placement: the share takes a look at all nodes.
     if node.runner_limits.keeper.borrow().is_empty() {
         return Vec::new();
     }
     let Some(share) = own_share(node, shard) else { return Vec::new() };
-    let mut short = node.runner_limits.keeper.borrow().exhausted(share, node.now_us());
+    let mut exhausted = node.runner_limits.keeper.borrow().exhausted(share, node.now_us());
     let fleet = node.fleet.borrow();
-    short.retain(|runner| fleet.get(runner).is_some_and(|runner| shard.contains(runner)));
-    short
+    exhausted.retain(|runner| fleet.get(runner).is_some_and(|runner| shard.contains(runner)));
+    exhausted
 }
 
 fn shard_of(node: &Node, runner: &RunnerId) -> Option<Shard> {
@@ -251,75 +255,84 @@
 }
 
 /// How many nodes that are heard of come before this one as keepers of a shard's limits.
-fn own_place(node: &Node, shard: &Shard) -> usize {
+fn own_rank(node: &Node, shard: &Shard) -> usize {
     let now_us = node.now_us();
     let members = node.members.borrow();
     let nodes = members.len();
-    let is_there = |name: &NodeId| node.runner_limits.is_there(name, nodes, now_us);
-    members.scheduler_rank_of(&node.own_name(), shard, is_there)
+    let is_alive = |name: &NodeId| node.runner_limits.is_alive(name, nodes, now_us);
+    members.scheduler_rank_of(&node.own_name(), shard, is_alive)
 }
 
 fn own_share(node: &Node, shard: &Shard) -> Option<KeeperShare> {
     if node.is_stopping() {
         return None;
     }
-    let place = own_place(node, shard);
+    let rank = own_rank(node, shard);
     let terms = node.runner_limits.terms.borrow();
     let term = terms.get(shard).copied().unwrap_or_default();
-    term.share(place, node.now_us())
+    term.share(rank, node.now_us())
 }
 
 /// Looks at this node's place among the keepers of each shard that it may keep: to be called at least every second.
-pub fn look(node: &Node) {
+pub fn update_terms(node: &Node) {
     let now_us = node.now_us();
-    let shards = possible_shards(node);
+    let shards = candidate_shards(node);
     let mut terms = node.runner_limits.terms.borrow_mut();
     terms.retain(|shard, _| shards.contains(shard));
     for shard in shards {
-        let place = own_place(node, &shard);
-        terms.entry(shard).or_default().on_rank_checked(place, now_us);
+        let rank = own_rank(node, &shard);
+        terms.entry(shard).or_default().on_rank_checked(rank, now_us);
     }
     node.runner_limits.keeper.borrow_mut().remove_idle(now_us);
 }
 
 impl Node {
     /// The head of an answer has come, to a request that was sent at `sent_at_us`: it names a limit, or none.
-    pub fn on_limit_in_head(&self, runner: &RunnerId, facts: &ResponseMetadata, sent_at_us: u64) {
-        if !facts.is_about(runner) {
+    pub fn on_limit_in_response(
+        &self,
+        runner: &RunnerId,
+        metadata: &ResponseMetadata,
+        sent_at_us: u64,
+    ) {
+        if !metadata.is_about(runner) {
             return;
         }
         let now_us = self.now_us();
-        let change =
-            self.fleet.borrow_mut().on_limit_in_response(runner, facts.notice, sent_at_us, now_us);
+        let change = self.fleet.borrow_mut().on_limit_in_response(
+            runner,
+            metadata.notice,
+            sent_at_us,
+            now_us,
+        );
         let Some(change) = change else { return };
         self.log_limit(runner, change, "answer");
         let rate = match change {
             LimitChange::Set(rate) => Some(rate),
             LimitChange::Lifted => None,
         };
-        let word = LimitMessage { runner: runner.clone(), rate, age_us: 0 };
-        self.tell_keeper(word);
+        let message = LimitMessage { runner: runner.clone(), rate, age_us: 0 };
+        self.notify_keeper(message);
     }
 
     /// Tells the keeper, so that it plans with what is left before it is asked, and tells all nodes.
-    fn tell_keeper(&self, word: LimitMessage) {
-        let Some(shard) = shard_of(self, &word.runner) else { return };
+    fn notify_keeper(&self, message: LimitMessage) {
+        let Some(shard) = shard_of(self, &message.runner) else { return };
         match keepers(self, &shard).into_iter().next() {
             Some((keeper, _)) if keeper == self.own_name() => {
-                self.runner_limits.keeper.borrow_mut().on_message(&word, self.now_us());
+                self.runner_limits.keeper.borrow_mut().on_message(&message, self.now_us());
             }
             Some((_, address)) => {
-                self.scheduling.socket.send(&PeerWord::LimitWord(word), &[address]);
+                self.scheduling.socket.send(&PeerWord::LimitWord(message), &[address]);
             }
             None => {}
         }
     }
 
     /// Another node has heard what a runner takes.
-    pub fn on_limit_word(&self, word: &LimitMessage) {
-        let change = self.fleet.borrow_mut().on_limit_reported(word, self.now_us());
+    pub fn on_limit_message(&self, message: &LimitMessage) {
+        let change = self.fleet.borrow_mut().on_limit_reported(message, self.now_us());
         if let Some(change) = change {
-            self.log_limit(&word.runner, change, "node");
+            self.log_limit(&message.runner, change, "node");
         }
     }
 
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -22,37 +22,37 @@
 use tokio::time::sleep;
 
 /// Between two looks at the fleet.
-const PLAN_EVERY: Duration = Duration::from_millis(250);
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
 /// Limit of a call.
-const CALL_LIMIT: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time for which the number of runners must not change before all are taken to be listed: runners
 /// write to the store about every second.
-const LISTED_WITHIN: Duration = Duration::from_millis(2_000);
+const REGISTRATION_SETTLE_TIME: Duration = Duration::from_millis(2_000);
 /// Pause after an order that the platform did not take.
-const LATER_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-struct Scaling {
+struct ScalingController {
     node: Rc<Node>,
     store: PlatformClient,
     cloud: PlatformClient,
     /// The term for which the plans hold; `None`: there has been none.
     fence: Option<FencingToken>,
-    plans: HashMap<ServiceName, Plan>,
+    plans: HashMap<ServiceName, ServicePlan>,
 }
 
 /// The plan of a service.
-struct Plan {
+struct ServicePlan {
     planner: CapacityPlanner,
     record: CapacityRecord,
     /// Preemptible runners that were there before any was ordered.
-    found_preemptible: u32,
+    initial_preemptible: u32,
     /// Since when the runners that are listed are as many as the record says; `None`: it is final.
-    counting: Option<Instant>,
+    counting_since: Option<Instant>,
 }
 
 /// Orders runners whenever this node may, until the task is dropped.
 pub async fn order_runners(node: Rc<Node>) {
-    let mut scaling = Scaling {
+    let mut controller = ScalingController {
         node,
         store: PlatformClient::default(),
         cloud: PlatformClient::default(),
@@ -60,17 +60,17 @@
         plans: HashMap::new(),
     };
     loop {
-        sleep(PLAN_EVERY).await;
-        let node = &scaling.node;
+        sleep(PLAN_INTERVAL).await;
+        let node = &controller.node;
         let has_duty = node.settings().cloud.as_ref().is_some_and(|it| it.has(Duty::Scaling));
         let fence = node.authority.fence_to_order(node.now_us());
         if let Some(fence) = fence.filter(|_| has_duty) {
-            scaling.step(fence).await;
+            controller.step(fence).await;
         }
     }
 }
 
-impl Scaling {
+impl ScalingController {
     async fn step(&mut self, fence: FencingToken) {
         if self.fence != Some(fence) {
             self.fence = Some(fence);
@@ -80,7 +80,7 @@
             if !self.plans.contains_key(&service) && !self.begin_plan(&service).await {
                 continue;
             }
-            self.count(&service).await;
+            self.count_initial_runners(&service).await;
             self.plan(&service, &spec).await;
         }
     }
@@ -105,25 +105,25 @@
     /// does not tell.
     async fn begin_plan(&mut self, service: &ServiceName) -> bool {
         let read = store::read_capacity(service);
-        let answer = self.node.call_store(&mut self.store, &read, CALL_LIMIT).await;
-        let (record, counting) = match answer.map(|answer| (answer.status, answer.body)) {
+        let answer = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
+        let (record, counting_since) = match answer.map(|answer| (answer.status, answer.body)) {
             Some((StoreStatus::Done, body)) => {
                 let record = readable(service.as_str(), store::parse_capacity(&body));
                 let Some(record) = record else { return false };
                 (record, None)
             }
-            Some((StoreStatus::Absent, _)) => (self.present(service), Some(Instant::now())),
+            Some((StoreStatus::Absent, _)) => (self.observed(service), Some(Instant::now())),
             _ => return false,
         };
         let planner = CapacityPlanner::new(self.policy(), record.clone());
-        let found_preemptible = self.supply(service).values().map(|zone| zone.preemptible).sum();
-        let plan = Plan { planner, record, found_preemptible, counting };
+        let initial_preemptible = self.supply(service).values().map(|zone| zone.preemptible).sum();
+        let plan = ServicePlan { planner, record, initial_preemptible, counting_since };
         self.plans.insert(service.clone(), plan);
         true
     }
 
     /// What is there. Operators set a service up with as many runners as it needs.
-    fn present(&self, service: &ServiceName) -> CapacityRecord {
+    fn observed(&self, service: &ServiceName) -> CapacityRecord {
         let supply = self.supply(service);
         let need = supply.values().map(|zone| zone.reserved + zone.preemptible).sum();
         CapacityRecord { need, zones: supply.into_keys().collect() }
@@ -131,26 +131,26 @@
 
     /// Counts the runners of a service that has never been planned, until all are listed; then
     /// records them. Those that were ordered meanwhile do not count.
-    async fn count(&mut self, service: &ServiceName) {
+    async fn count_initial_runners(&mut self, service: &ServiceName) {
         let supply = self.supply(service);
         let Some(plan) = self.plans.get_mut(service) else { return };
-        let Some(since) = plan.counting else { return };
+        let Some(since) = plan.counting_since else { return };
         let reserved: u32 = supply.values().map(|zone| zone.reserved).sum();
-        let need = reserved + plan.found_preemptible;
+        let need = reserved + plan.initial_preemptible;
         if need != plan.record.need {
             plan.record = CapacityRecord { need, zones: supply.into_keys().collect() };
             plan.planner.on_recounted(plan.record.clone());
-            plan.counting = Some(Instant::now());
+            plan.counting_since = Some(Instant::now());
             return;
         }
-        if need == 0 || since.elapsed() < LISTED_WITHIN {
+        if need == 0 || since.elapsed() < REGISTRATION_SETTLE_TIME {
             return;
         }
         let Some(fence) = self.fence else { return };
         let write = store::write_capacity(service, &plan.record, fence);
-        let answer = self.node.call_store(&mut self.store, &write, CALL_LIMIT).await;
+        let answer = self.node.call_store(&mut self.store, &write, CALL_TIMEOUT).await;
         match answer.map(|answer| answer.status) {
-            Some(StoreStatus::Done) => plan.counting = None,
+            Some(StoreStatus::Done) => plan.counting_since = None,
             Some(StoreStatus::Conflict) => self.node.authority.on_refused(fence),
             _ => {}
         }
@@ -176,7 +176,7 @@
         let supply = self.supply(service);
         let now_us = self.node.now_us();
         let Some(plan) = self.plans.get_mut(service) else { return };
-        let orders = match plan.counting {
+        let orders = match plan.counting_since {
             None => plan.planner.plan(&supply, spec, now_us),
             Some(_) => plan.planner.plan_additions(&supply, spec, now_us),
         };
@@ -189,22 +189,24 @@
 
     /// Gives an order; returns whether the next one may follow.
     async fn order(&mut self, service: &ServiceName, order: &CapacityOrder) -> bool {
-        let may_order = self.node.authority.fence_to_order(self.node.now_us());
-        let Some(fence) = may_order.filter(|fence| self.fence == Some(*fence)) else {
+        let current_fence = self.node.authority.fence_to_order(self.node.now_us());
+        let Some(fence) = current_fence.filter(|fence| self.fence == Some(*fence)) else {
             return false;
         };
         let Some(cloud) = self.node.settings().cloud.clone() else { return false };
         let holder = DutyHolder { node: self.node.settings().node.name.clone(), fence };
         let preemptible = order.kind == RunnerKind::Preemptible;
-        let told = ScaleOrder {
+        let scale_order = ScaleOrder {
             service: service.clone(),
             zone: order.zone.clone(),
             runners: order.runners,
             preemptible,
         };
         self.node.metrics.cloud_calls.inc();
-        let answer =
-            self.cloud.call(cloud.address, &cloud::scale(&holder, &told), CALL_LIMIT).await;
+        let answer = self
+            .cloud
+            .call(cloud.address, &cloud::scale(&holder, &scale_order), CALL_TIMEOUT)
+            .await;
         let outcome = answer.as_ref().map(|answer| cloud::parse_status(answer.status));
         log_order(service, order, fence, &outcome);
         let now_us = self.node.now_us();
@@ -220,7 +222,7 @@
             }
             // Without an answer it may have been taken or not: it is given again.
             Ok(DutyAnswer::Later) | Err(_) => {
-                sleep(LATER_PAUSE).await;
+                sleep(RETRY_PAUSE).await;
                 return false;
             }
         }
