--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one runner, up to the head of its answer.
+//! A single attempt: sends a request to one runner and receives the head of its response.
 
 use crate::clock::Instant;
 use crate::http::request::request_bytes;
@@ -20,15 +20,16 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Largest answer that is read whole.
+/// Maximum size of a response body that is read into memory as a whole.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
-/// Surplus answers that are passed over while waiting for the right one.
+/// Maximum number of surplus responses that are discarded while waiting for the matching one. A
+/// surplus response belongs to an earlier request on a reused connection.
 const MAX_SURPLUS_RESPONSES: usize = 4;
-/// Largest surplus answer that is passed over.
+/// Maximum body size of a surplus response that is read and discarded.
 const MAX_SURPLUS_RESPONSE_BYTES: usize = 1024 * 1024;
 const US_PER_MS: u64 = 1_000;
 
-/// Counts an attempt as in flight at its runner until dropped.
+/// Counts an attempt as in flight at its runner until the guard is dropped.
 pub struct InFlightGuard {
     node: Rc<Node>,
     runner: RunnerId,
@@ -41,12 +42,12 @@
         Self { node: node.clone(), runner: choice.runner.clone(), demand: choice.demand }
     }
 
-    /// Something has come from the runner.
+    /// Records that data has been received from the runner.
     pub fn on_progress(&self) {
         self.node.on_progress(&self.runner);
     }
 
-    /// The runner has read the prompt; only the writing is left.
+    /// Records that the runner has finished the prefill, so that only the decode counts as load.
     pub fn on_prefilled(&mut self) {
         self.node.fleet.borrow_mut().on_prefilled(&self.runner, self.demand);
         self.demand.prefill_tokens = 0;
@@ -60,63 +61,66 @@
     }
 }
 
-/// A connection to a runner on which nothing of this request has been sent.
+/// A connection to a runner on which nothing of this request has been sent yet.
 pub struct PreparedConnection {
     connection: Upstream,
     record: RunnerRecord,
     in_flight: InFlightGuard,
-    /// How long a kept connection has rested; `None`: a new one.
+    /// How long a pooled connection was idle; `None` for a new connection.
     idle: Option<Duration>,
 }
 
 impl PreparedConnection {
-    /// The runner.
+    /// The registry record of the runner, as of when the connection was prepared.
     pub fn record(&self) -> &RunnerRecord {
         &self.record
     }
 }
 
-/// How an attempt ended, up to the head of the answer.
+/// How an attempt ended, up to and including the head of the response.
 pub enum AttemptEnd {
-    /// The runner answers.
+    /// The runner responds; the body is still to be read.
     Responding(Box<AttemptResponse>),
-    /// The runner has not run it and never will.
+    /// The runner has not executed the request and will not do so.
     Declined,
-    /// The runner may have run it.
+    /// The connection broke, or the response is not valid. The runner may have executed the
+    /// request.
     Lost,
-    /// No answer came within the attempt's time.
+    /// No response head was received in time, or the runner became suspect. It may have executed
+    /// the request.
     Unanswered,
 }
 
-/// An answer whose head has come.
+/// A response whose head has been received.
 pub struct AttemptResponse {
-    /// The head.
+    /// Status line and headers of the response.
     pub head: AnswerHead,
-    /// The runner.
+    /// The registry record of the responding runner.
     pub record: RunnerRecord,
-    /// Counts the attempt.
+    /// Keeps the attempt counted as in flight until the response has been handled.
     pub in_flight: InFlightGuard,
     connection: Upstream,
     decoder: BodyDecoder,
 }
 
-/// Why there is no connection to a chosen runner.
+/// Why no connection to a chosen runner is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrepareError {
-    /// It takes no request from this node any more, or none now.
+    /// The runner currently accepts no requests of this node, or not any more.
     Withheld,
-    /// It cannot be reached.
+    /// The runner cannot be reached, or this node's connection limit for it is used up.
     Unreachable,
 }
 
-/// Takes or opens a connection to the chosen runner.
+/// Takes a pooled connection to the chosen runner or opens a new one. Fails if the runner accepts
+/// no requests of this node or cannot be reached.
 pub async fn prepare(
     node: &Rc<Node>,
     choice: &RunnerChoice,
 ) -> Result<PreparedConnection, PrepareError> {
     let record = record_accepting_work(node, &choice.runner)?;
     if attempts_in_flight(node, &choice.runner) >= node.connection_share(&record.service) {
-        log::info!(target: "attempt", runner = choice.runner.as_str(); "no connection left");
+        log::info!(target: "attempt", runner = choice.runner.as_str(); "connection limit reached");
         return Err(PrepareError::Unreachable);
     }
     let in_flight = InFlightGuard::new(node, choice);
@@ -129,7 +133,8 @@
     match Upstream::open(record.address, CONNECT_LIMIT).await {
         Ok(connection) => {
             node.on_round_trip(&record.zone, started_at.elapsed());
-            // The runner may have begun to leave, or to rest, while the connection was being opened.
+            // The runner may have started to leave or to rest while the connection was being
+            // opened.
             let record = record_accepting_work(node, &choice.runner)?;
             Ok(PreparedConnection { connection, record, in_flight, idle: None })
         }
@@ -155,35 +160,38 @@
     accepting.map(|runner| runner.record.clone()).ok_or(PrepareError::Withheld)
 }
 
-/// What goes with an attempt.
+/// Parameters of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptParams {
-    /// What to do.
+    /// What the runner is asked to do: the whole request, only the prefill, or the decode of a
+    /// prefilled prompt.
     pub work: Work,
-    /// Rank, 0 first.
+    /// Priority sent to the runner, 0 being the most urgent. `None` for services without an engine.
     pub priority: Option<u8>,
-    /// The stream goes on after this event, if the node resumes it.
+    /// ID of the last event the client has received, if this node resumes the stream.
     pub after_event: Option<u64>,
-    /// The runner first takes over what this one holds of the prompt.
+    /// Address of the runner from which the chosen runner fetches shared prefixes before it
+    /// prefills.
     pub fetch_from: Option<SocketAddr>,
-    /// The tenant for whom the request runs.
+    /// The tenant on whose behalf the request runs.
     pub tenant: Option<TenantName>,
-    /// Whether the configuration has tenants, so that clients' words on who they are stay here.
+    /// Whether the configuration has tenants. If so, the client's credentials are not forwarded to
+    /// the runner.
     pub has_tenants: bool,
-    /// When the request's time is up.
+    /// When the request's deadline expires.
     pub deadline: Instant,
-    /// Longest wait for the head of the answer.
+    /// Maximum wait for the head of the response.
     pub head_timeout: Duration,
-    /// Time until the prompt should have been read.
+    /// Expected time until the prefill is finished. It is only logged.
     pub expected_prefill: Duration,
-    /// Silence after which the runner is looked at.
+    /// Time without data from the runner after which the runner is checked.
     pub verify_after: Duration,
-    /// Whether the attempt ends when its runner cannot be reached any more: only for what may
-    /// be repeated.
+    /// Whether the attempt is abandoned when its runner becomes suspect. Only set if the request
+    /// may be repeated.
     pub abandons_suspects: bool,
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request on a prepared connection and waits for the head of the response.
 pub async fn send(
     node: &Rc<Node>,
     request: &ClientRequest,
@@ -260,8 +268,8 @@
     request_bytes(&request.method, &request.target, &all, &request.body)
 }
 
-/// Reads heads until the one that answers this request. A surplus answer to an earlier
-/// request may stand in its place on a kept connection; what it says of its runner holds as well.
+/// Reads response heads until one matches this request. On a reused connection, a surplus response
+/// to an earlier request may come first. What it reports about the runner is used too.
 async fn read_matching_head(
     node: &Node,
     request: &ClientRequest,
@@ -272,21 +280,21 @@
         let head = prepared.connection.read_head().await?;
         let metadata = node.on_answer_head(&prepared.record.id, &head);
         let is_other = metadata.request_id.as_deref().is_some_and(|id| id != request.facts.id);
-        // When an earlier request was sent is not known here.
+        // The time at which the earlier request was sent is not known here.
         let sent_at_us = if is_other { 0 } else { sent_at_us };
         node.on_limit_in_response(&prepared.record.id, &metadata, sent_at_us);
         if !is_other || prepared.idle.is_none() {
             return Ok((head, metadata));
         }
         let runner = prepared.record.id.as_str();
-        log::info!(target: "attempt", request = request.facts.id.as_str(), runner; "surplus answer");
+        log::info!(target: "attempt", request = request.facts.id.as_str(), runner; "surplus response discarded");
         let decoder = BodyDecoder::new(head.framing);
         prepared.connection.read_whole_body(&decoder, MAX_SURPLUS_RESPONSE_BYTES).await?;
     }
     Err(ReadFailure::Closed)
 }
 
-/// Decides what the head of an answer means.
+/// Decides what the head of a response means for the attempt.
 fn classify(
     node: &Rc<Node>,
     request: &ClientRequest,
@@ -310,9 +318,9 @@
     }
     let is_success = (200..300).contains(&status);
     let is_prefill_response = params.work == Work::Prefill && is_success;
-    // What is not signed by a runner is no runner's answer, whatever its status.
+    // A response without a runner's stamp was not sent by a runner, whatever its status.
     if !is_own || metadata.encoded || !(metadata.signed || is_prefill_response) {
-        log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "no answer");
+        log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "invalid response");
         node.fleet.borrow_mut().on_answered(&runner, true, node.now_us());
         return AttemptEnd::Lost;
     }
@@ -391,7 +399,7 @@
 }
 
 impl AttemptResponse {
-    /// The headers of the answer that are for the client.
+    /// The response headers that are forwarded to the client.
     pub fn client_headers(&self) -> Vec<Header> {
         let named = crate::http::named_by_connection(&self.head.headers);
         let passes = |header: &&Header| {
@@ -406,18 +414,18 @@
         self.connection.read_body(&self.decoder).await
     }
 
-    /// Whether only the end of the connection tells the end of the body.
+    /// Whether the end of the body is only marked by the end of the connection.
     pub fn ends_with_connection(&self) -> bool {
         self.decoder.ends_with_connection()
     }
 
-    /// Reads the whole body.
+    /// Reads the whole body. Fails if it is larger than 16 MiB or the connection breaks.
     pub async fn read_all(&self) -> Result<WholeAnswer, ReadFailure> {
         let body = self.connection.read_whole_body(&self.decoder, MAX_RESPONSE_BYTES).await?;
         Ok(WholeAnswer { status: self.head.status, headers: self.client_headers(), body })
     }
 
-    /// The body was read to its end: the connection may serve another request.
+    /// Returns the connection to the pool. The body must have been read to its end.
     pub fn return_connection(self, node: &Node) {
         if self.head.keep_alive {
             node.pool.give_back(&self.record.id, self.connection, self.head.idle_limit);
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -1,7 +1,7 @@
-//! Asks runners what they keep in their KV caches, once after a start.
+//! Requests the contents of runners' KV caches once after a start.
 //!
-//! A scheduler that has just started knows nothing of the caches of its runners, which may be
-//! warm. It asks the runners of its own shards only, one after the other.
+//! A scheduler that has just started knows nothing about the caches of its runners, which may be
+//! warm. It queries only the runners of its own shards, one after the other.
 
 use crate::http::request::request_bytes;
 use crate::http::{BodyDecoder, Upstream};
@@ -19,14 +19,16 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Between two looks whether the node is ready.
+/// Interval between two checks whether the node is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for the head of one runner's answer; the list is waited for as long as it makes progress.
+/// Maximum wait for the connection and for the head of one runner's response. The body has no time
+/// limit as long as data arrives.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Largest answer.
+/// Maximum size of a runner's cache list.
 const MAX_LIST_BYTES: usize = 1024 * 1024;
-/// Asks the runners of language models of the shards that this node schedules. A node that knows
-/// no others yet would ask all of them, so it waits until it has read who is there.
+/// Queries the language model runners of the shards that this node schedules. A node that does not
+/// know any other nodes yet would query all runners, so it waits until it has read the list of
+/// nodes.
 pub async fn list_own_shards(node: Rc<Node>) {
     while !node.is_ready() || !node.has_listed_nodes() {
         sleep(READY_POLL_INTERVAL).await;
@@ -50,7 +52,7 @@
     }
 }
 
-/// Runners of language models that belong to one of the shards.
+/// The language model runners that belong to one of the shards.
 pub fn runners_to_list(fleet: &Fleet, shards: &[Shard]) -> Vec<(RunnerId, SocketAddr)> {
     let is_listed = |runner: &&Runner| {
         let serves_model = runner.accepts_work() && runner.record.stage.is_some();
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -1,4 +1,4 @@
-//! What a run has to pass before it is sent to its runner.
+//! Admission checks before a request is sent to its runner.
 
 use super::planning::Plan;
 use super::Dispatch;
@@ -7,29 +7,31 @@
 use pitchstall_serving::attempt::EndReason;
 use pitchstall_serving::retry_budget::{ArrivalCost, SharedRetryBudget};
 
-/// What came of asking whether a planned run may be sent.
+/// Result of the admission checks of a planned run.
 pub(super) enum Admission {
-    /// It may; what was spent on it, if its tenant has a limit.
+    /// The run may be sent. Contains what was spent on it, if its tenant has a quota.
     Paid(Option<Spent>),
-    /// Its runner takes nothing from this node any more. Nothing has been spent.
+    /// The runner accepts no requests of this node any more. Nothing has been spent.
     Withheld,
 }
 
 impl Dispatch<'_> {
-    /// Whether a planned run may be sent: unless runners have ended under the request, if its tenant
-    /// has room for it, if its runner still takes requests, and if it is the first one or the retry
-    /// budget allows it. It has to be sent without any further wait.
+    /// Checks whether a planned run may be sent. It may, unless the request is quarantined because
+    /// runners crashed under it, if its tenant has quota left, if its runner still accepts
+    /// requests, and if it is the first run or the retry budget covers it. After admission the run
+    /// must be sent without any further wait.
     pub(super) async fn admit(&mut self, plan: &Plan) -> Result<Admission, EndReason> {
-        // The word may have come while the request was placed and its prompt read.
+        // The quarantine may have been reported while the request was being placed or prefilled.
         if self.is_quarantined() {
             return Err(EndReason::Quarantined);
         }
         self.ensure_paid().await?;
-        // The runner may have said so since it was chosen, as while a prompt was read elsewhere.
+        // The runner may have reported this since it was chosen, for example during a prefill
+        // elsewhere.
         if !self.node.may_send_to(&plan.choice.runner) {
             return Ok(Admission::Withheld);
         }
-        // Asked last of all that has to be waited for, as a permit holds for a moment only.
+        // This is the last check that may wait, since a permit is valid for a short time only.
         if !self.is_permitted(plan).await {
             return Ok(Admission::Withheld);
         }
@@ -51,7 +53,7 @@
         Ok(Admission::Paid(self.payment.take().map(Payment::spend)))
     }
 
-    /// Whether the runner takes one request more of what it has named as its limit.
+    /// Whether the runner's limit allows one more request.
     async fn is_permitted(&self, plan: &Plan) -> bool {
         if plan.permit.is_some_and(|permit| permit.is_usable(self.node.now_us())) {
             return true;
@@ -60,8 +62,8 @@
         runner_limits::request_permit(self.node, request, &plan.choice.runner).await.is_some()
     }
 
-    /// Has the next run paid for by the tenant's keepers, if it is not; `None`: it is, or costs
-    /// nothing.
+    /// Requests payment for the next run from the keepers of the tenant's quota. `None` if the run
+    /// is already paid for or free.
     pub(super) async fn request_payment(&self) -> Result<Option<Payment>, EndReason> {
         match &self.run_cost {
             Some(run) if self.payment.is_none() => {
@@ -72,8 +74,8 @@
         }
     }
 
-    /// Makes sure that the run is paid for now. A grant that has lapsed, as while a prompt was read,
-    /// is given back and asked for anew.
+    /// Ensures that the run is paid for. A grant that has expired, for example during a prefill, is
+    /// returned and requested again.
     pub(super) async fn ensure_paid(&mut self) -> Result<(), EndReason> {
         let Some(run) = &self.run_cost else { return Ok(()) };
         if self.payment.as_ref().is_some_and(Payment::is_usable) {
@@ -87,7 +89,8 @@
         Ok(())
     }
 
-    /// Pays for an arrival at a runner before it is sent; `false`: it may not be sent.
+    /// Draws on the retry budget for sending a request to a runner, if its cost requires it;
+    /// `false` if the request must not be sent.
     pub(super) fn pay_for_arrival(&mut self, cost: ArrivalCost) -> bool {
         cost == ArrivalCost::Free || std::mem::take(&mut self.has_prepaid_retry) || self.withdraw()
     }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -1,8 +1,8 @@
-//! Makes attempts until a request has its final answer.
+//! Makes attempts until a request has its final response.
 //!
-//! What may be repeated is decided here: a request that surely has not run may go to another
-//! runner, one that may have run only if its route allows it, and both only within the retry
-//! budget that all nodes share.
+//! This module decides what may be repeated. A request that has certainly not been executed may be
+//! sent to another runner. One that may have been executed is repeated only if its route allows it.
+//! Both are subject to the retry budget, which all nodes share.
 
 mod admission;
 mod planning;
@@ -38,18 +38,19 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Runners that are tried without reaching them before a request is given up.
+/// Maximum number of unreachable runners that are tried before a request fails.
 const MAX_UNREACHABLE_RUNNERS: usize = 8;
-/// Part of the time left that one attempt may take when another could follow.
+/// Share of the remaining time that one attempt may take if another one could follow.
 const MAX_ATTEMPT_TIME_SHARE: f64 = 0.45;
-/// Part of its target for which a request hears nothing before its runner is doubted.
+/// Share of a request's target time without data from the runner after which the runner is checked.
 const VERIFY_AFTER_TARGET_SHARE: f64 = 0.5;
-/// Pauses between events, in targets, after which a stream counts as silent.
+/// Maximum gap between two events of a stream, as a multiple of the route's gap target, before the
+/// stream counts as stalled.
 const STALL_GAP_TARGETS: u32 = 4;
-/// Shortest pause after which a stream counts as silent.
+/// Minimum gap between two events after which a stream counts as stalled.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// One request on its way to its final answer.
+/// A request that is being dispatched until it has its final response.
 pub struct Dispatch<'a> {
     node: &'a Rc<Node>,
     request: &'a ClientRequest,
@@ -57,31 +58,32 @@
     service: ServiceName,
     engine: Option<EngineSpec>,
     prompt: Prompt,
-    /// What the operators' policy program decided.
+    /// The decision of the operators' policy program.
     rules: PlacementRules,
-    /// The tenant for whom the request runs.
+    /// The tenant on whose behalf the request runs.
     tenant: Option<Rc<Tenant>>,
     /// Whether the configuration has tenants.
     has_tenants: bool,
     config_version: u64,
-    /// What a run costs the tenant; `None`: nothing.
+    /// What a run costs the tenant; `None` if it is free.
     run_cost: Option<RunCost>,
-    /// The next run, if it is paid for by the tenant's keepers.
+    /// The payment for the next run, if the keepers of the tenant's quota have granted it.
     payment: Option<Payment>,
-    /// Whether the request has been counted as begun.
+    /// Whether the request has been counted as begun for its tenant.
     is_counted: bool,
-    /// Whether the next attempt is paid for: it was when the one before was left.
+    /// Whether the retry budget has already been charged for the next attempt, which happens when a
+    /// stalled attempt is abandoned.
     has_prepaid_retry: bool,
     deadline: Instant,
-    /// What is known of the request after the attempts so far.
+    /// What is known about the execution of the request after the attempts so far.
     execution: Execution,
-    /// Attempts that may have run.
+    /// Number of attempts that may have been executed.
     runs: u32,
-    /// Which arrivals at runners draw on the retry budget.
+    /// Determines which requests sent to runners draw on the retry budget.
     arrivals: ArrivalLedger,
     excluded: Vec<RunnerId>,
     unreachable_count: usize,
-    /// A runner's own failure, for want of something better.
+    /// An error response of a runner, returned to the client if no attempt succeeds.
     runner_failure: Option<WholeAnswer>,
     stream: StreamState,
 }
@@ -92,7 +94,7 @@
 }
 
 impl<'a> Dispatch<'a> {
-    /// A request that no runner has seen.
+    /// Creates the dispatch of a request that has not been sent to any runner.
     pub fn new(
         node: &'a Rc<Node>,
         request: &'a ClientRequest,
@@ -129,7 +131,7 @@
         }
     }
 
-    /// The request runs for a tenant.
+    /// Sets the tenant on whose behalf the request runs.
     pub fn for_tenant(self, tenant: Option<Rc<Tenant>>) -> Self {
         let facts = &self.request.facts;
         let run_cost =
@@ -137,7 +139,7 @@
         Self { tenant, run_cost, ..self }
     }
 
-    /// Makes attempts until there is a final answer.
+    /// Makes attempts until there is a final response.
     pub async fn run(mut self, client: &ClientConnection) -> RequestEnd {
         loop {
             if let Step::Done(end) = self.step(client).await {
@@ -159,7 +161,7 @@
         };
         let prepared = match attempt::prepare(self.node, &plan.choice).await {
             Ok(prepared) => prepared,
-            // The runner is no candidate any more: another one is chosen.
+            // The runner is no longer a candidate, so another one is chosen.
             Err(PrepareError::Withheld) => return Step::Retry,
             Err(PrepareError::Unreachable) => {
                 plan.report(Progress::Unreachable(plan.choice.runner.clone()));
@@ -209,7 +211,8 @@
         }
     }
 
-    /// Whether it reaches no runner any more: asked before each time that it would.
+    /// Whether the request is quarantined and must not be sent to a runner. Checked before each
+    /// send.
     fn is_quarantined(&self) -> bool {
         self.node.is_quarantined(|| self.identity())
     }
@@ -218,7 +221,7 @@
         self.request.identity(self.tenant.as_ref().map(|tenant| &tenant.name))
     }
 
-    /// Counts the request for its tenant when it begins to run; once, however often it is repeated.
+    /// Counts the request for its tenant when it begins to run, once regardless of repetitions.
     fn begin_mark(&self, sent_at: Instant) -> BeginMark {
         let tenant = self.tenant.as_ref().filter(|_| !self.is_counted);
         let tenant = tenant.map(|tenant| tenant.name.clone());
@@ -254,7 +257,8 @@
         Some(fleet.get(runner?)?.record.address)
     }
 
-    /// The event after which the node itself makes a stream go on.
+    /// The event after which this node resumes a stream; `None` if nothing has been sent to the
+    /// client.
     fn resume_after_event(&self) -> Option<u64> {
         if self.stream.begun {
             self.stream.join.last_id()
@@ -263,7 +267,7 @@
         }
     }
 
-    /// Silence gives no reason to end an attempt, unless another can follow.
+    /// A slow attempt is only ended early if another one can follow.
     fn attempt_timeout(&self) -> Duration {
         let left = self.time_left();
         if self.may_retry_after() {
@@ -273,12 +277,12 @@
         }
     }
 
-    /// Whether another attempt may follow the one that is made now.
+    /// Whether another attempt may follow the current one.
     fn may_retry_after(&self) -> bool {
         self.may_run_again(1) && self.has_retry_budget()
     }
 
-    /// Whether the request may run once more after so many further runs.
+    /// Whether the request may run once more after the given number of further runs.
     fn may_run_again(&self, further: u32) -> bool {
         self.route.is_repeatable() && self.runs + further < self.route.max_attempts
     }
@@ -329,7 +333,7 @@
             Ok(Err(error)) => {
                 let error = error.to_string();
                 let id = self.request.facts.id.as_str();
-                log::info!(target: "attempt", request = id, runner = runner.as_str(), error; "broken off");
+                log::info!(target: "attempt", request = id, runner = runner.as_str(), error; "response interrupted");
                 on_interrupted(self.node, self.interrupted_attempt_at(&runner));
                 return self.on_lost(runner);
             }
@@ -337,7 +341,7 @@
         };
         let is_framed = !response.ends_with_connection();
         response.return_connection(self.node);
-        // A failure may come from a runner that has not begun to run it.
+        // An error response may come from a runner that has not begun to execute the request.
         if (200..300).contains(&answer.status) {
             self.on_success(&runner, is_framed);
         }
@@ -355,8 +359,8 @@
         Step::Retry
     }
 
-    /// A runner has answered with success. Where only the end of the connection tells that the answer
-    /// is whole, the runner may as well have ended.
+    /// Handles a successful response. If the end of the body was only marked by the end of the
+    /// connection, the runner may have crashed instead, so it is checked.
     fn on_success(&self, runner: &RunnerId, is_framed: bool) {
         if is_framed {
             self.node.on_success(|| self.identity());
@@ -396,16 +400,17 @@
             RelayEnd::ClientGone => Step::Done(RequestEnd::ClientGone),
             RelayEnd::OutOfTime => self.on_out_of_time(),
             RelayEnd::Broken | RelayEnd::Silent => {
-                // The connection is closed first, so that the runner stops before the next
-                // one goes on.
+                // The connection is closed first, so that this runner stops before the next one
+                // continues.
                 drop(response);
                 self.on_stream_interrupted(runner)
             }
         }
     }
 
-    /// Whether a run that is silent is left: only if another runner is there to go on, and what that
-    /// costs is paid. Silence alone is no reason to end an answer sooner.
+    /// Whether a stalled run may be abandoned. This requires another healthy runner, a route that
+    /// allows another run, and the retry budget for it, which is charged here. A stall alone is no
+    /// reason to end a response early.
     fn may_abandon(&mut self, runner: &RunnerId) -> bool {
         let others: Vec<RunnerId> = self.excluded.iter().chain([runner]).cloned().collect();
         let eligible = Eligible {
@@ -421,7 +426,8 @@
         self.has_prepaid_retry
     }
 
-    /// Only a stream that can go on elsewhere is left because of a pause.
+    /// Maximum gap between two events. Only a stream that can be continued by another runner is
+    /// abandoned because of a gap.
     fn max_stream_gap(&self) -> Duration {
         let gap = self.route.gap_target_ms.filter(|_| self.may_retry_after());
         let silence = gap.map(|gap_ms| Duration::from_millis(gap_ms) * STALL_GAP_TARGETS);
@@ -443,7 +449,7 @@
         let id = self.request.facts.id.as_str();
         let after = self.stream.join.last_id().unwrap_or_default();
         let begun = self.stream.begun;
-        log::info!(target: "stream", request = id, runner = runner.as_str(), after, begun; "broken off");
+        log::info!(target: "stream", request = id, runner = runner.as_str(), after, begun; "stream interrupted");
         self.node.metrics.resumes.inc();
         self.on_lost(runner)
     }
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -1,4 +1,4 @@
-//! Plans the next attempt of a request: where it is placed, and the reading of its prompt.
+//! Plans the next attempt of a request: its placement and the prefill of its prompt.
 
 use super::{Dispatch, EndReason};
 use crate::attempt::{self, PrepareError};
@@ -17,23 +17,25 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Part of the time left that a reading may take: a busy runner is no reason to read anew.
+/// Share of the remaining time that a prefill may take. It is large, since a busy runner is no
+/// reason to prefill again elsewhere.
 const MAX_PREFILL_TIME_SHARE: f64 = 0.8;
-/// Part of its target for which a request waits for a runner to appear.
+/// Share of a request's target time to wait for a runner to become available.
 const MAX_WAIT_TARGET_SHARE: f64 = 0.25;
 
 /// Where and how the request is to run next.
 pub(super) struct Plan {
     pub(super) choice: RunnerChoice,
     pub(super) prefilled: Option<ReadPrompt>,
-    /// Tells the scheduler that has placed it; `None`: nobody schedules it.
+    /// Reports progress to the scheduler that placed the request; `None` for a service without an
+    /// engine, which has no scheduler.
     progress_reporter: Option<ProgressReporter>,
-    /// Leave to send it; `None`: it has not been asked for.
+    /// Permit to send the request; `None` if it has not been requested yet.
     pub(super) permit: Option<SendPermit>,
 }
 
 impl Plan {
-    /// Tells the scheduler of progress.
+    /// Reports progress to the scheduler.
     pub(super) fn report(&self, progress: Progress) {
         if let Some(progress_reporter) = &self.progress_reporter {
             progress_reporter.report(progress);
@@ -41,7 +43,7 @@
     }
 }
 
-/// A runner takes requests of this node again.
+/// When a runner accepts requests of this node again.
 #[derive(Clone, Copy)]
 struct NextAvailability {
     available_in: Duration,
@@ -49,8 +51,8 @@
 }
 
 impl NextAvailability {
-    /// Why a request is given up that can't wait so long. Another node has nothing more to give of a limit, so the caller
-    /// is told when there will be something.
+    /// The reason for failing a request that cannot wait this long. With a limit, other nodes have
+    /// no requests left either, so the client is told when to retry.
     fn end_reason(self) -> EndReason {
         let wait_ms = u64::try_from(self.available_in.as_millis()).unwrap_or(u64::MAX);
         match self.has_limit {
@@ -60,7 +62,7 @@
     }
 }
 
-/// Milliseconds since a moment.
+/// Time since a moment, in milliseconds.
 pub(super) fn elapsed_ms(since: Instant) -> u64 {
     u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX)
 }
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Finds where the request runs next; waits a little if no runner takes work.
+    /// Determines where the request runs next. Waits for a short time if no runner accepts work.
     pub(super) async fn plan(&mut self) -> Result<Plan, EndReason> {
         let give_up_at = Instant::now() + self.max_wait();
         loop {
@@ -91,7 +93,8 @@
                 return Ok(plan);
             }
             let remaining = give_up_at.saturating_duration_since(Instant::now());
-            // Waiting for a rest that ends too late keeps the caller from trying elsewhere.
+            // Waiting for a rest period that ends too late would keep the client from retrying
+            // elsewhere.
             let availability = self.next_availability();
             if let Some(availability) =
                 availability.filter(|availability| availability.available_in > remaining)
@@ -108,7 +111,8 @@
         }
     }
 
-    /// When the first runner takes requests again that is only withheld; `None`: none is.
+    /// When the first of the runners that are only temporarily unavailable accepts requests again;
+    /// `None` if there is none.
     fn next_availability(&self) -> Option<NextAvailability> {
         let Demand { eligible, now_us, .. } = self.demand();
         let availability = self.node.fleet.borrow().next_availability(&eligible, now_us)?;
@@ -154,8 +158,9 @@
         scheduling::place(self.node, &demand).await
     }
 
-    /// Has the prompt read, then has it written where that was planned. A prompt that could not
-    /// be read apart is read by the decode runner; while it was read, much may have changed.
+    /// Has the prompt prefilled, then plans the decode at the planned runner or, if that accepts no
+    /// work any more, at another one. If the separate prefill fails, the decode runner prefills the
+    /// prompt itself.
     async fn prefill_then_decode(
         &mut self,
         prefill_runner: RunnerChoice,
@@ -176,7 +181,7 @@
         let zone = prefilled.as_ref().map(|prefilled| prefilled.zone.clone());
         let (choice, permit) =
             self.permitted_decode_runner(decode_runner, zone.as_ref()).await.unzip();
-        // A move between regions takes longer than reading the prompt anew.
+        // Moving the prefilled prompt between regions takes longer than prefilling it again.
         let is_in_same_region = |prefilled: &ReadPrompt| {
             let choice = choice.as_ref();
             choice.is_some_and(|choice| self.node.is_in_region_of(&choice.runner, &prefilled.zone))
@@ -186,8 +191,8 @@
         Ok(choice.map(|choice| Plan { choice, prefilled, progress_reporter, permit }))
     }
 
-    /// A writer that takes one request more of what it has named as its limit: the planned one, or another one, so that a
-    /// prompt is not read in vain. Waits a little if all have none left.
+    /// A decode runner whose limit allows one more request: the planned one, or another one so that
+    /// the prefill is not wasted. Waits for a short time if all limits are exhausted.
     async fn permitted_decode_runner(
         &self,
         planned: Option<RunnerChoice>,
@@ -220,7 +225,7 @@
         }
     }
 
-    /// How long a request waits for a runner.
+    /// How long the request waits for a runner.
     fn max_wait(&self) -> Duration {
         let wait = Duration::from_millis(self.route.target_ms).mul_f64(MAX_WAIT_TARGET_SHARE);
         wait.min(self.time_left())
@@ -280,8 +285,8 @@
         }
     }
 
-    /// Whether the prompt would be read only when the request's time is up: an extra attempt
-    /// that cannot be answered in time takes budget and capacity from those that can.
+    /// Whether the prefill is expected to end only after the request's deadline. An additional
+    /// attempt that cannot meet the deadline would take budget and capacity from requests that can.
     pub(super) fn would_miss_deadline(&self, choice: &RunnerChoice) -> bool {
         Duration::from_micros(choice.expected_prefill_us) > self.time_left()
     }
--- a/crates/gateway/src/interrupted_attempt.rs
+++ b/crates/gateway/src/interrupted_attempt.rs
@@ -1,7 +1,8 @@
-//! Attempts that ended before their answers were whole: what follows for their runners.
+//! Handling of attempts that ended before their responses were complete.
 //!
-//! Each of them may mean that the runner has ended, so it is looked at, and which request was under way
-//! there is remembered until that is known ([`pitchstall_serving::crash_evidence`]).
+//! Each of them may mean that the runner has crashed. The runner is therefore checked, and the
+//! request that was in progress there is remembered until the result is known (see
+//! [`pitchstall_serving::crash_evidence`]).
 
 use crate::clock::Instant;
 use crate::http::ReadFailure;
@@ -12,36 +13,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time after sending within which a kept connection that ends is taken for one that the
-/// runner had forgotten.
+/// If a pooled connection ends within this time after a request was sent on it, the runner is
+/// assumed to have closed the idle connection before.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(30);
 
-/// An attempt that ended before its answer was whole.
+/// An attempt that ended before its response was complete.
 #[derive(Clone, Copy)]
 pub struct InterruptedAttempt<'a> {
-    /// The request.
+    /// The request of the attempt.
     pub request: &'a ClientRequest,
-    /// The tenant for whom it runs.
+    /// The tenant on whose behalf the request runs.
     pub tenant: Option<&'a TenantName>,
-    /// The runner that had it.
+    /// The runner to which the request was sent.
     pub runner: &'a RunnerId,
 }
 
-/// A connection broke before its answer was whole: the runner has crashed, or it lost one
-/// answer.
+/// Handles a connection that broke before the response was complete: the runner has crashed, or has
+/// lost this one response.
 pub fn on_interrupted(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     let now_us = node.now_us();
     node.fleet.borrow_mut().on_response_interrupted(attempt.runner, now_us);
     verify_runner(node, attempt);
 }
 
-/// Finds out whether the runner of an attempt has ended.
+/// Records the unfinished attempt and checks whether its runner has crashed.
 pub fn verify_runner(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     record_unfinished_attempt(node, attempt);
     verify(node, attempt.runner, node.now_us());
 }
 
-/// A request was under way at a runner that may have ended.
+/// Records that a request was in progress at a runner that may have crashed.
 pub fn record_unfinished_attempt(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     let identity = attempt.request.identity(attempt.tenant);
     node.on_broken_attempt(attempt.runner, attempt.request.facts.id.as_str(), identity);
@@ -50,21 +51,22 @@
 /// How the connection of a lost attempt was used.
 #[derive(Clone, Copy)]
 pub struct ConnectionUse {
-    /// How long a kept connection had rested; `None`: a new one.
+    /// How long a pooled connection was idle before the request; `None` for a new connection.
     pub idle: Option<Duration>,
     /// When the request was sent.
     pub sent_at: Instant,
 }
 
 impl ConnectionUse {
-    /// The rest after which a kept connection was found dead: its end came as fast as an
-    /// answer that nobody worked on.
+    /// The idle time of a pooled connection that was already closed by the runner when the request
+    /// was sent. This is assumed if the connection ended faster than any response could have been
+    /// computed. `None` otherwise.
     fn stale_after(&self) -> Option<Duration> {
         self.idle.filter(|_| self.sent_at.elapsed() < STALE_CONNECTION_WINDOW)
     }
 }
 
-/// A connection broke before the head of an answer had come.
+/// Handles a connection that broke before the head of the response was received.
 pub fn on_connection_lost(
     node: &Rc<Node>,
     attempt: InterruptedAttempt<'_>,
@@ -81,7 +83,7 @@
         Some(idle) => {
             node.pool.on_dead(idle);
             node.pool.forget(runner);
-            // It may also have ended just after it took the request.
+            // The runner may also have crashed just after it accepted the request.
             verify_runner(node, attempt);
         }
         None => on_interrupted(node, attempt),
--- a/crates/gateway/src/missed_replies.rs
+++ b/crates/gateway/src/missed_replies.rs
@@ -1,11 +1,12 @@
-//! Nodes that did not answer soon, and are passed over for a time.
+//! Tracks nodes that did not reply in time and skips them for a while.
 
 use pitchstall_serving::ids::NodeId;
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// Answers missed one after the other after which a node is passed over, and for how long, microseconds:
-/// one may be a lost datagram; a process that was killed is back after some seconds.
+/// Number of consecutive missed replies after which a node is skipped, and for how long, in
+/// microseconds. A single missing reply may be a lost datagram. A process that was killed is
+/// restarted within a few seconds.
 const MISSED_BEFORE_SKIP: u32 = 2;
 const SKIP_DURATION_US: u64 = 2_000_000;
 
@@ -15,25 +16,26 @@
     skipped_until_us: u64,
 }
 
-/// The nodes that have missed answers.
+/// The nodes that have recently missed replies.
 #[derive(Debug, Default)]
 pub struct MissedReplies {
     by_node: RefCell<HashMap<NodeId, Missed>>,
 }
 
 impl MissedReplies {
-    /// Whether a node is passed over now.
+    /// Whether a node is currently skipped.
     pub fn is_skipped(&self, node: &NodeId, now_us: u64) -> bool {
         let by_node = self.by_node.borrow();
         by_node.get(node).is_some_and(|missed| now_us < missed.skipped_until_us)
     }
 
-    /// A node has answered.
+    /// Records that a node has replied, which resets its count of missed replies.
     pub fn on_reply(&self, node: &NodeId) {
         self.by_node.borrow_mut().remove(node);
     }
 
-    /// A node has not answered; returns whether it is passed over because of that.
+    /// Records that a node has not replied in time. Returns whether the node is skipped as a
+    /// result.
     pub fn on_timeout(&self, node: &NodeId, now_us: u64) -> bool {
         let mut by_node = self.by_node.borrow_mut();
         let missed = by_node.entry(node.clone()).or_default();
--- a/crates/gateway/src/prefix_announcements.rs
+++ b/crates/gateway/src/prefix_announcements.rs
@@ -1,8 +1,8 @@
-//! Tells the schedulers of other regions which runners have read shared parts of prompts, so that a
-//! part is read once and taken over everywhere else.
+//! Announces to the schedulers of other regions which runners have prefilled shared prefixes, so
+//! that a prefix is prefilled once and fetched everywhere else.
 //!
-//! A word that is lost costs a reading. One that is out of date names a runner that has let the parts
-//! go: then nothing is taken over, and they are read.
+//! A lost message costs one additional prefill. An outdated announcement names a runner that has
+//! evicted the prefix: then the fetch yields nothing and the prefix is prefilled again.
 
 use crate::node::Node;
 use crate::peer_words::PeerWord;
@@ -12,14 +12,16 @@
 use pitchstall_serving::regions::{CachedPrefixMessage, MIN_ANNOUNCED_TOKENS};
 use std::cell::RefCell;
 
-/// Readings that one word tells of: some 80 bytes each, well below the largest datagram.
+/// Maximum number of announcements in one message. Each takes about 80 bytes, so the message stays
+/// well below the maximum datagram size.
 const MAX_ANNOUNCEMENTS_PER_MESSAGE: usize = 400;
 
-/// Readings that other regions are still to be told of.
+/// Announcements that have not been sent to the other regions yet.
 #[derive(Debug, Default)]
 pub struct PendingAnnouncements(RefCell<Vec<CachedPrefixMessage>>);
 
-/// A runner of this node's region has read shared parts of a prompt that it did not hold.
+/// Queues an announcement: a runner of this node's region has prefilled shared prefixes that it did
+/// not hold before. Short prefixes and announcements beyond the message limit are dropped.
 pub fn on_prefilled(node: &Node, runner: &RunnerId, prefixes: &[PromptPart]) {
     let tokens: u64 = prefixes.iter().map(|part| part.tokens).sum();
     if tokens < MIN_ANNOUNCED_TOKENS || !node.members.borrow().has_other_regions() {
@@ -31,7 +33,7 @@
     }
 }
 
-/// Tells the schedulers of other regions of the readings since the last word.
+/// Sends the announcements queued since the last message to the schedulers of other regions.
 pub fn announce(node: &Node) {
     let announcements = std::mem::take(&mut *node.scheduling.pending_announcements.0.borrow_mut());
     if announcements.is_empty() {
@@ -41,7 +43,7 @@
     node.scheduling.socket.send(&PeerWord::PartsRead(announcements), &schedulers);
 }
 
-/// Takes in another region's readings.
+/// Records the prefixes announced by another region.
 pub fn apply(node: &Node, announcements: &[CachedPrefixMessage]) {
     for announcement in announcements {
         node.on_parts_held(&announcement.runner, &announcement.parts());
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -1,8 +1,8 @@
-//! Changes the roles of runners, while this node has the authority: where there are several regions,
-//! of those in its own region, under the subject of that region.
+//! Orders role changes of runners while this node holds the authority. If there are several
+//! regions, it orders those of its own region, under the authority subject of that region.
 //!
-//! What is ordered is decided in [`pitchstall_serving::role_planner`]. An order that was not
-//! answered may be carried out later: nothing else is ordered for a time.
+//! The changes are decided in [`pitchstall_serving::role_planner`]. An order without a response may
+//! still be executed later, so no further change is ordered for a while.
 
 use crate::authority::{roles_holding, roles_subject, Holding};
 use crate::http::request::request_bytes;
@@ -24,28 +24,29 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Between two looks at the fleet.
+/// Interval between two planning rounds.
 const PLAN_INTERVAL: Duration = Duration::from_millis(250);
-/// Limit of a call to a runner.
+/// Maximum duration of a call to a runner.
 const RUNNER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest time for which a runner counts as changing its role. The list tells earlier, unless
-/// the order was lost.
+/// Maximum time for which a runner counts as changing its role, in microseconds. The registry
+/// usually shows the new role earlier, unless the order was lost.
 const MAX_ROLE_CHANGE_US: u64 = 6_000_000;
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
-/// Between two lines on what a service's planner saw when it ordered nothing.
+/// Minimum interval between two log lines about a service for which no change was ordered, in
+/// microseconds.
 const LOG_INTERVAL_US: u64 = 1_000_000;
 
 struct RoleController {
     node: Rc<Node>,
-    /// The subject under which this node may order.
+    /// The authority subject under which this node orders changes.
     subject: AuthoritySubject,
     planners: HashMap<ServiceName, RolePlanner>,
-    /// When a service's last line was written.
+    /// When a service without an ordered change was last logged, in microseconds.
     last_logged_us: HashMap<ServiceName, u64>,
 }
 
-/// Orders role changes whenever this node may, until the task is dropped.
+/// Orders role changes whenever this node holds the authority, until the task is dropped.
 pub async fn order_role_changes(node: Rc<Node>) {
     let subject = roles_subject(&node);
     let mut controller =
@@ -56,7 +57,8 @@
         let has_new_subject =
             std::mem::replace(&mut controller.subject, subject) != controller.subject;
         if has_new_subject || controller.holding().fence().is_none() {
-            // What was seen in an earlier term, or of other runners, says nothing about the next.
+            // Measurements of an earlier term or of another region's runners do not apply to the
+            // next term.
             controller.planners.clear();
             continue;
         }
@@ -74,7 +76,8 @@
             let Some(plan) = self.plan_service(&service, &engine) else { continue };
             let changes = match plan.decision {
                 Ok(_) if self.fence_now().is_none() => {
-                    // The planner's pressure goes on: orders follow when the term allows them.
+                    // The planner keeps track of the pressure, so orders follow as soon as the term
+                    // allows them.
                     self.log_no_order(&service, &plan.metrics, "authority not ready");
                     continue;
                 }
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Says what a planner saw under pressure and why it ordered nothing.
+    /// Logs the measurements of a planner under pressure and the reason why it ordered no change.
     fn log_no_order(&mut self, service: &ServiceName, metrics: &RoleMetrics, reason: &str) {
         let now_us = self.node.now_us();
         let last_us = self.last_logged_us.get(service).copied();
@@ -109,11 +112,12 @@
         let service = service.as_str();
         log::info!(
             target: "authority",
-            service, reason, wait, late, occupancy, memory, prefill, decode, needed; "nothing ordered"
+            service, reason, wait, late, occupancy, memory, prefill, decode, needed; "no role change ordered"
         );
     }
 
-    /// `None` for a service for which the configuration names no target.
+    /// Plans the role changes of a service; `None` if the configuration has no target for the
+    /// service.
     fn plan_service(&mut self, service: &ServiceName, engine: &EngineSpec) -> Option<RolePlan> {
         let configuration = self.node.configuration();
         let target_ms = configuration.and_then(|it| it.min_target_ms(service))?;
@@ -132,7 +136,8 @@
 
     async fn order_change(&mut self, change: &RoleChange) {
         let Some(fence) = self.fence_now() else { return };
-        // An order is two requests, which nobody counts; a runner in need keeps its role.
+        // An order takes two requests that no keeper counts, so a runner with a limit keeps its
+        // role.
         let has_limit =
             |fleet: &Fleet| fleet.get(&change.runner).is_some_and(|it| it.limit().is_some());
         if !self.node.may_send_to(&change.runner) || has_limit(&self.node.fleet.borrow()) {
@@ -142,7 +147,7 @@
         let Some(record) = record else { return };
         let answer = self.send_order(&record, change.stage, fence).await;
         let now_us = self.node.now_us();
-        // An order without an answer may have been taken.
+        // An order without a response may have been accepted.
         if !matches!(answer, Some(OrderAnswer::Refused | OrderAnswer::Outdated)) {
             let until_us = now_us + MAX_ROLE_CHANGE_US;
             self.node.on_role_ordered(&record.id, change.stage, until_us);
@@ -153,7 +158,7 @@
         log::info!(target: "authority", runner, stage, fence, answer; "ordered");
     }
 
-    /// The fencing token, while orders may be given.
+    /// The current fencing token, if orders are allowed now.
     fn fence_now(&self) -> Option<FencingToken> {
         self.holding().fence_to_order(self.node.now_us())
     }
@@ -168,7 +173,8 @@
         let Some(report) = paths::parse_report(&body) else {
             return Some(OrderAnswer::Refused);
         };
-        // Another life counts its orders anew: the number that it is asked to expect would hold by chance.
+        // Another incarnation counts its accepted orders from the start, so the expected number
+        // could match by chance.
         if !record.id.matches_start(report.born_ms) {
             self.node.on_other_life(&record.id, report.born_ms);
             return Some(OrderAnswer::Refused);
@@ -178,7 +184,7 @@
         if is_busy || leaving {
             return Some(OrderAnswer::Refused);
         }
-        // The term may have ended while the runner was asked.
+        // The term may have ended while the runner's report was awaited.
         if self.fence_now() != Some(fence) {
             return Some(OrderAnswer::Refused);
         }
@@ -193,13 +199,13 @@
     }
 }
 
-/// Wait, late work, slots and memory in use, each in hundredths.
+/// Wait, wait because of overdue work, occupied slots and used memory, each in hundredths.
 fn percents(metrics: &RoleMetrics) -> [u64; 4] {
     let percent = |share: f64| (share * 100.0).round() as u64;
     [metrics.wait, metrics.overdue_wait, metrics.occupancy, metrics.memory].map(percent)
 }
 
-/// Says what a planner saw when it orders changes.
+/// Logs the measurements of a planner that orders role changes.
 fn log_ordering(service: &ServiceName, metrics: &RoleMetrics, changes: usize) {
     let RoleMetrics { prefill, decode, .. } = *metrics;
     let needed = metrics.prefill_needed.round() as u64;
@@ -207,7 +213,7 @@
     let service = service.as_str();
     log::info!(
         target: "authority",
-        service, changes, wait, late, occupancy, memory, prefill, decode, needed; "ordering changes"
+        service, changes, wait, late, occupancy, memory, prefill, decode, needed; "ordering role changes"
     );
 }
 
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -1,8 +1,9 @@
-//! Keeps to what runners take from all nodes together: asks the keeper of a runner's limit before each request for it, and
-//! answers as one.
+//! Enforces runners' request limits across all nodes: asks the keeper of a runner's limit for a
+//! permit before each request to that runner, and acts as a keeper for other nodes.
 //!
-//! What a keeper gives is decided in [`pitchstall_serving::limit_keeper`], what is believed of a runner in
-//! [`pitchstall_serving::runner_limit`]. Nothing is said while no runner names a limit.
+//! Grants are decided in [`pitchstall_serving::limit_keeper`]; a node's estimate of a runner's
+//! limit is kept in [`pitchstall_serving::runner_limit`]. No messages are sent while no runner
+//! reports a limit.
 
 use crate::missed_replies::MissedReplies;
 use crate::node::Node;
@@ -26,37 +27,40 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How long a keeper's answer is waited for beyond a round trip, as with keepers of tenants' limits.
+/// How long to wait for a keeper's reply in addition to the round trip. It is the same as for the
+/// keepers of tenants' quotas.
 const REPLY_TIMEOUT_MARGIN: Duration = Duration::from_millis(30);
-/// Keepers that are asked for one request.
+/// Maximum number of keepers that are queried for one request.
 const MAX_KEEPERS_QUERIED: usize = 2;
-/// Time for which a runner gets nothing whose keepers do not answer, microseconds.
+/// How long a runner receives no requests of this node after no keeper has replied, in
+/// microseconds.
 const NO_KEEPER_BACKOFF_US: u64 = 250_000;
-/// Shortest time for which a runner without a request left gets nothing, microseconds: below it asking costs more than the
-/// request gains.
+/// Minimum time for which an exhausted runner receives no requests of this node, in microseconds.
+/// With a shorter one, the queries would cost more than the request gains.
 const MIN_BACKOFF_US: u64 = 5_000;
-/// Runners' words in one digest: some 2 KB.
+/// Maximum number of runner limits reported in one digest, about 2 KB.
 const MAX_DIGEST_LIMITS: usize = 32;
 
-/// What a node knows and keeps of runners' limits.
+/// State of a node that requests permits of keepers and is a keeper of runners' limits itself.
 #[derive(Default)]
 pub struct RunnerLimits {
     keeper: RefCell<LimitKeeper>,
     terms: RefCell<HashMap<Shard, LimitKeeperTerm>>,
     pending_queries: RefCell<HashMap<Ticket, oneshot::Sender<LimitVerdict>>>,
     missed_replies: MissedReplies,
-    /// When each node was heard of last, microseconds; `None`: it is stopping.
+    /// When the last message of each node was received, in microseconds; `None` if the node is
+    /// stopping.
     last_received_us: RefCell<HashMap<NodeId, Option<u64>>>,
 }
 
 impl RunnerLimits {
-    /// Another node has said something.
+    /// Records that a message of another node has been received.
     pub fn on_node_message(&self, node: &NodeId, now_us: u64) {
         self.last_received_us.borrow_mut().insert(node.clone(), Some(now_us));
     }
 
-    /// Another node has begun a planned stop: the next one takes its place at once, not when it has not been heard of for
-    /// some seconds.
+    /// Records that another node has begun a planned stop. The next keeper then takes over
+    /// immediately instead of after the silence timeout of some seconds.
     pub fn on_stopping(&self, node: &NodeId) {
         self.last_received_us.borrow_mut().insert(node.clone(), None);
     }
@@ -65,7 +69,7 @@
         self.last_received_us.borrow().get(node) == Some(&None)
     }
 
-    /// What this node's digest tells of the limits that it counts.
+    /// The limits counted by this node, for its next digest.
     pub fn digest_messages(&self, now_us: u64) -> Vec<LimitMessage> {
         self.keeper.borrow().messages(MAX_DIGEST_LIMITS, now_us)
     }
@@ -76,10 +80,11 @@
     }
 }
 
-/// Leave to send one request to a runner.
+/// Permission to send one request to a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPermit {
-    /// A runner without a limit may name one at any moment, so a permit for it holds for no time: asking again costs nothing.
+    /// A runner without a limit may report one at any moment. A permit for it expires at once, as
+    /// requesting another one costs nothing.
     expires_at_us: u64,
 }
 
@@ -90,8 +95,8 @@
     }
 }
 
-/// Asks whether one request may be sent to a runner now; `None`: it may not, and the runner is left out of this node's plans
-/// until there may be one.
+/// Requests a permit to send one request to a runner now. If it returns `None`, the request must
+/// not be sent, and this node does not choose the runner until the next permit may be available.
 pub async fn request_permit(
     node: &Rc<Node>,
     request: &str,
@@ -130,21 +135,21 @@
         }
     };
     node.fleet.borrow_mut().on_limit_exhausted(runner, wait_us, now_us);
-    let (runner, verdict) = (runner.as_str(), verdict.map_or("no answer", verdict_name));
+    let (runner, verdict) = (runner.as_str(), verdict.map_or("no reply", verdict_name));
     log::info!(target: "limit", request, runner, verdict, wait_us; "withheld");
     None
 }
 
 fn verdict_name(verdict: LimitVerdict) -> &'static str {
     match verdict {
-        LimitVerdict::Granted => "granted late",
-        LimitVerdict::Refused { .. } => "none left",
+        LimitVerdict::Granted => "granted too late",
+        LimitVerdict::Refused { .. } => "exhausted",
         LimitVerdict::Lifted { .. } => "lifted",
         LimitVerdict::NotKeeper => "no keeper",
     }
 }
 
-/// Asks the first keeper that answers; `None`: none did.
+/// Queries the keepers in order of rank until one decides; `None` if none does.
 async fn query_keepers(node: &Rc<Node>, message: LimitMessage) -> Option<LimitVerdict> {
     let shard = shard_of(node, &message.runner)?;
     for (keeper, address) in keepers(node, &shard).into_iter().take(MAX_KEEPERS_QUERIED) {
@@ -163,7 +168,7 @@
     None
 }
 
-/// The nodes that may be asked, the first one first.
+/// The keepers that may be queried, in order of rank.
 fn keepers(node: &Node, shard: &Shard) -> Vec<(NodeId, SocketAddr)> {
     let now_us = node.now_us();
     let members = node.members.borrow();
@@ -197,23 +202,24 @@
         }
         _ => {
             if missed_replies.on_timeout(keeper, node.now_us()) {
-                log::info!(target: "limit", keeper = keeper.as_str(); "passed over");
+                log::info!(target: "limit", keeper = keeper.as_str(); "keeper skipped after missed replies");
             }
             None
         }
     }
 }
 
-/// Takes in a keeper's answer. One that comes too late is lost to all, and safe.
+/// Handles a keeper's reply. A late reply is discarded. Its grant stays unused, so the limit still
+/// holds.
 pub fn on_reply(node: &Node, reply: LimitReply) {
     let pending_queries = node.runner_limits.pending_queries.borrow_mut().remove(&reply.ticket);
     if let Some(sender) = pending_queries {
-        // The request may have ended just now: then what it was granted is lost.
+        // If the request has just ended, the receiver is gone and the grant is lost.
         let _ = sender.send(reply.verdict);
     }
 }
 
-/// Answers another node's question.
+/// Answers another node's query.
 pub fn on_query(node: &Node, query: &LimitQuery, from: SocketAddr) {
     let verdict = verdict_of(node, query);
     let reply = LimitReply { ticket: query.ticket, verdict };
@@ -228,15 +234,15 @@
     node.runner_limits.keeper.borrow_mut().on_query(query, share, now_us)
 }
 
-/// Another node has heard what a runner takes.
+/// Handles a limit reported by another node.
 pub fn on_message(node: &Node, message: &LimitMessage) {
     node.runner_limits.keeper.borrow_mut().on_message(message, node.now_us());
     node.on_limit_message(message);
 }
 
-/// Runners of a shard that have none left, as far as this node counts.
+/// Runners of a shard that have no requests left, by the count of this node as a keeper.
 pub fn exhausted_runners(node: &Node, shard: &Shard) -> Vec<RunnerId> {
-    // Asked for each placement: the share takes a look at all nodes.
+    // This is called for each placement, and determining the share iterates over all nodes.
     if node.runner_limits.keeper.borrow().is_empty() {
         return Vec::new();
     }
@@ -254,7 +260,7 @@
     Some(Shard::of_runner(runner, Shard::count(nodes)))
 }
 
-/// How many nodes that are heard of come before this one as keepers of a shard's limits.
+/// Number of live nodes that precede this one as keepers of a shard's limits.
 fn own_rank(node: &Node, shard: &Shard) -> usize {
     let now_us = node.now_us();
     let members = node.members.borrow();
@@ -273,7 +279,8 @@
     term.share(rank, node.now_us())
 }
 
-/// Looks at this node's place among the keepers of each shard that it may keep: to be called at least every second.
+/// Updates this node's rank among the keepers of each shard that it may serve. Must be called at
+/// least once per second.
 pub fn update_terms(node: &Node) {
     let now_us = node.now_us();
     let shards = candidate_shards(node);
@@ -287,7 +294,8 @@
 }
 
 impl Node {
-    /// The head of an answer has come, to a request that was sent at `sent_at_us`: it names a limit, or none.
+    /// Handles the limit in the head of a response, or its absence. `sent_at_us` is the time at
+    /// which the request was sent; 0 if it is unknown.
     pub fn on_limit_in_response(
         &self,
         runner: &RunnerId,
@@ -314,7 +322,8 @@
         self.notify_keeper(message);
     }
 
-    /// Tells the keeper, so that it plans with what is left before it is asked, and tells all nodes.
+    /// Reports a limit to the keeper, so that it takes the limit into account before the first
+    /// query and reports it to all nodes.
     fn notify_keeper(&self, message: LimitMessage) {
         let Some(shard) = shard_of(self, &message.runner) else { return };
         match keepers(self, &shard).into_iter().next() {
@@ -328,7 +337,7 @@
         }
     }
 
-    /// Another node has heard what a runner takes.
+    /// Handles a limit reported by another node.
     pub fn on_limit_message(&self, message: &LimitMessage) {
         let change = self.fleet.borrow_mut().on_limit_reported(message, self.now_us());
         if let Some(change) = change {
@@ -351,7 +360,7 @@
         }
     }
 
-    /// This node's name.
+    /// The name of this node.
     pub fn own_name(&self) -> NodeId {
         self.members.borrow().own_name().clone()
     }
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -1,7 +1,8 @@
-//! Orders how many runners there are, while this node has the authority.
+//! Orders runners from the platform while this node holds the authority.
 //!
-//! What is ordered is decided in [`pitchstall_serving::capacity_planner`]. What was needed is kept
-//! in the store: a node that takes over goes on by it, and orders nothing before it knows it.
+//! The orders are decided in [`pitchstall_serving::capacity_planner`]. The required capacity is
+//! kept in the store. A node that takes over continues from this record and orders nothing before
+//! it has read it.
 
 use crate::clock::Instant;
 use crate::node::Node;
@@ -21,21 +22,21 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two looks at the fleet.
+/// Interval between two planning rounds.
 const PLAN_INTERVAL: Duration = Duration::from_millis(250);
-/// Limit of a call.
+/// Maximum duration of a call to the store or the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time for which the number of runners must not change before all are taken to be listed: runners
-/// write to the store about every second.
+/// How long the number of runners must be unchanged before all of them are assumed to be
+/// registered. Runners write to the store about once per second.
 const REGISTRATION_SETTLE_TIME: Duration = Duration::from_millis(2_000);
-/// Pause after an order that the platform did not take.
+/// Pause after an order that the platform did not accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 struct ScalingController {
     node: Rc<Node>,
     store: PlatformClient,
     cloud: PlatformClient,
-    /// The term for which the plans hold; `None`: there has been none.
+    /// The fencing token of the term for which the plans hold; `None` before the first term.
     fence: Option<FencingToken>,
     plans: HashMap<ServiceName, ServicePlan>,
 }
@@ -44,13 +45,14 @@
 struct ServicePlan {
     planner: CapacityPlanner,
     record: CapacityRecord,
-    /// Preemptible runners that were there before any was ordered.
+    /// Number of preemptible runners that existed before the first order.
     initial_preemptible: u32,
-    /// Since when the runners that are listed are as many as the record says; `None`: it is final.
+    /// Since when the number of registered runners has matched the record; `None` once the record
+    /// is final.
     counting_since: Option<Instant>,
 }
 
-/// Orders runners whenever this node may, until the task is dropped.
+/// Orders runners whenever this node holds the authority, until the task is dropped.
 pub async fn order_runners(node: Rc<Node>) {
     let mut controller = ScalingController {
         node,
@@ -101,8 +103,9 @@
         services.filter_map(|(name, it)| Some((name.clone(), it.scaling.clone()?))).collect()
     }
 
-    /// Begins to plan by what an earlier holder recorded, or by what is there; `false`: the store
-    /// does not tell.
+    /// Creates the plan of a service from the record of an earlier authority holder or, if there is
+    /// none, from the existing runners. Returns `false` if the store does not answer or its record
+    /// is unreadable.
     async fn begin_plan(&mut self, service: &ServiceName) -> bool {
         let read = store::read_capacity(service);
         let answer = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
@@ -122,15 +125,15 @@
         true
     }
 
-    /// What is there. Operators set a service up with as many runners as it needs.
+    /// The existing capacity. Operators set up a service with as many runners as it needs.
     fn observed(&self, service: &ServiceName) -> CapacityRecord {
         let supply = self.supply(service);
         let need = supply.values().map(|zone| zone.reserved + zone.preemptible).sum();
         CapacityRecord { need, zones: supply.into_keys().collect() }
     }
 
-    /// Counts the runners of a service that has never been planned, until all are listed; then
-    /// records them. Those that were ordered meanwhile do not count.
+    /// Counts the runners of a service that has never been planned until all of them are
+    /// registered, then writes the record. Runners that were ordered meanwhile are not counted.
     async fn count_initial_runners(&mut self, service: &ServiceName) {
         let supply = self.supply(service);
         let Some(plan) = self.plans.get_mut(service) else { return };
@@ -156,7 +159,7 @@
         }
     }
 
-    /// The service's runners by zone, without those that leave.
+    /// The service's runners by zone, without those that are leaving.
     fn supply(&self, service: &ServiceName) -> BTreeMap<ZoneId, ZoneSupply> {
         let mut supply: BTreeMap<ZoneId, ZoneSupply> = BTreeMap::new();
         let fleet = self.node.fleet.borrow();
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Gives an order; returns whether the next one may follow.
+    /// Sends an order. Returns whether the next one may follow.
     async fn order(&mut self, service: &ServiceName, order: &CapacityOrder) -> bool {
         let current_fence = self.node.authority.fence_to_order(self.node.now_us());
         let Some(fence) = current_fence.filter(|fence| self.fence == Some(*fence)) else {
@@ -213,14 +216,14 @@
         let Some(plan) = self.plans.get_mut(service) else { return false };
         match outcome {
             Ok(DutyAnswer::Done) => plan.planner.on_ordered(order),
-            // The same status tells of a higher fencing token: that one shows at the next order of
-            // the other kind, at a usage report, or when the lease is renewed.
+            // The same status also reports a higher fencing token. This is then noticed at the next
+            // order of the other kind, at a usage report, or when the lease is renewed.
             Ok(DutyAnswer::Conflict) if preemptible => plan.planner.on_unavailable(order, now_us),
             Ok(DutyAnswer::Conflict) => {
                 self.node.authority.on_refused(fence);
                 return false;
             }
-            // Without an answer it may have been taken or not: it is given again.
+            // Without a response the order may or may not have been accepted, so it is sent again.
             Ok(DutyAnswer::Later) | Err(_) => {
                 sleep(RETRY_PAUSE).await;
                 return false;
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -1,7 +1,8 @@
-//! Places requests: asks the scheduler of the runners' shard, in this node's own region first.
+//! Places requests by querying the scheduler of the runners' shard, in this node's own region
+//! first.
 //!
-//! What is said stands in [`pitchstall_serving::scheduling`], how questions are answered in
-//! [`crate::shard_scheduler`]. Words are datagrams: one that is lost is not sent again.
+//! The messages are defined in [`pitchstall_serving::scheduling`]; queries are answered in
+//! [`crate::shard_scheduler`]. Messages are datagrams, and a lost one is not sent again.
 
 use crate::clock::Instant;
 use crate::missed_replies::MissedReplies;
@@ -29,54 +30,55 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Part of a request's target for which a scheduler's answer is waited for, beyond a round trip to
-/// it: a small part of what a bad choice costs.
+/// Share of a request's target time to wait for a scheduler's reply, in addition to the round trip.
+/// It is a small part of what a bad placement costs.
 const REPLY_TIMEOUT_TARGET_SHARE: f64 = 0.06;
-/// Shortest and longest wait for it. Below the shortest, machines whose processor is shared answer too
-/// late; above the longest, a node that has died costs more than a good choice brings.
+/// Bounds of this wait. With a shorter one, nodes on machines with a shared processor would reply
+/// too late. With a longer one, a crashed scheduler would cost more than a good placement gains.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(12);
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 const MS_PER_SECOND: f64 = 1_000.0;
 
 /// A request that is to be placed.
 pub struct PlacementDemand<'a> {
-    /// Its id.
+    /// ID of the request.
     pub request: &'a str,
-    /// The service.
+    /// The service that the request addresses.
     pub service: &'a ServiceName,
-    /// What the choice depends on.
+    /// The criteria for the choice of runners.
     pub demand: Demand<'a>,
-    /// Time within which the answer is due, counted from when the request came, milliseconds.
+    /// Target time for the response, in milliseconds since the request was received.
     pub target_ms: u64,
-    /// Time since the request came.
+    /// Time since the request was received.
     pub elapsed: Duration,
-    /// Time until its deadline.
+    /// Time until the request's deadline.
     pub remaining: Duration,
 }
 
 /// Where a request is to run.
 pub struct Placement {
-    /// Who reads the prompt; `None`: no runner takes work.
+    /// The runner that prefills the prompt; `None` if no runner accepts work.
     pub prefill: Option<PrefillPlan>,
-    /// Who writes, if the scheduler has chosen it.
+    /// The runner that decodes, if it has been chosen together with the prefill runner.
     pub decode: Option<RunnerChoice>,
-    /// Tells the scheduler what becomes of the request.
+    /// Reports the progress of the request to the scheduler that placed it.
     pub progress_reporter: ProgressReporter,
 }
 
-/// Tells the scheduler that placed a request what becomes of it; that it is over when dropped.
+/// Reports the progress of a request to the scheduler that placed it. Reports the end of the
+/// request when dropped.
 pub struct ProgressReporter {
     node: Rc<Node>,
     scheduled_by: Option<(SocketAddr, Ticket)>,
 }
 
 impl ProgressReporter {
-    /// A request that this node has placed itself: nobody is told.
+    /// For a request that this node has placed itself: nothing is reported.
     fn local(node: &Rc<Node>) -> Self {
         Self { node: node.clone(), scheduled_by: None }
     }
 
-    /// Tells of progress.
+    /// Sends a progress message to the scheduler, if another node has placed the request.
     pub fn report(&self, progress: Progress) {
         let Some((scheduler, ticket)) = self.scheduled_by else { return };
         let message = PeerWord::Progress(ProgressMessage { ticket, progress });
@@ -90,24 +92,24 @@
     }
 }
 
-/// What a node needs to ask schedulers and to be one.
+/// State that a node needs to query schedulers and to act as one.
 pub struct Scheduling {
-    /// Sends words to other nodes.
+    /// Sends messages to other nodes.
     pub socket: PeerSocket,
     incarnation: u64,
     queries_sent: Cell<u64>,
     pending_queries: RefCell<HashMap<Ticket, oneshot::Sender<(PlacementReply, SocketAddr)>>>,
     missed_replies: MissedReplies,
-    /// What this node has set aside at the runners that it schedules.
+    /// Capacity reserved at the runners that this node schedules.
     pub(crate) reservations: RefCell<Reservations>,
-    /// Readings that other regions are still to be told of.
+    /// Announcements of shared prefixes that have not been sent to the other regions yet.
     pub(crate) pending_announcements: PendingAnnouncements,
-    /// What other regions have to do.
+    /// The reported load of other regions.
     pub(crate) backlogs: RefCell<RegionBacklogs>,
 }
 
 impl Scheduling {
-    /// Nothing asked, nothing set aside.
+    /// Creates the state without pending queries and reservations.
     pub fn new(socket: PeerSocket) -> Self {
         Self {
             socket,
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Identifies the next question of this node.
+    /// A new identifier for a query of this node. It is unique across restarts, as it contains a
+    /// random number chosen at the start.
     pub fn next_ticket(&self) -> Ticket {
         let number = self.queries_sent.get() + 1;
         self.queries_sent.set(number);
@@ -129,20 +132,20 @@
     }
 }
 
-/// What came of a question.
+/// Result of a query to a scheduler.
 enum Outcome {
-    /// Where the request is to run.
+    /// The scheduler has placed the request.
     Placed(Placement),
-    /// The scheduler of another region is to be asked.
+    /// The scheduler of this other region should be queried instead.
     RemoteRegion(RemoteRegion),
-    /// No answer in time, or no runner.
+    /// There was no reply in time, or the reply contained no usable runner.
     NoReply,
-    /// This node is the scheduler.
+    /// This node itself schedules the shard, or no other node is available.
     Local,
 }
 
-/// Finds where a request is to run: by its shard's scheduler, or by what this node knows if that
-/// one is this node or does not answer soon.
+/// Decides where a request is to run. The scheduler of its shard decides, unless that is this node
+/// or does not reply in time. Then this node decides based on its own view.
 pub async fn place(node: &Rc<Node>, demand: &PlacementDemand<'_>) -> Placement {
     let shard = shard_in_region(node, demand, &node.region());
     let remote = match query_scheduler(node, demand, &shard, false).await {
@@ -160,7 +163,7 @@
     place_in_remote_region(node, demand, &remote).await
 }
 
-/// Asks another region's scheduler.
+/// Queries the scheduler of another region, and falls back to this node's own view.
 async fn place_in_remote_region(
     node: &Rc<Node>,
     demand: &PlacementDemand<'_>,
@@ -168,7 +171,7 @@
 ) -> Placement {
     let (request, reason) = (demand.request, remote.reason.name());
     let (from, to) = (node.region().to_string(), remote.region.as_str());
-    log::info!(target: "scheduling", request, from, to, reason; "leaves its region");
+    log::info!(target: "scheduling", request, from, to, reason; "placing in another region");
     node.metrics.on_left_region(remote.reason);
     let shard = shard_in_region(node, demand, &remote.region);
     match query_scheduler(node, demand, &shard, true).await {
@@ -178,7 +181,8 @@
     }
 }
 
-/// Asks the scheduler of a shard. `handed_on`: it is not to name another.
+/// Queries the scheduler of a shard. If `is_forwarded` is set, that scheduler must not forward the
+/// query to another one.
 async fn query_scheduler(
     node: &Rc<Node>,
     demand: &PlacementDemand<'_>,
@@ -194,14 +198,14 @@
     node.scheduling.socket.send(&PeerWord::Question(query), &[address]);
     let reply = timeout(reply_timeout(node, &scheduler, demand.target_ms), receiver).await;
     node.scheduling.pending_queries.borrow_mut().remove(&ticket);
-    // Should the answer yet come, or a word be lost, what was set aside is free again.
+    // If the reply arrives late, or a message is lost, the end report frees the reservation.
     let reporter_to =
         |address| ProgressReporter { node: node.clone(), scheduled_by: Some((address, ticket)) };
     let Ok(Ok((reply, from))) = reply else {
         log_missing_reply(demand.request, &scheduler, shard);
         node.metrics.placements_missed.inc();
         if node.scheduling.missed_replies.on_timeout(&scheduler, node.now_us()) {
-            log::info!(target: "scheduling", scheduler = scheduler.as_str(); "passed over");
+            log::info!(target: "scheduling", scheduler = scheduler.as_str(); "scheduler skipped after missed replies");
         }
         drop(reporter_to(address));
         return Outcome::NoReply;
@@ -228,7 +232,7 @@
 
 fn log_missing_reply(request: &str, scheduler: &NodeId, shard: &Shard) {
     let (scheduler, region, shard) = (scheduler.as_str(), shard.region.as_str(), shard.number);
-    log::info!(target: "scheduling", request, scheduler, region, shard; "no answer");
+    log::info!(target: "scheduling", request, scheduler, region, shard; "no reply from scheduler");
 }
 
 fn log_reply(
@@ -244,7 +248,7 @@
     log::info!(target: "scheduling", request, scheduler, region, took_us, reader, writer; "told");
 }
 
-/// Who reads and who writes, for the logs.
+/// Names of the prefill runner and the decode runner, for logging.
 pub(crate) fn runner_names(plan: Option<&WirePlan>) -> (&str, &str) {
     match plan {
         Some(WirePlan::Split(prefill, decode)) => (prefill.runner.as_str(), decode.runner.as_str()),
@@ -253,7 +257,7 @@
     }
 }
 
-/// How long a scheduler's answer is waited for: the way there and back, and what its work takes.
+/// How long to wait for a scheduler's reply: one round trip plus its processing time.
 fn reply_timeout(node: &Node, scheduler: &NodeId, target_ms: u64) -> Duration {
     let share = Duration::from_millis(target_ms).mul_f64(REPLY_TIMEOUT_TARGET_SHARE);
     let members = node.members.borrow();
@@ -262,7 +266,8 @@
     round_trip + share.clamp(MIN_REPLY_TIMEOUT, MAX_REPLY_TIMEOUT)
 }
 
-/// `None` if this node does not know the runners, or knows that they take no work.
+/// `None` if the reply contains no plan, or if its first runner is unknown to this node or accepts
+/// no work.
 fn placement_from_reply(
     node: &Rc<Node>,
     reply: PlacementReply,
@@ -280,21 +285,24 @@
     Some(Placement { prefill: Some(prefill), decode, progress_reporter })
 }
 
-/// Whether a told choice holds. The scheduler does not know all that runners have said to this node.
+/// Whether a runner chosen by a scheduler is usable. The scheduler does not know everything that
+/// runners have reported to this node.
 fn is_choice_usable(node: &Node, choice: &RunnerChoice) -> bool {
     let accepts_work = node.accepts_work(&choice.runner);
     if !accepts_work {
         node.metrics.placements_dropped.inc();
-        log::info!(target: "scheduling", runner = choice.runner.as_str(); "choice dropped");
+        log::info!(target: "scheduling", runner = choice.runner.as_str(); "chosen runner unusable");
     }
     accepts_work
 }
 
-/// Runners that a question names as not to be chosen, at most: some 500 bytes. The leaving ones come first, as they
-/// stay so; a choice that is not named is made again here.
+/// Maximum number of unavailable runners that a query excludes, about 500 bytes. Leaving runners
+/// are listed first, as their state does not change back. If the scheduler chooses an unavailable
+/// runner that is not listed, this node chooses again.
 const MAX_WITHHELD_EXCLUDED: usize = 32;
 
-/// Runners that are not to be chosen: that have had the request, or take none from this node.
+/// Runners that must not be chosen, because an earlier attempt of the request used them or because
+/// they currently accept no requests of this node.
 fn runners_to_exclude(node: &Node, eligible: &Eligible<'_>, now_us: u64) -> Vec<RunnerId> {
     let mut withheld = node.fleet.borrow().withheld(eligible.service, now_us);
     withheld.retain(|runner| !eligible.excluded.contains(runner));
@@ -302,7 +310,8 @@
     eligible.excluded.iter().cloned().chain(withheld).collect()
 }
 
-/// The shard of a region in which the prompt's shared parts have their home; any, if it has none.
+/// The shard of a region that contains the home of the prompt's shared prefixes; a random shard if
+/// the prompt has none.
 fn shard_in_region(node: &Node, demand: &PlacementDemand<'_>, region: &RegionId) -> Shard {
     let of = Shard::count(node.members.borrow().count_in(region));
     let fleet = node.fleet.borrow();
@@ -314,7 +323,7 @@
     }
 }
 
-/// The scheduler of a shard; `None` if it is this node, or nobody else is up.
+/// The scheduler of a shard; `None` if that is this node or if no other node is available.
 pub(crate) fn other_scheduler_of(node: &Node, shard: &Shard) -> Option<(NodeId, SocketAddr)> {
     let now_us = node.now_us();
     let members = node.members.borrow();
@@ -345,7 +354,8 @@
     }
 }
 
-/// Chooses by what this node knows: among a shard's runners, or all if it has none to offer.
+/// Chooses runners by this node's own view: from a shard, or from all runners if the shard has none
+/// available.
 fn place_locally(
     node: &Rc<Node>,
     demand: &PlacementDemand<'_>,
@@ -354,7 +364,7 @@
     local_placement(node, choose_locally(node, demand, shard))
 }
 
-/// What this node has chosen itself: nobody is told of it.
+/// Turns a decision of this node into a placement without a scheduler to report to.
 fn local_placement(node: &Rc<Node>, decision: PlacementDecision) -> Placement {
     let PlacementDecision { prefill, decode } = decision;
     if let Some(PrefillPlan::Split(choice) | PrefillPlan::Direct(choice)) = &prefill {
@@ -383,8 +393,8 @@
     }
 }
 
-/// Where a request should rather be placed than in its own region. The reading is counted there
-/// until that region tells its load again.
+/// The region in which a request should be placed instead of its own region, if any. The prefill is
+/// added to that region's load until the region reports its load again.
 pub(crate) fn preferred_region(
     node: &Node,
     demand: &PlacementDemand<'_>,
@@ -406,17 +416,17 @@
     Some(remote)
 }
 
-/// Takes in another region's word on its load.
+/// Records the load reported by another region.
 pub fn on_region_loads(node: &Node, message: RegionLoads) {
     node.scheduling.backlogs.borrow_mut().on_loads(message, node.now_us());
 }
 
-/// Takes in a scheduler's answer. One that comes too late is passed over: the request has been
-/// placed, and the scheduler was told that its reservation is over.
+/// Handles a scheduler's reply. A late reply is discarded: the request has been placed by other
+/// means, and the scheduler is told again to end its reservation.
 pub fn on_reply(node: &Node, reply: PlacementReply, from: SocketAddr) {
     let pending_queries = node.scheduling.pending_queries.borrow_mut().remove(&reply.ticket);
     match pending_queries {
-        // The request may have ended just now; then its reservation lapses.
+        // If the request has just ended, the receiver is gone and the reservation expires.
         Some(sender) => drop(sender.send((reply, from))),
         None => {
             let message = ProgressMessage { ticket: reply.ticket, progress: Progress::Ended };
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -1,7 +1,7 @@
-//! Places requests of other nodes at the runners of the shards that this node schedules, and tells
-//! what these have to do.
+//! Places requests of other nodes at the runners of the shards that this node schedules, and
+//! reports the load of these runners.
 //!
-//! What is decided stands in [`pitchstall_serving::scheduler`], what is set aside in
+//! The decisions are made in [`pitchstall_serving::scheduler`]; the reservations are kept in
 //! [`pitchstall_serving::reservations`].
 
 use crate::node::Node;
@@ -30,16 +30,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two words on the loads of a shard: as often as role changes are planned.
+/// Interval between two reports of a shard's load. It equals the interval at which role changes are
+/// planned.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Words on loads of shards for one look at who counts runners' limits.
+/// Number of shard load reports per update of the terms as a keeper of runner limits.
 const REPORTS_PER_TERM_UPDATE: u32 = 2;
-/// Words on loads of shards for one on the load of the region: other regions are told once a second.
+/// Number of shard load reports per report of the region's load. Other regions receive one report
+/// per second.
 const REPORTS_PER_REGION_REPORT: u32 = 4;
 
-/// Answers a question, or hands it on to the scheduler of a shard whose runners wait less.
+/// Answers a placement query, or forwards it to the scheduler of a shard with shorter waits.
 pub fn on_query(node: &Node, mut query: PlacementQuery) {
-    // The asking node would learn only after a prompt has been read that its writer takes no more.
+    // Otherwise the querying node would only learn after the prefill that the decode runner accepts
+    // no more requests.
     query.excluded.extend(runner_limits::exhausted_runners(node, &query.shard));
     let prompt = query.prompt();
     let zones: Option<BTreeSet<ZoneId>> =
@@ -70,7 +73,7 @@
     if let Some((shard, address)) = less_loaded_scheduler(node, &query, &decision) {
         let (from, to) = (query.shard.number, shard.number);
         let region = shard.region.as_str();
-        log::info!(target: "scheduling", request = query.request.as_str(), region, from, to; "handed on");
+        log::info!(target: "scheduling", request = query.request.as_str(), region, from, to; "query forwarded");
         node.metrics.placements_handed_on.inc();
         query.shard = shard;
         query.is_forwarded = true;
@@ -107,7 +110,8 @@
     node.scheduling.socket.send(&PeerWord::Answer(reply), &[query.reply_to]);
 }
 
-/// The scheduler of a shard where the request would wait for much less, if it is another node.
+/// The scheduler of a shard in which the request would wait for considerably less time, if that is
+/// another node.
 fn less_loaded_scheduler(
     node: &Node,
     query: &PlacementQuery,
@@ -131,8 +135,9 @@
     node.scheduling.reservations.borrow_mut().reserve(&mut fleet, query.ticket, reservation);
 }
 
-/// Takes in what became of a request that this node has placed. What a node could not reach is
-/// looked at by this one: the other may be cut off itself.
+/// Handles a progress report of a request that this node has placed. If the other node could not
+/// reach a runner, this node checks the runner itself, since the other node may be the one that is
+/// disconnected.
 pub fn on_progress(node: &Rc<Node>, message: &ProgressMessage) {
     let now_us = node.now_us();
     let mut reservations = node.scheduling.reservations.borrow_mut();
@@ -157,7 +162,8 @@
     let is_split = prefilled.decode.is_some();
     node.on_progress(&prefilled.prefill.runner);
     let tokens = prefilled.prefill.demand.prefill_tokens + prefilled.prefill.demand.overdue_tokens;
-    // What it held, or took over, is known where it was read.
+    // If fewer tokens were prefilled, the runner already held the prefixes or fetched them, and
+    // they have been announced when they were first prefilled.
     if tokens >= prefilled.shared_prefixes.iter().map(|part| part.tokens).sum() {
         prefix_announcements::on_prefilled(
             node,
@@ -176,7 +182,7 @@
     }
 }
 
-/// Whether this node schedules a runner, and so hears of all that is sent to it.
+/// Whether this node schedules a runner, and so learns of all requests that are sent to it.
 pub fn is_scheduler_of(node: &Node, runner: &RunnerId) -> bool {
     let fleet = node.fleet.borrow();
     let Some(runner) = fleet.get(runner) else { return false };
@@ -186,14 +192,14 @@
         && other_scheduler_of(node, &Shard::of_runner(runner, Shard::count(nodes))).is_none()
 }
 
-/// The shards that this node schedules.
+/// The shards that this node currently schedules.
 pub fn own_shards(node: &Node) -> Vec<Shard> {
     let mut shards = candidate_shards(node);
     shards.retain(|shard| other_scheduler_of(node, shard).is_none());
     shards
 }
 
-/// The shards that this node may schedule: those of its own region, or of one without nodes.
+/// The shards that this node may schedule: those of its own region and of regions without nodes.
 pub fn candidate_shards(node: &Node) -> Vec<Shard> {
     let own_region = node.region();
     let mut regions = node.fleet.borrow().regions();
@@ -208,8 +214,8 @@
     node.members.borrow().shards_of(region).collect()
 }
 
-/// The other nodes that decide over more than their own requests, in a region: those that order
-/// role changes, and schedulers, which hand questions on to shards with less to do.
+/// The other nodes of a region whose decisions affect requests of several nodes: those that order
+/// role changes, and schedulers, which forward queries to less loaded shards.
 fn load_report_recipients(node: &Node, region: &RegionId) -> Vec<SocketAddr> {
     let mut addresses = schedulers_of(node, region);
     addresses.extend(node.members.borrow().other_store_readers_in(region));
@@ -224,8 +230,8 @@
     shards.iter().filter_map(|shard| Some(other_scheduler_of(node, shard)?.1)).collect()
 }
 
-/// Tells what the runners that this node schedules have to do, and ends reservations that are over,
-/// until the task is dropped.
+/// Periodically reports the load of the runners that this node schedules and ends expired
+/// reservations, until the task is dropped.
 pub async fn report_loads(node: Rc<Node>) {
     for message in 1_u32.. {
         sleep(REPORT_INTERVAL).await;
@@ -257,12 +263,12 @@
     let mut fleet = node.fleet.borrow_mut();
     let ended = node.scheduling.reservations.borrow_mut().expire(&mut fleet, now_us);
     if ended > 0 {
-        log::info!(target: "scheduling", ended; "reservations lapsed");
+        log::info!(target: "scheduling", ended; "reservations expired");
     }
 }
 
-/// Tells the schedulers of the other regions what the runners of this one have to do. One node tells
-/// it for the region: the scheduler of its first shard.
+/// Reports the load of this node's region to the schedulers of the other regions. Only the
+/// scheduler of the region's first shard does this.
 fn report_region_load(node: &Node) {
     let region = node.region();
     let is_first = |shard: &Shard| shard.region == region && shard.number == 0;
