--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -248,7 +248,7 @@
             expected_prefill: Duration::from_micros(choice.expected_prefill_us),
             verify_after: Duration::from_millis(self.route.target_ms)
                 .mul_f64(VERIFY_AFTER_TARGET_SHARE),
-            abandons_suspects: self.may_retry_after(),
+            abandons_suspects: self.allows_another_attempt(),
         }
     }
 
@@ -270,7 +270,7 @@
     /// A slow attempt is only ended early if another one can follow.
     fn attempt_timeout(&self) -> Duration {
         let left = self.time_left();
-        if self.may_retry_after() {
+        if self.allows_another_attempt() {
             left.mul_f64(MAX_ATTEMPT_TIME_SHARE)
         } else {
             left
@@ -278,7 +278,7 @@
     }
 
     /// Whether another attempt may follow the current one.
-    fn may_retry_after(&self) -> bool {
+    fn allows_another_attempt(&self) -> bool {
         self.may_run_again(1) && self.has_retry_budget()
     }
 
@@ -334,7 +334,7 @@
                 let error = error.to_string();
                 let id = self.request.facts.id.as_str();
                 log::info!(target: "attempt", request = id, runner = runner.as_str(), error; "response interrupted");
-                on_interrupted(self.node, self.interrupted_attempt_at(&runner));
+                on_interrupted(self.node, self.interrupted_attempt(&runner));
                 return self.on_lost(runner);
             }
             Err(_) => return self.on_lost(runner),
@@ -365,7 +365,7 @@
         if is_framed {
             self.node.on_success(|| self.identity());
         } else {
-            verify_runner(self.node, self.interrupted_attempt_at(runner));
+            verify_runner(self.node, self.interrupted_attempt(runner));
         }
     }
 
@@ -429,7 +429,7 @@
     /// Maximum gap between two events. Only a stream that can be continued by another runner is
     /// abandoned because of a gap.
     fn max_stream_gap(&self) -> Duration {
-        let gap = self.route.gap_target_ms.filter(|_| self.may_retry_after());
+        let gap = self.route.gap_target_ms.filter(|_| self.allows_another_attempt());
         let silence = gap.map(|gap_ms| Duration::from_millis(gap_ms) * STALL_GAP_TARGETS);
         silence.map_or(self.time_left(), |silence| silence.max(MIN_STALL_TIMEOUT))
     }
@@ -439,13 +439,13 @@
         self.give_up(EndReason::OutOfTime)
     }
 
-    fn interrupted_attempt_at<'b>(&'b self, runner: &'b RunnerId) -> InterruptedAttempt<'b> {
+    fn interrupted_attempt<'b>(&'b self, runner: &'b RunnerId) -> InterruptedAttempt<'b> {
         let tenant = self.tenant.as_ref().map(|tenant| &tenant.name);
         InterruptedAttempt { request: self.request, tenant, runner }
     }
 
     fn on_stream_interrupted(&mut self, runner: RunnerId) -> Step {
-        on_interrupted(self.node, self.interrupted_attempt_at(&runner));
+        on_interrupted(self.node, self.interrupted_attempt(&runner));
         let id = self.request.facts.id.as_str();
         let after = self.stream.join.last_id().unwrap_or_default();
         let begun = self.stream.begun;
