--- a/crates/gateway/tests/cache_listing.rs
+++ b/crates/gateway/tests/cache_listing.rs
@@ -25,7 +25,7 @@
 
 /// Once the lists of 90 runners, told to 60 nodes, kept their links full for the rest of a day.
 #[test]
-fn a_scheduler_lists_its_own_runners_and_all_schedulers_together_list_each_once() {
+fn schedulers_list_only_runners_of_their_shards_and_each_runner_once() {
     const RUNNERS: usize = 160;
     let mut fleet = Fleet::default();
     for number in 0..RUNNERS {
--- a/crates/gateway/tests/regions.rs
+++ b/crates/gateway/tests/regions.rs
@@ -15,11 +15,11 @@
 /// `north` and `coast` are one region, `south` is another.
 const REGIONS: &str = "[node.regions]\nnorth = \"up\"\ncoast = \"up\"\nsouth = \"down\"\n";
 
-fn writer(id: &str) -> RunnerStandIn {
+fn decode_runner(id: &str) -> RunnerStandIn {
     RunnerStandIn::start(id, |request| Reaction::Stream(EventStream::whole(request, 3))).unwrap()
 }
 
-fn metric(node: &Fixture, name: &str) -> Option<u64> {
+fn metric_value(node: &Fixture, name: &str) -> Option<u64> {
     let metrics = get(node.health, "/metrics").text();
     let line = metrics.lines().find(|line| line.starts_with(name))?;
     line.rsplit(' ').next().unwrap().parse().ok()
@@ -47,18 +47,18 @@
     }
 
     /// Waits until a request that it placed is over.
-    fn wait_for_end(&self, asked: &Value) {
+    fn expect_end_report(&self, query: &Value) {
         loop {
-            let word = self.next("progress").expect("the word that the request is over");
-            assert_eq!(word["i"], asked["i"]);
-            if word["g"] == "e" {
+            let message = self.receive("progress").expect("the word that the request is over");
+            assert_eq!(message["i"], query["i"]);
+            if message["g"] == "e" {
                 return;
             }
         }
     }
 
-    fn send(&self, node: &Fixture, word: &Value) {
-        self.socket.send_to(word.to_string().as_bytes(), node.peers).unwrap();
+    fn send(&self, node: &Fixture, message: &Value) {
+        self.socket.send_to(message.to_string().as_bytes(), node.peers).unwrap();
     }
 
     fn introduce(&self, node: &Fixture, sequence: u64) {
@@ -70,13 +70,13 @@
     }
 
     /// The next word of a kind, if one comes soon.
-    fn next(&self, kind: &str) -> Option<Value> {
-        let until = Instant::now() + Duration::from_secs(3);
+    fn receive(&self, kind: &str) -> Option<Value> {
+        let deadline = Instant::now() + Duration::from_secs(3);
         let mut buffer = vec![0; 60_000];
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let Ok((length, _)) = self.socket.recv_from(&mut buffer) else { continue };
-            let word: Value = serde_json::from_slice(&buffer[..length]).unwrap();
-            if let Some(found) = word.get(kind) {
+            let message: Value = serde_json::from_slice(&buffer[..length]).unwrap();
+            if let Some(found) = message.get(kind) {
                 return Some(found.clone());
             }
         }
@@ -85,23 +85,23 @@
 }
 
 /// How many prompts a runner was sent; it is asked for the list of its cache too.
-fn prompts(runner: &RunnerStandIn) -> usize {
+fn prompt_count(runner: &RunnerStandIn) -> usize {
     runner.requests().iter().filter(|request| request.method == "POST").count()
 }
 
 /// A node with one runner in its own region and one in the other, and a scheduler of each.
-fn node(own: &RunnerStandIn, other: &RunnerStandIn) -> (Fixture, Scheduler, Scheduler) {
+fn node(own: &RunnerStandIn, remote: &RunnerStandIn) -> (Fixture, Scheduler, Scheduler) {
     let node = Fixture::start_told(REGIONS);
     node.store.put("op/config", &configuration(3));
     node.put_runner_in("coast", own, "llm", Some("decode"), "ready");
-    node.put_runner_in("south", other, "llm", Some("decode"), "ready");
+    node.put_runner_in("south", remote, "llm", Some("decode"), "ready");
     node.wait_until_ready();
-    let near = Scheduler::new("near", "coast");
-    let far = Scheduler::new("far", "south");
-    near.introduce(&node, 1);
-    far.introduce(&node, 1);
+    let own_scheduler = Scheduler::new("near", "coast");
+    let remote_scheduler = Scheduler::new("far", "south");
+    own_scheduler.introduce(&node, 1);
+    remote_scheduler.introduce(&node, 1);
     std::thread::sleep(Duration::from_millis(50));
-    (node, near, far)
+    (node, own_scheduler, remote_scheduler)
 }
 
 fn plan(runner: &RunnerStandIn) -> Value {
@@ -109,62 +109,64 @@
 }
 
 #[test]
-fn a_question_goes_to_the_own_region_and_then_where_that_one_says() {
-    let (own, other) = (writer("i-1"), writer("i-2"));
-    let (node, near, far) = node(&own, &other);
+fn a_query_goes_to_the_own_region_and_then_to_the_region_it_names() {
+    let (own, remote) = (decode_runner("i-1"), decode_runner("i-2"));
+    let (node, own_scheduler, remote_scheduler) = node(&own, &remote);
     std::thread::scope(|scope| {
         let served = scope.spawn(|| is_served(&node, "id"));
-        let asked = near.next("ask").unwrap();
-        assert_eq!((&asked["h"]["r"], &asked["w"]), (&json!("up"), &json!(false)));
-        let elsewhere = json!({ "r": "down", "w": "w" });
-        near.send(&node, &json!({ "place": { "i": asked["i"], "p": null, "o": elsewhere } }));
-        let asked = far.next("ask").unwrap();
-        assert_eq!((&asked["h"]["r"], &asked["w"]), (&json!("down"), &json!(true)));
+        let query = own_scheduler.receive("ask").unwrap();
+        assert_eq!((&query["h"]["r"], &query["w"]), (&json!("up"), &json!(false)));
+        let remote_region = json!({ "r": "down", "w": "w" });
+        own_scheduler
+            .send(&node, &json!({ "place": { "i": query["i"], "p": null, "o": remote_region } }));
+        let query = remote_scheduler.receive("ask").unwrap();
+        assert_eq!((&query["h"]["r"], &query["w"]), (&json!("down"), &json!(true)));
         // A question to another region is not given up as soon as one to the next machine.
         std::thread::sleep(Duration::from_millis(30));
-        far.send(&node, &json!({ "place": { "i": asked["i"], "p": plan(&other) } }));
-        far.wait_for_end(&asked);
+        remote_scheduler.send(&node, &json!({ "place": { "i": query["i"], "p": plan(&remote) } }));
+        remote_scheduler.expect_end_report(&query);
         assert!(served.join().unwrap());
     });
-    assert_eq!((prompts(&own), prompts(&other)), (0, 1));
-    let left = metric(&node, "pitchstall_left_region_total{reason=\"long_wait\"}");
-    assert_eq!(left, Some(1));
-    assert!(metric(&node, "pitchstall_far_bytes_total{word=\"question\"}").unwrap() > 0);
+    assert_eq!((prompt_count(&own), prompt_count(&remote)), (0, 1));
+    let departures = metric_value(&node, "pitchstall_left_region_total{reason=\"long_wait\"}");
+    assert_eq!(departures, Some(1));
+    assert!(metric_value(&node, "pitchstall_far_bytes_total{word=\"question\"}").unwrap() > 0);
 }
 
 #[test]
-fn a_question_that_was_given_up_leaves_nothing_set_aside_in_either_region() {
-    let (own, other) = (writer("i-1"), writer("i-2"));
-    let (node, near, far) = node(&own, &other);
+fn a_timed_out_query_leaves_no_reservation_in_either_region() {
+    let (own, remote) = (decode_runner("i-1"), decode_runner("i-2"));
+    let (node, own_scheduler, remote_scheduler) = node(&own, &remote);
     std::thread::scope(|scope| {
         let served = scope.spawn(|| is_served(&node, "id"));
-        let asked = near.next("ask").unwrap();
-        let elsewhere = json!({ "r": "down", "w": "w" });
-        near.send(&node, &json!({ "place": { "i": asked["i"], "p": null, "o": elsewhere } }));
-        let asked = far.next("ask").unwrap();
+        let query = own_scheduler.receive("ask").unwrap();
+        let remote_region = json!({ "r": "down", "w": "w" });
+        own_scheduler
+            .send(&node, &json!({ "place": { "i": query["i"], "p": null, "o": remote_region } }));
+        let query = remote_scheduler.receive("ask").unwrap();
         assert!(served.join().unwrap(), "by what the node knows itself");
-        far.wait_for_end(&asked);
+        remote_scheduler.expect_end_report(&query);
         // That word may have overtaken the question: the answer is told again.
-        far.send(&node, &json!({ "place": { "i": asked["i"], "p": plan(&other) } }));
-        far.wait_for_end(&asked);
+        remote_scheduler.send(&node, &json!({ "place": { "i": query["i"], "p": plan(&remote) } }));
+        remote_scheduler.expect_end_report(&query);
     });
-    assert_eq!((prompts(&own), prompts(&other)), (1, 0));
+    assert_eq!((prompt_count(&own), prompt_count(&remote)), (1, 0));
 }
 
 #[test]
-fn a_region_without_a_runner_for_it_is_left() {
-    let (own, other) = (writer("i-1"), writer("i-2"));
+fn a_request_leaves_a_region_without_a_runner() {
+    let (own, remote) = (decode_runner("i-1"), decode_runner("i-2"));
     let node = Fixture::start_told(REGIONS);
     node.store.put("op/config", &configuration(3));
-    node.put_runner_in("south", &other, "llm", Some("decode"), "ready");
+    node.put_runner_in("south", &remote, "llm", Some("decode"), "ready");
     node.wait_until_ready();
     assert!(is_served(&node, "id"));
-    assert_eq!(prompts(&other), 1);
+    assert_eq!(prompt_count(&remote), 1);
     node.put_runner_in("coast", &own, "llm", Some("decode"), "ready");
     wait_for("its own region's runner to be used", || {
         assert!(is_served(&node, "id"));
-        prompts(&own) > 0
+        prompt_count(&own) > 0
     });
-    let left = metric(&node, "pitchstall_left_region_total{reason=\"no_runner\"}");
-    assert!(left.is_some_and(|left| left >= 1), "{left:?}");
+    let departures = metric_value(&node, "pitchstall_left_region_total{reason=\"no_runner\"}");
+    assert!(departures.is_some_and(|departures| departures >= 1), "{departures:?}");
 }
--- a/crates/gateway/tests/runner_incarnations.rs
+++ b/crates/gateway/tests/runner_incarnations.rs
@@ -26,14 +26,14 @@
     entry
 }
 
-fn ask(node: &Fixture, method: &str, path: &str, id: &str) -> RawAnswer {
+fn send(node: &Fixture, method: &str, path: &str, id: &str) -> RawAnswer {
     let mut client = node.client();
     client.request(method, path, id, "", b"x");
     client.read_answer()
 }
 
 /// A request that a runner has, and whose answer is waited for.
-fn under_way(
+fn start_pending_request(
     node: &Fixture,
     runner: &RunnerStandIn,
     method: &'static str,
@@ -59,40 +59,44 @@
 
 /// Nobody has noticed the gap: the entry was there all the time.
 #[test]
-fn a_runner_that_starts_again_serves_on_new_connections() {
+fn a_restarted_runner_serves_on_new_connections() {
     let first = RunnerStandIn::start(NAME, answering("first")).unwrap();
     let node = node_with(&first);
-    assert_eq!(ask(&node, "POST", "/booking/1", "id-1").text(), "first");
+    assert_eq!(send(&node, "POST", "/booking/1", "id-1").text(), "first");
     first.crash();
     let second = first.start_again(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
-    wait_for("the new life to serve", || ask(&node, "GET", "/lookup/1", "id-2").text() == "second");
+    wait_for("the new life to serve", || {
+        send(&node, "GET", "/lookup/1", "id-2").text() == "second"
+    });
     for number in 0..4 {
-        let answer = ask(&node, "POST", "/booking/1", &format!("id-{}", 3 + number));
+        let answer = send(&node, "POST", "/booking/1", &format!("id-{}", 3 + number));
         assert_eq!(answer.text(), "second");
     }
 }
 
 /// Its predecessor was about to leave, and ended; the new life was not told to.
 #[test]
-fn a_new_life_is_not_bound_by_the_old_ones_leaving() {
+fn a_new_incarnation_does_not_inherit_the_draining_of_the_previous_one() {
     let first = RunnerStandIn::start(NAME, answering("first")).unwrap();
     let node = node_with(&first);
     node.store.put(KEY, &entry(&first, &json!(1_000), "draining"));
-    wait_for("the runner to leave", || ask(&node, "GET", "/lookup/1", "id-1").status == 503);
+    wait_for("the runner to leave", || send(&node, "GET", "/lookup/1", "id-1").status == 503);
     first.crash();
     let second = first.start_again(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
-    wait_for("the new life to serve", || ask(&node, "GET", "/lookup/1", "id-2").text() == "second");
+    wait_for("the new life to serve", || {
+        send(&node, "GET", "/lookup/1", "id-2").text() == "second"
+    });
 }
 
 /// What mustn't run twice may have run when the life ended that had it: the next one doesn't get it.
 #[test]
-fn what_must_not_run_twice_is_not_sent_to_the_next_life() {
+fn a_non_repeatable_request_is_not_sent_to_the_next_incarnation() {
     let hold = |_: &ReceivedRequest| Reaction::Silent;
     let first = RunnerStandIn::start(NAME, hold).unwrap();
     let node = node_with(&first);
-    let waiting = under_way(&node, &first, "POST", "/booking/1");
+    let waiting = start_pending_request(&node, &first, "POST", "/booking/1");
     first.crash();
     let second = first.start_again(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
@@ -104,24 +108,24 @@
 /// What may be repeated goes on at the next life. It is there at once, so that no connection to it is refused:
 /// the stand-in breaks the request of its first life off and answers those of the next one.
 #[test]
-fn what_may_be_repeated_is_sent_to_the_next_life() {
-    let has_begun_again = Arc::new(AtomicBool::new(false));
-    let begun_again = has_begun_again.clone();
+fn a_repeatable_request_is_sent_to_the_next_incarnation() {
+    let has_restarted = Arc::new(AtomicBool::new(false));
+    let has_restarted_now = has_restarted.clone();
     let runner = RunnerStandIn::start(NAME, move |_: &ReceivedRequest| {
-        if begun_again.load(Ordering::SeqCst) {
+        if has_restarted_now.load(Ordering::SeqCst) {
             return Reaction::Answer { status: 200, body: b"second".to_vec() };
         }
-        while !begun_again.load(Ordering::SeqCst) {
+        while !has_restarted_now.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(1));
         }
         Reaction::RawThenReset(Vec::new())
     })
     .unwrap();
     let node = node_with(&runner);
-    let waiting = under_way(&node, &runner, "GET", "/lookup/1");
+    let waiting = start_pending_request(&node, &runner, "GET", "/lookup/1");
     node.store.put(KEY, &entry(&runner, &json!(2_000), "ready"));
     std::thread::sleep(Duration::from_millis(100));
-    has_begun_again.store(true, Ordering::SeqCst);
+    has_restarted.store(true, Ordering::SeqCst);
     let answer = waiting.join().unwrap();
     assert_eq!((answer.status, answer.text().as_str()), (200, "second"));
     assert_eq!(runner.requests().len(), 2);
@@ -133,7 +137,7 @@
 #[test_case(json!("1000"); "a text")]
 #[test_case(json!(1000.5); "a part of a millisecond")]
 #[test_case(json!([1000]); "a list")]
-fn an_entry_that_tells_its_start_wrongly_names_no_runner(born: Value) {
+fn an_entry_with_an_invalid_start_time_is_refused(born: Value) {
     let runner = RunnerStandIn::start(NAME, answering("right")).unwrap();
     let node = node_with(&runner);
     let other = RunnerStandIn::start("i-2", answering("wrong")).unwrap();
@@ -144,39 +148,39 @@
     let refused = "pitchstall_entries_refused_total{subject=\"runners\"} 2";
     wait_for("both to be refused", || get(node.health, "/metrics").text().contains(refused));
     for number in 0..8 {
-        assert_eq!(ask(&node, "GET", "/lookup/1", &format!("id-{number}")).text(), "right");
+        assert_eq!(send(&node, "GET", "/lookup/1", &format!("id-{number}")).text(), "right");
     }
 }
 
 /// The answer tells of a later life than the entry: what is believed of the one that is over is over, and the
 /// runner gets nothing until its entry tells of the new one.
 #[test]
-fn an_answer_of_another_life_ends_what_is_believed_of_the_one_known() {
+fn a_response_of_another_incarnation_resets_the_view_of_the_known_one() {
     const NEXT: u64 = 2_000;
-    let reading = format!("{{\"kv_handle\":\"h1\",\"tokens\":100,\"version\":1,\"born\":{NEXT}}}");
-    let reader = RunnerStandIn::start("i-reader", move |request: &ReceivedRequest| {
+    let prefill = format!("{{\"kv_handle\":\"h1\",\"tokens\":100,\"version\":1,\"born\":{NEXT}}}");
+    let prefill_runner = RunnerStandIn::start("i-reader", move |request: &ReceivedRequest| {
         match request.header("x-pitchstall-stage") {
-            Some(_) => Reaction::Answer { status: 200, body: reading.clone().into_bytes() },
+            Some(_) => Reaction::Answer { status: 200, body: prefill.clone().into_bytes() },
             None => Reaction::Answer { status: 200, body: Vec::new() },
         }
     })
     .unwrap();
-    let writer = RunnerStandIn::start("i-writer", engine_script(3)).unwrap();
+    let decode_runner = RunnerStandIn::start("i-writer", engine_script(3)).unwrap();
     let node = Fixture::start();
     node.store.put("op/config", &configuration(3));
-    let list = |runner: &RunnerStandIn, stage: &str, born: u64| {
+    let register = |runner: &RunnerStandIn, stage: &str, born: u64| {
         let mut entry = runner_entry(runner, "llm", "north", "ready");
         entry["stage"] = stage.into();
         entry["born"] = born.into();
         node.store.put(&format!("servers/{}", runner.id()), &entry);
     };
-    list(&reader, "prefill", 1_000);
-    list(&writer, "decode", 1_000);
+    register(&prefill_runner, "prefill", 1_000);
+    register(&decode_runner, "decode", 1_000);
     node.wait_until_ready();
     // Each prompt is another one: no runner holds a part of it.
-    let asked = std::cell::Cell::new(0);
-    let read = || {
-        let number = asked.replace(asked.get() + 1);
+    let prompts_sent = std::cell::Cell::new(0);
+    let send_new_prompt = || {
+        let number = prompts_sent.replace(prompts_sent.get() + 1);
         let prompt = format!(
             "X-Pitchstall-Token-Count: 60000,10\r\n\
              X-Pitchstall-Prefix-Hash: a{number}:50000,b{number}:10000\r\n"
@@ -184,11 +188,11 @@
         let mut client = node.client();
         client.request("POST", "/summary/1", &format!("id-{number}"), &prompt, b"x");
         assert_eq!(client.read_answer().status, 200);
-        let is_reading = |request: &ReceivedRequest| request.header("x-pitchstall-stage").is_some();
-        reader.requests().iter().filter(|request| is_reading(request)).count()
+        let is_prefill = |request: &ReceivedRequest| request.header("x-pitchstall-stage").is_some();
+        prefill_runner.requests().iter().filter(|request| is_prefill(request)).count()
     };
-    assert_eq!(read(), 1);
-    assert_eq!(read(), 1, "the runner gets nothing until its entry tells of this life");
-    list(&reader, "prefill", NEXT);
-    wait_for("the new life to be given prompts", || read() > 1);
+    assert_eq!(send_new_prompt(), 1);
+    assert_eq!(send_new_prompt(), 1, "the runner gets nothing until its entry tells of this life");
+    register(&prefill_runner, "prefill", NEXT);
+    wait_for("the new life to be given prompts", || send_new_prompt() > 1);
 }
--- a/crates/gateway/tests/runner_load.rs
+++ b/crates/gateway/tests/runner_load.rs
@@ -5,7 +5,7 @@
 use pitchstall_serving::scheduling::RunnerLoad;
 
 #[test]
-fn a_load_leaves_out_what_is_zero_and_reads_words_of_nodes_that_know_no_more() {
+fn a_load_omits_zero_fields_and_decodes_messages_without_them() {
     let load = RunnerLoad {
         runner: RunnerId::new("d0"),
         in_flight: 2,
@@ -15,11 +15,11 @@
         held_tokens: 7,
         prefill_tokens_per_s: 0,
     };
-    let told = serde_json::to_string(&load).unwrap();
-    assert_eq!(told, r#"{"r":"d0","n":2,"t":0,"k":7}"#);
-    assert_eq!(serde_json::from_str::<RunnerLoad>(&told).unwrap(), load);
+    let encoded = serde_json::to_string(&load).unwrap();
+    assert_eq!(encoded, r#"{"r":"d0","n":2,"t":0,"k":7}"#);
+    assert_eq!(serde_json::from_str::<RunnerLoad>(&encoded).unwrap(), load);
     let whole = RunnerLoad { unread_requests: 1, late_tokens: 5, prefill_tokens_per_s: 9, ..load };
-    let told = serde_json::to_string(&whole).unwrap();
-    assert_eq!(told, r#"{"r":"d0","n":2,"w":1,"t":0,"l":5,"k":7,"a":9}"#);
-    assert_eq!(serde_json::from_str::<RunnerLoad>(&told).unwrap(), whole);
+    let encoded = serde_json::to_string(&whole).unwrap();
+    assert_eq!(encoded, r#"{"r":"d0","n":2,"w":1,"t":0,"l":5,"k":7,"a":9}"#);
+    assert_eq!(serde_json::from_str::<RunnerLoad>(&encoded).unwrap(), whole);
 }
--- a/crates/gateway/tests/runner_notices.rs
+++ b/crates/gateway/tests/runner_notices.rs
@@ -24,21 +24,21 @@
     move |_| Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
 }
 
-fn ask(node: &Fixture, path: &str, id: &str) -> RawAnswer {
+fn send(node: &Fixture, path: &str, id: &str) -> RawAnswer {
     let mut client = node.client();
     client.request("POST", path, id, PROMPT, b"{}");
     client.read_answer()
 }
 
 /// Requests enough that a runner which is a candidate gets some.
-fn ask_often(node: &Fixture, path: &str) {
+fn send_many(node: &Fixture, path: &str) {
     for number in 0..12 {
-        ask(node, path, &format!("id-{number}"));
+        send(node, path, &format!("id-{number}"));
     }
 }
 
 /// A runner that turns each request to write an answer away and asks for rest.
-fn resting_writer() -> RunnerStandIn {
+fn resting_decode_runner() -> RunnerStandIn {
     let script = |request: &ReceivedRequest| match request.method.as_str() {
         "POST" => Reaction::Raw(refusal_saying(request, LONG_REST)),
         _ => engine_script(3)(request),
@@ -47,7 +47,7 @@
 }
 
 /// Two runners of the service without prompts, one of which does what a script says.
-fn node_with_one_that(
+fn node_with_scripted_runner(
     script: impl Fn(&ReceivedRequest) -> Reaction + Send + Sync + 'static,
 ) -> (Fixture, RunnerStandIn) {
     let one = RunnerStandIn::start("i-1", script).unwrap();
@@ -58,7 +58,7 @@
 
 /// The store has not heard of it: the entry says `ready` all the time. One request is enough for the node to know.
 #[test]
-fn a_runner_that_says_that_it_leaves_gets_no_more_requests() {
+fn a_runner_that_reports_leaving_gets_no_more_requests() {
     let whole = |request: &ReceivedRequest| {
         Reaction::Raw(signed_answer_saying(request, 200, LEAVING, b"whole"))
     };
@@ -84,20 +84,20 @@
         ("unsigned", unsigned),
     ];
     for (kind, script) in answers {
-        let (node, leaving) = node_with_one_that(script);
-        ask_often(&node, "/lookup/1");
+        let (node, leaving) = node_with_scripted_runner(script);
+        send_many(&node, "/lookup/1");
         assert_eq!(leaving.requests().len(), 1, "{kind}");
     }
 }
 
 /// It turns one request away and says for how long it wants none.
 #[test]
-fn a_runner_that_asks_for_rest_gets_no_request_before_its_end() {
+fn a_resting_runner_gets_no_request_before_its_rest_ends() {
     let script = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LONG_REST));
-    let (node, resting) = node_with_one_that(script);
+    let (node, resting) = node_with_scripted_runner(script);
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(600) {
-        assert_eq!(ask(&node, "/lookup/1", "id").status, 200);
+        assert_eq!(send(&node, "/lookup/1", "id").status, 200);
         std::thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(resting.requests().len(), 1);
@@ -106,16 +106,16 @@
 /// Prompts are being read when the runner that is to write some of them turns another request away and asks for
 /// rest: none of them goes to it.
 #[test]
-fn a_prompt_that_has_been_read_is_not_written_by_a_runner_that_wants_rest() {
-    let resting = resting_writer();
+fn a_prefilled_prompt_is_not_decoded_by_a_resting_runner() {
+    let resting = resting_decode_runner();
     let posts_at = |runner: &RunnerStandIn| {
         let requests = runner.requests();
         requests.into_iter().filter(|request| request.method == "POST").count()
     };
-    let awaited = resting.clone();
-    let reader = RunnerStandIn::start("r-1", move |request: &ReceivedRequest| {
+    let resting_clone = resting.clone();
+    let prefill_runner = RunnerStandIn::start("r-1", move |request: &ReceivedRequest| {
         if request.path().starts_with("/summary/held") {
-            wait_for("the other runner to ask for rest", || posts_at(&awaited) > 0);
+            wait_for("the other runner to ask for rest", || posts_at(&resting_clone) > 0);
             std::thread::sleep(Duration::from_millis(50));
         }
         engine_script(3)(request)
@@ -126,21 +126,21 @@
     };
     let other = RunnerStandIn::start("w-2", stream).unwrap();
     let node = Fixture::with_runners(&[
-        (&reader.unwrap(), "llm", Some("prefill")),
+        (&prefill_runner.unwrap(), "llm", Some("prefill")),
         (&resting, "llm", Some("decode")),
         (&other, "llm", Some("decode")),
     ]);
     std::thread::scope(|scope| {
         for number in 0..6 {
             let node = &node;
-            scope.spawn(move || ask(node, "/summary/held", &format!("id-held-{number}")));
+            scope.spawn(move || send(node, "/summary/held", &format!("id-held-{number}")));
         }
         std::thread::sleep(Duration::from_millis(100));
         let mut number = 0;
         wait_for("a request for the runner that asks for rest", || {
             number += 1;
             let (node, id) = (&node, format!("id-quick-{number}"));
-            scope.spawn(move || ask(node, "/summary/quick", &id));
+            scope.spawn(move || send(node, "/summary/quick", &id));
             std::thread::sleep(Duration::from_millis(20));
             posts_at(&resting) > 0
         });
@@ -150,35 +150,35 @@
 
 /// Its entry is written again, lapses and is back, as long as the store has not heard that it leaves.
 #[test]
-fn an_entry_that_says_ready_takes_no_word_back() {
+fn a_ready_entry_does_not_revoke_a_reported_leave() {
     let script = |request: &ReceivedRequest| {
         Reaction::Raw(signed_answer_saying(request, 200, LEAVING, b"leaving"))
     };
-    let (node, leaving) = node_with_one_that(script);
-    ask_often(&node, "/lookup/1");
+    let (node, leaving) = node_with_scripted_runner(script);
+    send_many(&node, "/lookup/1");
     assert_eq!(leaving.requests().len(), 1);
     let mut entry = runner_entry(&leaving, "desk", "north", "ready");
     entry["slots"] = 16.into();
     node.store.put("servers/i-1", &entry);
     std::thread::sleep(Duration::from_millis(200));
-    ask_often(&node, "/lookup/1");
+    send_many(&node, "/lookup/1");
     node.store.remove("servers/i-1");
     std::thread::sleep(Duration::from_millis(200));
     node.store.put("servers/i-1", &entry);
     std::thread::sleep(Duration::from_millis(200));
-    ask_often(&node, "/lookup/1");
+    send_many(&node, "/lookup/1");
     assert_eq!(leaving.requests().len(), 1);
 }
 
 /// All runners rest for longer than a request may wait: it is refused at once, and that is true.
 #[test]
-fn a_request_is_refused_at_once_while_all_its_runners_rest() {
+fn a_request_is_refused_at_once_while_all_runners_rest() {
     let rest = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LONG_REST));
     let one = RunnerStandIn::start("i-1", rest).unwrap();
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
-    assert_eq!(ask(&node, "/booking/1", "id-first").status, 503);
+    assert_eq!(send(&node, "/booking/1", "id-first").status, 503);
     for number in 0..20 {
-        let answer = ask(&node, "/booking/1", &format!("id-{number}"));
+        let answer = send(&node, "/booking/1", &format!("id-{number}"));
         assert_eq!(answer.status, 503);
         assert!(answer.header("retry-after").is_some());
     }
@@ -200,20 +200,20 @@
     let one = RunnerStandIn::start("i-1", script).unwrap();
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     let declined = std::thread::scope(|scope| {
-        let declined = scope.spawn(|| ask(&node, "/booking/1", "id-declined"));
+        let declined = scope.spawn(|| send(&node, "/booking/1", "id-declined"));
         wait_for("the runner to ask for rest", || !one.requests().is_empty());
         std::thread::sleep(Duration::from_millis(20));
-        assert_eq!(ask(&node, "/booking/1", "id-held").text(), "served");
+        assert_eq!(send(&node, "/booking/1", "id-held").text(), "served");
         declined.join().unwrap()
     });
     assert_eq!(declined.status, 503, "the runner that has turned it away is the only one");
-    let waited = one.requests();
-    assert_eq!(waited.len(), 2);
+    let received = one.requests();
+    assert_eq!(received.len(), 2);
 }
 
 /// The address belongs to another runner now, which says that it leaves: the one that is meant does not.
 #[test]
-fn what_another_runner_says_at_the_address_is_not_believed() {
+fn a_notice_of_another_runner_at_the_address_is_ignored() {
     let is_other = Arc::new(AtomicBool::new(true));
     let other = is_other.clone();
     let script = move |request: &ReceivedRequest| {
@@ -229,18 +229,18 @@
     };
     let one = RunnerStandIn::start("i-1", script).unwrap();
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
-    assert_eq!(ask(&node, "/booking/1", "id-1").status, 503);
+    assert_eq!(send(&node, "/booking/1", "id-1").status, 503);
     is_other.store(false, Ordering::SeqCst);
     let mut entry = runner_entry(&one, "desk", "north", "ready");
     entry["slots"] = 16.into();
     node.store.put("servers/i-1", &entry);
-    wait_for("the runner to be used again", || ask(&node, "/booking/1", "id-2").text() == "meant");
+    wait_for("the runner to be used again", || send(&node, "/booking/1", "id-2").text() == "meant");
 }
 
 /// Another node chooses for this one, and has not heard what the runner has said to it.
 #[test]
-fn what_a_scheduler_chooses_is_not_sent_to_a_runner_that_wants_none() {
-    let resting = resting_writer();
+fn a_scheduler_choice_is_not_sent_to_a_resting_runner() {
+    let resting = resting_decode_runner();
     let stream = |request: &ReceivedRequest| Reaction::Stream(EventStream::whole(request, 3));
     let other = RunnerStandIn::start("w-2", stream).unwrap();
     let first = Fixture::with_runners(&[
@@ -249,15 +249,15 @@
     ]);
     let nodes = [first.start_beside("node-2"), first.start_beside("node-3"), first];
     nodes.iter().for_each(Fixture::wait_until_ready);
-    let was_told = |node: &Fixture| {
+    let was_placed_by_other_node = |node: &Fixture| {
         let metrics = get(node.health, "/metrics").text();
         !metrics.contains("pitchstall_placements_told_total 0")
     };
     wait_for("two nodes to be told by the third", || {
-        nodes.iter().for_each(|node| ask_often(node, "/summary/1"));
-        nodes.iter().filter(|node| was_told(node)).count() == 2
+        nodes.iter().for_each(|node| send_many(node, "/summary/1"));
+        nodes.iter().filter(|node| was_placed_by_other_node(node)).count() == 2
     });
-    nodes.iter().for_each(|node| ask_often(node, "/summary/1"));
+    nodes.iter().for_each(|node| send_many(node, "/summary/1"));
     let posts = resting.requests().into_iter().filter(|request| request.method == "POST");
     assert!(posts.count() <= nodes.len(), "one for each node that it has told");
 }
--- a/crates/gateway/tests/scaling.rs
+++ b/crates/gateway/tests/scaling.rs
@@ -9,7 +9,7 @@
 use support::{configuration, wait_for, Fixture};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const RUNNERS_A_ZONE: usize = 4;
+const RUNNERS_PER_ZONE: usize = 4;
 
 /// A node before runners that can be ordered in three zones.
 fn start(cloud: &CloudStandIn, sections: &str) -> Fixture {
@@ -23,7 +23,7 @@
     });
     node.store.put("op/config", &configuration);
     for zone in ZONES {
-        for number in 0..RUNNERS_A_ZONE {
+        for number in 0..RUNNERS_PER_ZONE {
             let entry = json!({
                 "service": "llm", "address": "127.0.0.1:9", "zone": zone, "version": "v1",
                 "slots": 8, "state": "ready", "cold_left_ms": 0, "stage": "decode", "seq": 1,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn preemptible_runners_are_ordered_in_each_zone_and_nothing_is_given_up_before_they_serve() {
+fn preemptible_runners_are_ordered_in_each_zone_and_none_released_before_they_serve() {
     let cloud = CloudStandIn::start().unwrap();
     let node = start(&cloud, "");
     wait_for("an order for each zone", || orders(&cloud).len() >= ZONES.len());
@@ -56,21 +56,21 @@
 }
 
 #[test]
-fn a_zone_that_has_none_to_be_had_is_asked_again_and_the_term_goes_on() {
+fn an_order_for_an_exhausted_zone_is_retried_within_the_same_term() {
     let cloud = CloudStandIn::start().unwrap();
     cloud.answer_next_with(409);
     let _node = start(&cloud, "");
     let refused = || orders(&cloud).into_iter().find(|order| order.status == 409);
     wait_for("a refusal", || refused().is_some());
     let zone = refused().unwrap().body["zone"].clone();
-    let again = |order: &CloudCall| order.status == 200 && order.body["zone"] == zone;
-    wait_for("the zone to be asked again", || orders(&cloud).iter().any(again));
+    let is_retry = |order: &CloudCall| order.status == 200 && order.body["zone"] == zone;
+    wait_for("the zone to be asked again", || orders(&cloud).iter().any(is_retry));
     let fences: Vec<u64> = orders(&cloud).iter().map(|order| order.fence).collect();
     assert!(fences.windows(2).all(|pair| pair[0] == pair[1]), "one term: {fences:?}");
 }
 
 #[test]
-fn operators_can_keep_the_fleet_as_it_is() {
+fn nothing_is_ordered_if_preemptible_runners_are_disabled() {
     let cloud = CloudStandIn::start().unwrap();
     let node = start(&cloud, "[capacity]\npreemptible = false\n");
     wait_for("the need to be kept", || node.store.contains("pitchstall/capacity/llm"));
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -11,7 +11,7 @@
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
 
-fn writer(id: &str) -> RunnerStandIn {
+fn decode_runner(id: &str) -> RunnerStandIn {
     RunnerStandIn::start(id, |request| Reaction::Stream(EventStream::whole(request, 3))).unwrap()
 }
 
@@ -32,58 +32,68 @@
     answer.status == 200 && answer.complete
 }
 
-fn counted(node: &Fixture, name: &str) -> u64 {
+fn metric_value(node: &Fixture, name: &str) -> u64 {
     let metrics = get(node.health, "/metrics").text();
     let line = metrics.lines().find(|line| line.starts_with(name)).unwrap();
     line.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
 /// The nodes that have been told by another one where a request runs.
-fn told(nodes: &[Fixture]) -> Vec<bool> {
-    nodes.iter().map(|node| counted(node, "pitchstall_placements_told_total") > 0).collect()
+fn placed_by_other_node(nodes: &[Fixture]) -> Vec<bool> {
+    nodes.iter().map(|node| metric_value(node, "pitchstall_placements_told_total") > 0).collect()
 }
 
 #[test]
-fn one_node_places_the_requests_of_all() {
-    let nodes = nodes(&[writer("i-1"), writer("i-2")]);
+fn one_node_places_the_requests_of_all_nodes() {
+    let nodes = nodes(&[decode_runner("i-1"), decode_runner("i-2")]);
     wait_for("two nodes to be told by the third", || {
         assert!(nodes.iter().all(|node| is_served(node, "id")));
-        told(&nodes).iter().filter(|told| **told).count() == 2
+        placed_by_other_node(&nodes)
+            .iter()
+            .filter(|placed_by_other_node| **placed_by_other_node)
+            .count()
+            == 2
     });
 }
 
 #[test]
-fn requests_are_served_while_their_scheduler_is_gone() {
-    let nodes = nodes(&[writer("i-1"), writer("i-2")]);
+fn requests_are_served_after_their_scheduler_has_stopped() {
+    let nodes = nodes(&[decode_runner("i-1"), decode_runner("i-2")]);
     wait_for("two nodes to be told by the third", || {
         assert!(nodes.iter().all(|node| is_served(node, "id")));
-        told(&nodes).iter().filter(|told| **told).count() == 2
+        placed_by_other_node(&nodes)
+            .iter()
+            .filter(|placed_by_other_node| **placed_by_other_node)
+            .count()
+            == 2
     });
-    let told = told(&nodes);
-    let (mut left, mut gone) = (Vec::new(), Vec::new());
-    for (node, told) in nodes.into_iter().zip(told) {
-        if told {
-            left.push(node)
+    let placed_by_other_node = placed_by_other_node(&nodes);
+    let (mut remaining, mut stopped) = (Vec::new(), Vec::new());
+    for (node, placed_by_other_node) in nodes.into_iter().zip(placed_by_other_node) {
+        if placed_by_other_node {
+            remaining.push(node)
         } else {
-            gone.push(node)
+            stopped.push(node)
         }
     }
-    for node in gone {
+    for node in stopped {
         node.request_stop();
         node.join();
     }
     for _ in 0..5 {
-        assert!(left.iter().all(|node| is_served(node, "id")));
+        assert!(remaining.iter().all(|node| is_served(node, "id")));
     }
-    assert!(left.iter().any(|node| counted(node, "pitchstall_placements_missed_total") > 0));
+    assert!(remaining
+        .iter()
+        .any(|node| metric_value(node, "pitchstall_placements_missed_total") > 0));
 }
 
 /// Datagrams that nobody sent for a request of this node: they may change a choice, no answer.
 #[test]
-fn forged_and_broken_words_do_no_harm() {
-    let nodes = nodes(&[writer("i-1"), writer("i-2")]);
+fn forged_and_malformed_messages_are_harmless() {
+    let nodes = nodes(&[decode_runner("i-1"), decode_runner("i-2")]);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let words: [&[u8]; 9] = [
+    let messages: [&[u8]; 9] = [
         b"",
         b"{",
         b"{\"nothing\":{}}",
@@ -95,8 +105,8 @@
         b"{\"region\":{\"r\":\"south\",\"l\":[{\"s\":\"llm\",\"n\":0,\"w\":0,\"o\":0}]}}",
     ];
     for node in &nodes {
-        words.iter().for_each(|word| {
-            socket.send_to(word, node.peers).unwrap();
+        messages.iter().for_each(|message| {
+            socket.send_to(message, node.peers).unwrap();
         });
     }
     std::thread::sleep(Duration::from_millis(50));
