--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -33,8 +33,9 @@
 /// Share of a request's target time to wait for a scheduler's reply, in addition to the round trip.
 /// It is a small part of what a bad placement costs.
 const REPLY_TIMEOUT_TARGET_SHARE: f64 = 0.06;
-/// Bounds of this wait. With a shorter one, nodes on machines with a shared processor would reply
-/// too late. With a longer one, a crashed scheduler would cost more than a good placement gains.
+/// Minimum and maximum of the wait for a scheduler's reply, besides the round trip. With a shorter
+/// wait, nodes on machines with a shared processor would reply too late. With a longer wait, a
+/// crashed scheduler would cost more than a good placement gains.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(12);
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 const MS_PER_SECOND: f64 = 1_000.0;
--- a/crates/gateway/tests/cache_listing.rs
+++ b/crates/gateway/tests/cache_listing.rs
@@ -1,4 +1,4 @@
-//! Whose caches a scheduler asks for after its start.
+//! The runners whose cache a scheduler lists after its start.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_gateway::cache_listing::runners_to_list;
@@ -23,7 +23,8 @@
     }
 }
 
-/// Once the lists of 90 runners, told to 60 nodes, kept their links full for the rest of a day.
+/// When every node listed all runners, the lists of 90 runners sent to 60 nodes kept their links
+/// saturated for the rest of a day.
 #[test]
 fn schedulers_list_only_runners_of_their_shards_and_each_runner_once() {
     const RUNNERS: usize = 160;
--- a/crates/gateway/tests/regions.rs
+++ b/crates/gateway/tests/regions.rs
@@ -1,5 +1,5 @@
-//! Requests of a node whose schedulers are in its own region and in another. Other nodes are played
-//! by sockets.
+//! Requests of a node with one scheduler in its own region and one in another region. The other
+//! nodes are simulated by sockets.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -12,7 +12,7 @@
 
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
-/// `north` and `coast` are one region, `south` is another.
+/// `north` and `coast` belong to one region, `south` to another.
 const REGIONS: &str = "[node.regions]\nnorth = \"up\"\ncoast = \"up\"\nsouth = \"down\"\n";
 
 fn decode_runner(id: &str) -> RunnerStandIn {
@@ -32,7 +32,8 @@
     answer.status == 200 && answer.complete
 }
 
-/// A stronger node than any, so that it is the scheduler of its region.
+/// A simulated node with a higher capacity than any other, so that it is the scheduler of its
+/// region.
 struct Scheduler {
     name: &'static str,
     zone: &'static str,
@@ -46,10 +47,10 @@
         Self { name, zone, socket }
     }
 
-    /// Waits until a request that it placed is over.
+    /// Waits until the end of a request that this scheduler placed is reported.
     fn expect_end_report(&self, query: &Value) {
         loop {
-            let message = self.receive("progress").expect("the word that the request is over");
+            let message = self.receive("progress").expect("a report of the end of the request");
             assert_eq!(message["i"], query["i"]);
             if message["g"] == "e" {
                 return;
@@ -69,7 +70,7 @@
         self.send(node, &json!({ "digest": digest }));
     }
 
-    /// The next word of a kind, if one comes soon.
+    /// The next message of a kind, if one is received within 3 s.
     fn receive(&self, kind: &str) -> Option<Value> {
         let deadline = Instant::now() + Duration::from_secs(3);
         let mut buffer = vec![0; 60_000];
@@ -84,12 +85,13 @@
     }
 }
 
-/// How many prompts a runner was sent; it is asked for the list of its cache too.
+/// The number of prompts that a runner received. It also receives requests for its cache list,
+/// which are not counted.
 fn prompt_count(runner: &RunnerStandIn) -> usize {
     runner.requests().iter().filter(|request| request.method == "POST").count()
 }
 
-/// A node with one runner in its own region and one in the other, and a scheduler of each.
+/// A node with one runner in its own region and one in the other, and a scheduler of each region.
 fn node(own: &RunnerStandIn, remote: &RunnerStandIn) -> (Fixture, Scheduler, Scheduler) {
     let node = Fixture::start_told(REGIONS);
     node.store.put("op/config", &configuration(3));
@@ -121,7 +123,7 @@
             .send(&node, &json!({ "place": { "i": query["i"], "p": null, "o": remote_region } }));
         let query = remote_scheduler.receive("ask").unwrap();
         assert_eq!((&query["h"]["r"], &query["w"]), (&json!("down"), &json!(true)));
-        // A question to another region is not given up as soon as one to the next machine.
+        // The timeout of a query to another region is longer than that of one within the region.
         std::thread::sleep(Duration::from_millis(30));
         remote_scheduler.send(&node, &json!({ "place": { "i": query["i"], "p": plan(&remote) } }));
         remote_scheduler.expect_end_report(&query);
@@ -144,9 +146,9 @@
         own_scheduler
             .send(&node, &json!({ "place": { "i": query["i"], "p": null, "o": remote_region } }));
         let query = remote_scheduler.receive("ask").unwrap();
-        assert!(served.join().unwrap(), "by what the node knows itself");
+        assert!(served.join().unwrap(), "served by the node's own view");
         remote_scheduler.expect_end_report(&query);
-        // That word may have overtaken the question: the answer is told again.
+        // That report may have overtaken the query, so a late reply is answered by another one.
         remote_scheduler.send(&node, &json!({ "place": { "i": query["i"], "p": plan(&remote) } }));
         remote_scheduler.expect_end_report(&query);
     });
@@ -163,7 +165,7 @@
     assert!(is_served(&node, "id"));
     assert_eq!(prompt_count(&remote), 1);
     node.put_runner_in("coast", &own, "llm", Some("decode"), "ready");
-    wait_for("its own region's runner to be used", || {
+    wait_for("the runner of the own region to be used", || {
         assert!(is_served(&node, "id"));
         prompt_count(&own) > 0
     });
--- a/crates/gateway/tests/runner_incarnations.rs
+++ b/crates/gateway/tests/runner_incarnations.rs
@@ -1,4 +1,4 @@
-//! Runners that start again under their name, at their address, and what callers see of it.
+//! Runners that restart under the same name and address, as seen by clients.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -32,7 +32,7 @@
     client.read_answer()
 }
 
-/// A request that a runner has, and whose answer is waited for.
+/// Sends a request and waits until the runner has received it; the response is still pending.
 fn start_pending_request(
     node: &Fixture,
     runner: &RunnerStandIn,
@@ -44,11 +44,11 @@
         client.request(method, path, "id-waiting", "", b"x");
         client.read_answer()
     });
-    wait_for("the request to be under way", || !runner.requests().is_empty());
+    wait_for("the runner to receive the request", || !runner.requests().is_empty());
     waiting
 }
 
-/// A node and a runner in its first life.
+/// A node and a runner in its first incarnation.
 fn node_with(runner: &RunnerStandIn) -> Fixture {
     let node = Fixture::start();
     node.store.put("op/config", &configuration(3));
@@ -57,7 +57,7 @@
     node
 }
 
-/// Nobody has noticed the gap: the entry was there all the time.
+/// No node notices the restart as a gap, since the registry entry existed all the time.
 #[test]
 fn a_restarted_runner_serves_on_new_connections() {
     let first = RunnerStandIn::start(NAME, answering("first")).unwrap();
@@ -66,31 +66,28 @@
     first.crash();
     let second = first.start_again(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
-    wait_for("the new life to serve", || {
-        send(&node, "GET", "/lookup/1", "id-2").text() == "second"
-    });
+    wait_for("the restarted runner", || send(&node, "GET", "/lookup/1", "id-2").text() == "second");
     for number in 0..4 {
         let answer = send(&node, "POST", "/booking/1", &format!("id-{}", 3 + number));
         assert_eq!(answer.text(), "second");
     }
 }
 
-/// Its predecessor was about to leave, and ended; the new life was not told to.
+/// The previous incarnation was draining when it crashed; the new one is not.
 #[test]
 fn a_new_incarnation_does_not_inherit_the_draining_of_the_previous_one() {
     let first = RunnerStandIn::start(NAME, answering("first")).unwrap();
     let node = node_with(&first);
     node.store.put(KEY, &entry(&first, &json!(1_000), "draining"));
-    wait_for("the runner to leave", || send(&node, "GET", "/lookup/1", "id-1").status == 503);
+    wait_for("the drain to begin", || send(&node, "GET", "/lookup/1", "id-1").status == 503);
     first.crash();
     let second = first.start_again(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
-    wait_for("the new life to serve", || {
-        send(&node, "GET", "/lookup/1", "id-2").text() == "second"
-    });
+    wait_for("the restarted runner", || send(&node, "GET", "/lookup/1", "id-2").text() == "second");
 }
 
-/// What mustn't run twice may have run when the life ended that had it: the next one doesn't get it.
+/// A request that must not be repeated may have run when its incarnation crashed, so it is not sent
+/// to the next one.
 #[test]
 fn a_non_repeatable_request_is_not_sent_to_the_next_incarnation() {
     let hold = |_: &ReceivedRequest| Reaction::Silent;
@@ -101,12 +98,13 @@
     let second = first.start_again(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
     let answer = waiting.join().unwrap();
-    assert_eq!(answer.status, 502, "it may have run, so it isn't refused");
+    assert_eq!(answer.status, 502, "a request that may have run must not be refused");
     assert!(second.requests().is_empty());
 }
 
-/// What may be repeated goes on at the next life. It is there at once, so that no connection to it is refused:
-/// the stand-in breaks the request of its first life off and answers those of the next one.
+/// A repeatable request is sent to the next incarnation. The stand-in stays up so that no
+/// connection is refused: it resets the connection of the first incarnation's request and answers
+/// those of the next one.
 #[test]
 fn a_repeatable_request_is_sent_to_the_next_incarnation() {
     let has_restarted = Arc::new(AtomicBool::new(false));
@@ -131,12 +129,12 @@
     assert_eq!(runner.requests().len(), 2);
 }
 
-/// Another writer's entry, beside runners that tell when they started.
-#[test_case(json!(null); "no time at all")]
-#[test_case(json!(-5); "before all time")]
-#[test_case(json!("1000"); "a text")]
-#[test_case(json!(1000.5); "a part of a millisecond")]
-#[test_case(json!([1000]); "a list")]
+/// Entries of another writer, next to entries that contain a valid start time.
+#[test_case(json!(null); "null")]
+#[test_case(json!(-5); "negative")]
+#[test_case(json!("1000"); "string")]
+#[test_case(json!(1000.5); "fraction")]
+#[test_case(json!([1000]); "list")]
 fn an_entry_with_an_invalid_start_time_is_refused(born: Value) {
     let runner = RunnerStandIn::start(NAME, answering("right")).unwrap();
     let node = node_with(&runner);
@@ -146,14 +144,14 @@
     without.as_object_mut().unwrap().remove("born");
     node.store.put("servers/i-3", &without);
     let refused = "pitchstall_entries_refused_total{subject=\"runners\"} 2";
-    wait_for("both to be refused", || get(node.health, "/metrics").text().contains(refused));
+    wait_for("both refusals", || get(node.health, "/metrics").text().contains(refused));
     for number in 0..8 {
         assert_eq!(send(&node, "GET", "/lookup/1", &format!("id-{number}")).text(), "right");
     }
 }
 
-/// The answer tells of a later life than the entry: what is believed of the one that is over is over, and the
-/// runner gets nothing until its entry tells of the new one.
+/// A response reports a later incarnation than the registry entry. The node discards its view of
+/// the known incarnation and sends the runner nothing until the entry contains the new one.
 #[test]
 fn a_response_of_another_incarnation_resets_the_view_of_the_known_one() {
     const NEXT: u64 = 2_000;
@@ -177,7 +175,7 @@
     register(&prefill_runner, "prefill", 1_000);
     register(&decode_runner, "decode", 1_000);
     node.wait_until_ready();
-    // Each prompt is another one: no runner holds a part of it.
+    // Each prompt is different, so no runner holds a shared prefix of it.
     let prompts_sent = std::cell::Cell::new(0);
     let send_new_prompt = || {
         let number = prompts_sent.replace(prompts_sent.get() + 1);
@@ -192,7 +190,7 @@
         prefill_runner.requests().iter().filter(|request| is_prefill(request)).count()
     };
     assert_eq!(send_new_prompt(), 1);
-    assert_eq!(send_new_prompt(), 1, "the runner gets nothing until its entry tells of this life");
+    assert_eq!(send_new_prompt(), 1, "no prompts before the entry is updated");
     register(&prefill_runner, "prefill", NEXT);
-    wait_for("the new life to be given prompts", || send_new_prompt() > 1);
+    wait_for("the new incarnation to receive prompts", || send_new_prompt() > 1);
 }
--- a/crates/gateway/tests/runner_limits.rs
+++ b/crates/gateway/tests/runner_limits.rs
@@ -1,4 +1,5 @@
-//! Runners that name in their answers how many requests a second they take from all nodes together.
+//! Runners that report in their responses how many requests per second they accept from all nodes
+//! together.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -14,33 +15,33 @@
 
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
-/// Two requests a second.
+/// Two requests per second.
 const LIMITED: SelfReport = SelfReport { leaving: false, retry_after: None, limit: Some("2") };
-/// What may arrive in any 4 s at a limit of two a second, from nodes that have been told: one and a half times the
-/// limit, and five.
+/// Maximum number of requests in any 4 s at a limit of two per second, from nodes that know the
+/// limit: one and a half times the limit, plus five.
 const ALLOWED: usize = 17;
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time from an answer that names a limit until it counts.
+/// Time from a response that reports a limit until the limit is enforced by all nodes.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
-/// When requests arrived at a runner.
+/// The times at which a runner received requests.
 type Arrivals = Arc<Mutex<Vec<Instant>>>;
 
-/// The most that arrived in any window.
+/// The maximum number of arrivals in any window.
 fn fullest_window(arrivals: &[Instant]) -> usize {
     let until =
         |last: &Instant| arrivals.iter().filter(|at| *at <= last && **at + WINDOW > *last).count();
     arrivals.iter().map(until).max().unwrap_or_default()
 }
 
-/// Three nodes before one store.
+/// Three nodes that use the same store.
 fn three_nodes(first: Fixture) -> [Fixture; 3] {
     let nodes = [first.start_beside("node-2"), first.start_beside("node-3"), first];
     nodes.iter().for_each(Fixture::wait_until_ready);
     nodes
 }
 
-/// Three nodes and two runners of the service without prompts, one of which is limited.
+/// Three nodes and two runners of the service without prompts, one of which has a limit.
 fn nodes_with_limited_desk(arrivals: &Arrivals) -> ([Fixture; 3], [RunnerStandIn; 2]) {
     let recorded = arrivals.clone();
     let limited = RunnerStandIn::start("i-1", move |request: &ReceivedRequest| {
@@ -53,7 +54,7 @@
     (three_nodes(first), runners)
 }
 
-/// A limited decode runner.
+/// A decode runner with a limit.
 fn limited_decode_runner(arrivals: &Arrivals) -> RunnerStandIn {
     let recorded = arrivals.clone();
     let script = move |request: &ReceivedRequest| {
@@ -67,7 +68,8 @@
     RunnerStandIn::start("w-1", script).unwrap()
 }
 
-/// Requests at all nodes for a time, one every 10 ms at each. Returns the answers' statuses.
+/// Sends requests to all nodes for the given time, pausing 10 ms after each response of a node.
+/// Returns the statuses of the responses.
 fn send_requests(nodes: &[Fixture], path: &str, time: Duration) -> Vec<u16> {
     let begun = Instant::now();
     std::thread::scope(|scope| {
@@ -91,28 +93,30 @@
     })
 }
 
-/// Arrivals from when all nodes had been told for the crossing time.
+/// Arrivals after the limit has reached all nodes.
 fn arrivals_after_propagation(arrivals: &Arrivals, begun: Instant) -> Vec<Instant> {
     let all = arrivals.lock().unwrap();
-    // Each node asks a hundred times a second, so each has had an answer of the runner by then.
+    // Each node sends up to a hundred requests per second, so it has received a response of the
+    // runner by then.
     let propagated_at = begun + PROPAGATION_TIME * 2;
     all.iter().copied().filter(|at| *at >= propagated_at).collect()
 }
 
-/// Requests without prompts are placed by each node for itself.
+/// Each node places requests without prompts itself.
 #[test]
 fn all_nodes_together_stay_within_the_limit_of_a_runner() {
     let arrivals = Arrivals::default();
     let (nodes, _runners) = nodes_with_limited_desk(&arrivals);
     let begun = Instant::now();
     let statuses = send_requests(&nodes, "/lookup/1", Duration::from_secs(6));
-    assert!(statuses.iter().all(|status| *status == 200), "the other runner takes all");
+    assert!(statuses.iter().all(|status| *status == 200), "the other runner serves the rest");
     let fullest = fullest_window(&arrivals_after_propagation(&arrivals, begun));
-    assert!(fullest <= ALLOWED, "{fullest} in 4 s, {ALLOWED} allowed");
-    assert!(fullest >= 4, "{fullest} in 4 s: the runner takes two a second");
+    assert!(fullest <= ALLOWED, "{fullest} requests in 4 s, {ALLOWED} allowed");
+    assert!(fullest >= 4, "{fullest} requests in 4 s: the runner accepts two per second");
 }
 
-/// Requests with prompts are placed by the scheduler of the runner's shard, and written where it says.
+/// The scheduler of the runner's shard places requests with prompts and chooses their decode
+/// runner.
 #[test]
 fn all_nodes_together_stay_within_the_limit_of_a_decode_runner() {
     let arrivals = Arrivals::default();
@@ -127,19 +131,22 @@
     let nodes = three_nodes(first);
     let begun = Instant::now();
     let statuses = send_requests(&nodes, "/summary/1", Duration::from_secs(6));
-    assert!(statuses.iter().all(|status| *status == 200), "the other writer takes all");
+    assert!(
+        statuses.iter().all(|status| *status == 200),
+        "the other decode runner serves the rest"
+    );
     let fullest = fullest_window(&arrivals_after_propagation(&arrivals, begun));
-    assert!(fullest <= ALLOWED, "{fullest} in 4 s, {ALLOWED} allowed");
+    assert!(fullest <= ALLOWED, "{fullest} requests in 4 s, {ALLOWED} allowed");
 }
 
-/// The node that counts for all stops in the middle, and another one takes its place.
+/// The keeper stops in the middle of the test, and another node replaces it.
 #[test]
 fn a_limit_holds_while_its_keeper_is_replaced() {
     let arrivals = Arrivals::default();
     let (nodes, _runners) = nodes_with_limited_desk(&arrivals);
     let begun = Instant::now();
     send_requests(&nodes, "/lookup/1", Duration::from_secs(4));
-    // Whichever of them counts: two of the three are gone one after the other.
+    // Whichever node is the keeper: two of the three nodes stop, one after the other.
     let [one, two, three] = nodes;
     one.request_stop();
     one.join();
@@ -148,19 +155,20 @@
     let [two, three] = remaining;
     two.request_stop();
     two.join();
-    // The others have told it that they stop, so that it is soon the first.
+    // The stopped nodes have announced their stop, so the last node soon becomes the first keeper.
     send_requests(&[three], "/lookup/1", Duration::from_secs(8));
     let after_propagation = arrivals_after_propagation(&arrivals, begun);
     let fullest = fullest_window(&after_propagation);
-    assert!(fullest <= ALLOWED, "{fullest} in 4 s, {ALLOWED} allowed");
+    assert!(fullest <= ALLOWED, "{fullest} requests in 4 s, {ALLOWED} allowed");
     let last = begun.elapsed();
     let is_in_last_window =
         |at: &&Instant| at.duration_since(begun) + Duration::from_secs(4) > last;
     let late = after_propagation.iter().filter(is_in_last_window).count();
-    assert!(late >= 4, "{late} in the last 4 s: the last node counts as the first");
+    assert!(late >= 4, "{late} requests in the last 4 s: the last node is the first keeper");
 }
 
-/// One node hears that the limit is over; all use the runner fully soon after.
+/// One node receives a response without the limit. Soon afterwards all nodes use the runner without
+/// restriction.
 #[test]
 fn a_lifted_limit_reaches_all_nodes_soon() {
     let is_limited = Arc::new(AtomicBool::new(true));
@@ -179,13 +187,15 @@
     send_requests(&nodes, "/lookup/1", Duration::from_secs(5));
     is_limited.store(false, Ordering::SeqCst);
     let lifted = Instant::now();
-    // One request every two seconds is what tells; each of the others is told or asks within two more.
+    // At this limit one request every two seconds shows that the limit is lifted. The other nodes
+    // learn it by report or by their next query, within two more seconds.
     send_requests(&nodes, "/lookup/1", Duration::from_secs(5));
     let full = arrivals.lock().unwrap().iter().filter(|at| **at > lifted).count();
     assert!(full > 100, "{full} requests in 5 s after the limit was lifted");
 }
 
-/// All runners of a service are limited: what does not fit is refused at once, with the time at which one fits.
+/// All runners of a service have a limit. Excess requests are refused at once, with the time until
+/// one is allowed.
 #[test]
 fn requests_beyond_the_limit_are_refused_at_once_with_retry_after() {
     let report = SelfReport { limit: Some("0.5"), ..SelfReport::default() };
@@ -205,15 +215,21 @@
         if answer.status == 503 {
             refusals += 1;
             let wait_s: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-            assert!(wait_s > 0.5 && wait_s <= 2.0, "{wait_s}: more than a quarter of the target");
-            assert!(elapsed < Duration::from_millis(500), "not held until it is refused");
+            assert!(
+                wait_s > 0.5 && wait_s <= 2.0,
+                "wait of {wait_s} s: expected more than a quarter of the target"
+            );
+            assert!(
+                elapsed < Duration::from_millis(500),
+                "refused after {elapsed:?} instead of at once"
+            );
         }
     }
-    assert!(refusals >= 15, "{refusals} of 20");
-    wait_for("one that fits", || send(99).0.status == 200);
+    assert!(refusals >= 15, "{refusals} of 20 requests refused");
+    wait_for("a request within the limit", || send(99).0.status == 200);
 }
 
-/// Nobody else writes: what the runner takes is used, and the rest is refused.
+/// There is no other decode runner: its limit is used up, and the excess requests are refused.
 #[test]
 fn the_only_decode_runner_is_used_up_to_its_limit() {
     let arrivals = Arrivals::default();
@@ -229,6 +245,6 @@
     assert!(statuses.iter().all(|status| [200, 503].contains(status)));
     let after_propagation = arrivals_after_propagation(&arrivals, begun);
     let fullest = fullest_window(&after_propagation);
-    assert!(fullest <= ALLOWED, "{fullest} in 4 s, {ALLOWED} allowed");
-    assert!(fullest >= 6, "{fullest} in 4 s: the runner takes two a second");
+    assert!(fullest <= ALLOWED, "{fullest} requests in 4 s, {ALLOWED} allowed");
+    assert!(fullest >= 6, "{fullest} requests in 4 s: the runner accepts two per second");
 }
--- a/crates/gateway/tests/runner_load.rs
+++ b/crates/gateway/tests/runner_load.rs
@@ -1,4 +1,4 @@
-//! The word on a runner's load that schedulers tell.
+//! Encoding of the runner loads that schedulers report.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_serving::ids::RunnerId;
--- a/crates/gateway/tests/runner_notices.rs
+++ b/crates/gateway/tests/runner_notices.rs
@@ -1,4 +1,4 @@
-//! Runners that say in their answers that they leave, or that they want rest.
+//! Runners that report in their responses that they are leaving or need a rest period.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -30,14 +30,14 @@
     client.read_answer()
 }
 
-/// Requests enough that a runner which is a candidate gets some.
+/// Sends enough requests that each candidate runner receives some.
 fn send_many(node: &Fixture, path: &str) {
     for number in 0..12 {
         send(node, path, &format!("id-{number}"));
     }
 }
 
-/// A runner that turns each request to write an answer away and asks for rest.
+/// A decode runner that declines each decode and asks for a rest period.
 fn resting_decode_runner() -> RunnerStandIn {
     let script = |request: &ReceivedRequest| match request.method.as_str() {
         "POST" => Reaction::Raw(refusal_saying(request, LONG_REST)),
@@ -46,7 +46,7 @@
     RunnerStandIn::start("w-1", script).unwrap()
 }
 
-/// Two runners of the service without prompts, one of which does what a script says.
+/// A node with two runners of the service without prompts, one of which follows a script.
 fn node_with_scripted_runner(
     script: impl Fn(&ReceivedRequest) -> Reaction + Send + Sync + 'static,
 ) -> (Fixture, RunnerStandIn) {
@@ -56,7 +56,8 @@
     (node, one)
 }
 
-/// The store has not heard of it: the entry says `ready` all the time. One request is enough for the node to know.
+/// The registry entry says `ready` all the time, so the node learns only from a response that the
+/// runner is leaving. One response of any kind is enough.
 #[test]
 fn a_runner_that_reports_leaving_gets_no_more_requests() {
     let whole = |request: &ReceivedRequest| {
@@ -77,10 +78,10 @@
     };
     type Script = fn(&ReceivedRequest) -> Reaction;
     let answers: [(&str, Script); 5] = [
-        ("whole", whole),
-        ("a failure of its own", failure),
-        ("turned away", declined),
-        ("broken off", broken_off),
+        ("complete", whole),
+        ("error response", failure),
+        ("declined", declined),
+        ("interrupted", broken_off),
         ("unsigned", unsigned),
     ];
     for (kind, script) in answers {
@@ -90,7 +91,7 @@
     }
 }
 
-/// It turns one request away and says for how long it wants none.
+/// The runner declines one request and reports how long it accepts none.
 #[test]
 fn a_resting_runner_gets_no_request_before_its_rest_ends() {
     let script = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LONG_REST));
@@ -103,8 +104,8 @@
     assert_eq!(resting.requests().len(), 1);
 }
 
-/// Prompts are being read when the runner that is to write some of them turns another request away and asks for
-/// rest: none of them goes to it.
+/// While prompts are being prefilled, the decode runner planned for some of them declines another
+/// request and asks for a rest period. None of the prompts may be decoded there.
 #[test]
 fn a_prefilled_prompt_is_not_decoded_by_a_resting_runner() {
     let resting = resting_decode_runner();
@@ -115,7 +116,7 @@
     let resting_clone = resting.clone();
     let prefill_runner = RunnerStandIn::start("r-1", move |request: &ReceivedRequest| {
         if request.path().starts_with("/summary/held") {
-            wait_for("the other runner to ask for rest", || posts_at(&resting_clone) > 0);
+            wait_for("the other runner to request a rest", || posts_at(&resting_clone) > 0);
             std::thread::sleep(Duration::from_millis(50));
         }
         engine_script(3)(request)
@@ -137,7 +138,7 @@
         }
         std::thread::sleep(Duration::from_millis(100));
         let mut number = 0;
-        wait_for("a request for the runner that asks for rest", || {
+        wait_for("a request to reach the runner that asks for a rest", || {
             number += 1;
             let (node, id) = (&node, format!("id-quick-{number}"));
             scope.spawn(move || send(node, "/summary/quick", &id));
@@ -148,7 +149,8 @@
     assert_eq!(posts_at(&resting), 1);
 }
 
-/// Its entry is written again, lapses and is back, as long as the store has not heard that it leaves.
+/// The entry is rewritten, expires and returns, while the registry does not know that the runner is
+/// leaving.
 #[test]
 fn a_ready_entry_does_not_revoke_a_reported_leave() {
     let script = |request: &ReceivedRequest| {
@@ -170,7 +172,8 @@
     assert_eq!(leaving.requests().len(), 1);
 }
 
-/// All runners rest for longer than a request may wait: it is refused at once, and that is true.
+/// All runners rest for longer than a request may wait, so it is refused at once without reaching a
+/// runner.
 #[test]
 fn a_request_is_refused_at_once_while_all_runners_rest() {
     let rest = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LONG_REST));
@@ -188,7 +191,8 @@
     assert!(metrics.contains("pitchstall_runner_notices_total{notice=\"rest\"} 1"));
 }
 
-/// The rest ends within the time that a request waits: it is held that long, and served.
+/// The rest period ends within the time that a request may wait, so the request is held and then
+/// served.
 #[test]
 fn a_request_waits_for_the_end_of_a_short_rest() {
     let has_declined = AtomicBool::new(false);
@@ -201,17 +205,18 @@
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     let declined = std::thread::scope(|scope| {
         let declined = scope.spawn(|| send(&node, "/booking/1", "id-declined"));
-        wait_for("the runner to ask for rest", || !one.requests().is_empty());
+        wait_for("the runner to request a rest", || !one.requests().is_empty());
         std::thread::sleep(Duration::from_millis(20));
         assert_eq!(send(&node, "/booking/1", "id-held").text(), "served");
         declined.join().unwrap()
     });
-    assert_eq!(declined.status, 503, "the runner that has turned it away is the only one");
+    assert_eq!(declined.status, 503, "the only runner has declined the request");
     let received = one.requests();
     assert_eq!(received.len(), 2);
 }
 
-/// The address belongs to another runner now, which says that it leaves: the one that is meant does not.
+/// Another runner now uses the address and reports that it is leaving. This says nothing about the
+/// runner that the node addressed.
 #[test]
 fn a_notice_of_another_runner_at_the_address_is_ignored() {
     let is_other = Arc::new(AtomicBool::new(true));
@@ -237,7 +242,7 @@
     wait_for("the runner to be used again", || send(&node, "/booking/1", "id-2").text() == "meant");
 }
 
-/// Another node chooses for this one, and has not heard what the runner has said to it.
+/// Another node chooses the runner and does not know what the runner has reported to this node.
 #[test]
 fn a_scheduler_choice_is_not_sent_to_a_resting_runner() {
     let resting = resting_decode_runner();
@@ -253,11 +258,11 @@
         let metrics = get(node.health, "/metrics").text();
         !metrics.contains("pitchstall_placements_told_total 0")
     };
-    wait_for("two nodes to be told by the third", || {
+    wait_for("the third node to place requests of two others", || {
         nodes.iter().for_each(|node| send_many(node, "/summary/1"));
         nodes.iter().filter(|node| was_placed_by_other_node(node)).count() == 2
     });
     nodes.iter().for_each(|node| send_many(node, "/summary/1"));
     let posts = resting.requests().into_iter().filter(|request| request.method == "POST");
-    assert!(posts.count() <= nodes.len(), "one for each node that it has told");
+    assert!(posts.count() <= nodes.len(), "at most one request per node that was notified");
 }
--- a/crates/gateway/tests/scaling.rs
+++ b/crates/gateway/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! Orders of runners by the node that holds the authority.
+//! Runner orders by the node that holds the authority.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -11,7 +11,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const RUNNERS_PER_ZONE: usize = 4;
 
-/// A node before runners that can be ordered in three zones.
+/// A node and runners in three zones where more can be ordered.
 fn start(cloud: &CloudStandIn, sections: &str) -> Fixture {
     let sections =
         format!("[cloud]\naddress = \"{}\"\nduties = [\"autoscale\"]\n{sections}", cloud.address());
@@ -44,13 +44,13 @@
     let cloud = CloudStandIn::start().unwrap();
     let node = start(&cloud, "");
     wait_for("an order for each zone", || orders(&cloud).len() >= ZONES.len());
-    wait_for("the need to be kept", || node.store.contains("pitchstall/capacity/llm"));
+    wait_for("the recorded need", || node.store.contains("pitchstall/capacity/llm"));
     std::thread::sleep(Duration::from_millis(600));
     for order in orders(&cloud) {
         assert_eq!((order.holder.as_str(), &order.body["service"]), ("node-1", &json!("llm")));
         assert!(order.fence > 0);
         assert_eq!(order.body["preemptible"], true);
-        // Twelve are needed and one zone may be lost: five and more in each of the others.
+        // Twelve runners are needed even if one zone is lost, so each order is for at least five.
         assert!(order.body["replicas"].as_u64().unwrap() >= 5, "{}", order.body);
     }
 }
@@ -61,19 +61,22 @@
     cloud.answer_next_with(409);
     let _node = start(&cloud, "");
     let refused = || orders(&cloud).into_iter().find(|order| order.status == 409);
-    wait_for("a refusal", || refused().is_some());
+    wait_for("a refused order", || refused().is_some());
     let zone = refused().unwrap().body["zone"].clone();
     let is_retry = |order: &CloudCall| order.status == 200 && order.body["zone"] == zone;
-    wait_for("the zone to be asked again", || orders(&cloud).iter().any(is_retry));
+    wait_for("the order for the zone to be retried", || orders(&cloud).iter().any(is_retry));
     let fences: Vec<u64> = orders(&cloud).iter().map(|order| order.fence).collect();
-    assert!(fences.windows(2).all(|pair| pair[0] == pair[1]), "one term: {fences:?}");
+    assert!(
+        fences.windows(2).all(|pair| pair[0] == pair[1]),
+        "fencing tokens of several terms: {fences:?}"
+    );
 }
 
 #[test]
 fn nothing_is_ordered_if_preemptible_runners_are_disabled() {
     let cloud = CloudStandIn::start().unwrap();
     let node = start(&cloud, "[capacity]\npreemptible = false\n");
-    wait_for("the need to be kept", || node.store.contains("pitchstall/capacity/llm"));
+    wait_for("the recorded need", || node.store.contains("pitchstall/capacity/llm"));
     std::thread::sleep(Duration::from_millis(600));
     assert!(orders(&cloud).is_empty());
 }
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Requests that another node places, and what happens when that node is gone.
+//! Requests that are placed by another node, and the behavior when that node stops.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -15,7 +15,7 @@
     RunnerStandIn::start(id, |request| Reaction::Stream(EventStream::whole(request, 3))).unwrap()
 }
 
-/// Nodes of one zone before the same store, with two runners of a language model.
+/// Three nodes of one zone that use the same store, with two runners of a language model.
 fn nodes(runners: &[RunnerStandIn; 2]) -> [Fixture; 3] {
     let [one, two] = runners;
     let first =
@@ -38,7 +38,7 @@
     line.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
-/// The nodes that have been told by another one where a request runs.
+/// For each node, whether another node has placed one of its requests.
 fn placed_by_other_node(nodes: &[Fixture]) -> Vec<bool> {
     nodes.iter().map(|node| metric_value(node, "pitchstall_placements_told_total") > 0).collect()
 }
@@ -46,7 +46,7 @@
 #[test]
 fn one_node_places_the_requests_of_all_nodes() {
     let nodes = nodes(&[decode_runner("i-1"), decode_runner("i-2")]);
-    wait_for("two nodes to be told by the third", || {
+    wait_for("the third node to place requests of two others", || {
         assert!(nodes.iter().all(|node| is_served(node, "id")));
         placed_by_other_node(&nodes)
             .iter()
@@ -59,7 +59,7 @@
 #[test]
 fn requests_are_served_after_their_scheduler_has_stopped() {
     let nodes = nodes(&[decode_runner("i-1"), decode_runner("i-2")]);
-    wait_for("two nodes to be told by the third", || {
+    wait_for("the third node to place requests of two others", || {
         assert!(nodes.iter().all(|node| is_served(node, "id")));
         placed_by_other_node(&nodes)
             .iter()
@@ -88,7 +88,8 @@
         .any(|node| metric_value(node, "pitchstall_placements_missed_total") > 0));
 }
 
-/// Datagrams that nobody sent for a request of this node: they may change a choice, no answer.
+/// Datagrams that do not belong to any request of the node may influence a placement but not a
+/// response.
 #[test]
 fn forged_and_malformed_messages_are_harmless() {
     let nodes = nodes(&[decode_runner("i-1"), decode_runner("i-2")]);
