--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -248,9 +248,9 @@
     record: &RunnerRecord,
     params: &AttemptParams,
 ) -> Vec<u8> {
-    let left = params.deadline.saturating_duration_since(Instant::now());
+    let remaining = params.deadline.saturating_duration_since(Instant::now());
     let instructions = AttemptInstructions {
-        deadline_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1),
+        deadline_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX).max(1),
         runner: record.id.clone(),
         priority: params.priority,
         work: params.work.clone(),
@@ -261,11 +261,12 @@
     let left_out =
         LeftOut { last_event: params.after_event.is_some(), authorization: params.has_tenants };
     let is_forwarded = |(name, value): &&Header| headers::is_forwarded(name, value, left_out);
-    let forwarded = request.headers.iter().filter(is_forwarded);
-    let mut all: Vec<Header> = forwarded.cloned().collect();
-    let own = headers::attempt_headers(&instructions).into_iter();
-    all.extend(own.map(|(name, value)| (name.to_owned(), value.into_bytes())));
-    request_bytes(&request.method, &request.target, &all, &request.body)
+    let forwarded_headers = request.headers.iter().filter(is_forwarded);
+    let mut headers_to_send: Vec<Header> = forwarded_headers.cloned().collect();
+    let attempt_headers = headers::attempt_headers(&instructions).into_iter();
+    headers_to_send
+        .extend(attempt_headers.map(|(name, value)| (name.to_owned(), value.into_bytes())));
+    request_bytes(&request.method, &request.target, &headers_to_send, &request.body)
 }
 
 /// Reads response heads until one matches this request. On a reused connection, a surplus response
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -142,14 +142,14 @@
     /// Makes attempts until there is a final response.
     pub async fn run(mut self, client: &ClientConnection) -> RequestEnd {
         loop {
-            if let Step::Done(end) = self.step(client).await {
+            if let Step::Done(end) = self.run_next_attempt(client).await {
                 return end;
             }
         }
     }
 
-    async fn step(&mut self, client: &ClientConnection) -> Step {
-        if self.time_left().is_zero() {
+    async fn run_next_attempt(&mut self, client: &ClientConnection) -> Step {
+        if self.time_remaining().is_zero() {
             return self.give_up(EndReason::OutOfTime);
         }
         if self.is_quarantined() {
@@ -228,7 +228,7 @@
         BeginMark::new(self.node, tenant, sent_at, self.engine.is_none())
     }
 
-    fn time_left(&self) -> Duration {
+    fn time_remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -269,11 +269,11 @@
 
     /// A slow attempt is only ended early if another one can follow.
     fn attempt_timeout(&self) -> Duration {
-        let left = self.time_left();
+        let remaining = self.time_remaining();
         if self.allows_another_attempt() {
-            left.mul_f64(MAX_ATTEMPT_TIME_SHARE)
+            remaining.mul_f64(MAX_ATTEMPT_TIME_SHARE)
         } else {
-            left
+            remaining
         }
     }
 
@@ -304,7 +304,7 @@
         self.execution = self.execution.max(Execution::Unknown);
         self.runs += 1;
         self.excluded.push(runner);
-        if self.time_left().is_zero() {
+        if self.time_remaining().is_zero() {
             return self.give_up(EndReason::OutOfTime);
         }
         if self.may_run_again(0) {
@@ -322,14 +322,14 @@
         if success && self.route.kind == RequestKind::Streaming {
             self.deliver_stream(response, client).await
         } else {
-            self.deliver_whole(response).await
+            self.deliver_complete(response).await
         }
     }
 
-    async fn deliver_whole(&mut self, response: AttemptResponse) -> Step {
+    async fn deliver_complete(&mut self, response: AttemptResponse) -> Step {
         let runner = response.record.id.clone();
-        let answer = match timeout(self.attempt_timeout(), response.read_all()).await {
-            Ok(Ok(answer)) => answer,
+        let full_response = match timeout(self.attempt_timeout(), response.read_all()).await {
+            Ok(Ok(full_response)) => full_response,
             Ok(Err(error)) => {
                 let error = error.to_string();
                 let id = self.request.facts.id.as_str();
@@ -342,20 +342,20 @@
         let is_framed = !response.ends_with_connection();
         response.return_connection(self.node);
         // An error response may come from a runner that has not begun to execute the request.
-        if (200..300).contains(&answer.status) {
+        if (200..300).contains(&full_response.status) {
             self.on_success(&runner, is_framed);
         }
         const MIN_SERVER_ERROR_STATUS: u16 = 500;
-        if answer.status < MIN_SERVER_ERROR_STATUS || self.stream.begun {
-            return self.done_whole(answer);
+        if full_response.status < MIN_SERVER_ERROR_STATUS || self.stream.begun {
+            return self.finish_complete(full_response);
         }
         self.execution = Execution::Ran;
         self.runs += 1;
         self.excluded.push(runner);
         if !self.may_run_again(0) || !self.has_retry_budget() {
-            return self.done_whole(answer);
+            return self.finish_complete(full_response);
         }
-        self.runner_failure = Some(answer);
+        self.runner_failure = Some(full_response);
         Step::Retry
     }
 
@@ -369,11 +369,11 @@
         }
     }
 
-    fn done_whole(&self, answer: WholeAnswer) -> Step {
+    fn finish_complete(&self, full_response: WholeAnswer) -> Step {
         if self.stream.begun {
             return Step::Done(RequestEnd::Cut);
         }
-        Step::Done(RequestEnd::Whole(answer))
+        Step::Done(RequestEnd::Whole(full_response))
     }
 
     async fn deliver_stream(
@@ -431,7 +431,7 @@
     fn max_stream_gap(&self) -> Duration {
         let gap = self.route.gap_target_ms.filter(|_| self.allows_another_attempt());
         let silence = gap.map(|gap_ms| Duration::from_millis(gap_ms) * STALL_GAP_TARGETS);
-        silence.map_or(self.time_left(), |silence| silence.max(MIN_STALL_TIMEOUT))
+        silence.map_or(self.time_remaining(), |silence| silence.max(MIN_STALL_TIMEOUT))
     }
 
     fn on_out_of_time(&mut self) -> Step {
@@ -467,10 +467,10 @@
         if self.stream.begun {
             return Step::Done(RequestEnd::Cut);
         }
-        if let Some(answer) = self.runner_failure.take() {
-            return Step::Done(RequestEnd::Whole(answer));
+        if let Some(response) = self.runner_failure.take() {
+            return Step::Done(RequestEnd::Whole(response));
         }
-        let answer = OwnAnswer::from(final_response(self.execution, reason));
-        Step::Done(RequestEnd::Own(answer))
+        let response = OwnAnswer::from(final_response(self.execution, reason));
+        Step::Done(RequestEnd::Own(response))
     }
 }
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -153,7 +153,7 @@
             demand: self.demand(),
             target_ms: self.route.target_ms,
             elapsed: self.request.received.elapsed(),
-            remaining: self.time_left(),
+            remaining: self.time_remaining(),
         };
         scheduling::place(self.node, &demand).await
     }
@@ -169,7 +169,7 @@
     ) -> Result<Option<Plan>, EndReason> {
         let sent_at = Instant::now();
         let prefilled = self.prefill_prompt(prefill_runner, &progress_reporter).await;
-        if self.time_left().is_zero() {
+        if self.time_remaining().is_zero() {
             return Err(EndReason::OutOfTime);
         }
         if prefilled.is_some() {
@@ -228,7 +228,7 @@
     /// How long the request waits for a runner.
     fn max_wait(&self) -> Duration {
         let wait = Duration::from_millis(self.route.target_ms).mul_f64(MAX_WAIT_TARGET_SHARE);
-        wait.min(self.time_left())
+        wait.min(self.time_remaining())
     }
 
     async fn prefill_prompt(
@@ -259,7 +259,7 @@
         }
         let mut params = self.attempt_params(Work::Prefill, &prefill_runner);
         params.after_event = None;
-        params.head_timeout = self.time_left().mul_f64(MAX_PREFILL_TIME_SHARE);
+        params.head_timeout = self.time_remaining().mul_f64(MAX_PREFILL_TIME_SHARE);
         params.abandons_suspects = self.has_retry_budget();
         let demand = ReadingDemand {
             request: self.request,
@@ -288,6 +288,6 @@
     /// Whether the prefill is expected to end only after the request's deadline. An additional
     /// attempt that cannot meet the deadline would take budget and capacity from requests that can.
     pub(super) fn would_miss_deadline(&self, choice: &RunnerChoice) -> bool {
-        Duration::from_micros(choice.expected_prefill_us) > self.time_left()
+        Duration::from_micros(choice.expected_prefill_us) > self.time_remaining()
     }
 }
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -226,15 +226,16 @@
 ) -> Option<(u16, Vec<u8>)> {
     let exchange = async {
         let connection = Upstream::open(record.address, RUNNER_CALL_TIMEOUT).await.ok()?;
-        let mut all: Vec<Header> =
+        let mut all_headers: Vec<Header> =
             vec![("host".to_owned(), record.address.to_string().into_bytes())];
-        let own = headers::order_headers(&record.id).into_iter();
-        all.extend(own.map(|(name, value)| (name.to_owned(), value.into_bytes())));
+        let order_headers = headers::order_headers(&record.id).into_iter();
+        all_headers
+            .extend(order_headers.map(|(name, value)| (name.to_owned(), value.into_bytes())));
         if !body.is_empty() {
-            all.push(("content-type".to_owned(), b"application/json".to_vec()));
+            all_headers.push(("content-type".to_owned(), b"application/json".to_vec()));
         }
         let sent_at_us = node.now_us();
-        connection.send(request_bytes(method, target, &all, body)).ok()?;
+        connection.send(request_bytes(method, target, &all_headers, body)).ok()?;
         let head = connection.read_head().await.ok()?;
         let metadata = node.on_answer_head(&record.id, &head);
         node.on_limit_in_response(&record.id, &metadata, sent_at_us);
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -67,13 +67,13 @@
         let has_duty = node.settings().cloud.as_ref().is_some_and(|it| it.has(Duty::Scaling));
         let fence = node.authority.fence_to_order(node.now_us());
         if let Some(fence) = fence.filter(|_| has_duty) {
-            controller.step(fence).await;
+            controller.plan_services(fence).await;
         }
     }
 }
 
 impl ScalingController {
-    async fn step(&mut self, fence: FencingToken) {
+    async fn plan_services(&mut self, fence: FencingToken) {
         if self.fence != Some(fence) {
             self.fence = Some(fence);
             self.plans.clear();
