--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -352,8 +352,8 @@
         drop(in_flight);
         let decoder = BodyDecoder::new(head.framing);
         let body = connection.read_whole_body(&decoder, MAX_SURPLUS_RESPONSE_BYTES);
-        let read_chunk = timeout(CONNECT_LIMIT, body).await;
-        if matches!(read_chunk, Ok(Ok(_))) && head.keep_alive {
+        let read = timeout(CONNECT_LIMIT, body).await;
+        if matches!(read, Ok(Ok(_))) && head.keep_alive {
             node.pool.give_back(&runner, connection, head.idle_limit);
         }
     });
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -177,10 +177,10 @@
             Some(prompt) => Work::DecodeFrom(prompt.handle.clone()),
             None => Work::Run,
         };
-        let attempt_params = self.attempt_params(work, &plan.choice);
+        let params = self.attempt_params(work, &plan.choice);
         let sent_at = Instant::now();
         let mut begin = self.begin_mark(sent_at);
-        let end = attempt::send(self.node, self.request, prepared, &attempt_params).await;
+        let end = attempt::send(self.node, self.request, prepared, &params).await;
         match (&end, spent) {
             (AttemptEnd::Declined, spent) => self.payment = spent.map(Spent::not_run),
             (_, Some(spent)) => spent.on_begun(),
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -111,9 +111,9 @@
     let wait_us = match verdict {
         Some(LimitVerdict::Granted) => {
             node.metrics.limit_grants.inc();
-            let request_permit = SendPermit { expires_at_us: queried_at_us + GRANT_TTL_US };
-            if request_permit.is_usable(now_us) {
-                return Some(request_permit);
+            let permit = SendPermit { expires_at_us: queried_at_us + GRANT_TTL_US };
+            if permit.is_usable(now_us) {
+                return Some(permit);
             }
             MIN_BACKOFF_US
         }
