--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,10 +1,12 @@
-//! One attempt: a request sent to one runner, up to the head of its answer.
+//! A single attempt: sends a request to one runner and receives the head of its response.
 
-use crate::broken_attempt::{on_lost, on_under_way, BrokenAttempt, ConnectionUse};
 use crate::clock::Instant;
 use crate::http::request::encode_request;
 use crate::http::{BodyDecoder, Header, ReadError, ResponseHead, Upstream};
 use crate::intake::{BufferedResponse, ClientRequest};
+use crate::interrupted_attempt::{
+    on_connection_lost, record_unfinished_attempt, ConnectionUse, InterruptedAttempt,
+};
 use crate::node::Node;
 use crate::runner_probe::{probe_while_silent, wait_until_suspected, RUNNER_CONNECT_TIMEOUT};
 use pitchstall_platform_adapter::headers::{self, LeftOut};
@@ -18,115 +20,123 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Largest answer that is read whole.
-const MOST_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Surplus answers that are passed over while waiting for the right one.
-const MOST_SURPLUS: usize = 4;
-/// Largest surplus answer that is passed over.
-const MOST_SURPLUS_BYTES: usize = 1024 * 1024;
-const MICROS_PER_MILLI: u64 = 1_000;
+/// Maximum size of a response body that is read into memory as a whole.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum number of surplus responses that are discarded while waiting for the matching one. A
+/// surplus response belongs to an earlier request on a reused connection.
+const MAX_SURPLUS_RESPONSES: usize = 4;
+/// Maximum body size of a surplus response that is read and discarded.
+const MAX_SURPLUS_RESPONSE_BYTES: usize = 1024 * 1024;
+const US_PER_MS: u64 = 1_000;
 
-/// Counts an attempt as in flight at its runner until dropped.
-pub struct Flight {
+/// Counts an attempt as in flight at its runner until the guard is dropped.
+pub struct InFlightGuard {
     node: Rc<Node>,
     runner: RunnerId,
     demand: AttemptDemand,
 }
 
-impl Flight {
+impl InFlightGuard {
     fn new(node: &Rc<Node>, choice: &RunnerChoice) -> Self {
         node.fleet.borrow_mut().on_sent(&choice.runner, choice.demand);
         Self { node: node.clone(), runner: choice.runner.clone(), demand: choice.demand }
     }
 
-    /// Something has come from the runner.
+    /// Records that data has been received from the runner.
     pub fn on_progress(&self) {
         self.node.on_progress(&self.runner);
     }
 
-    /// The runner has read the prompt; only the writing is left.
-    pub fn on_read(&mut self) {
+    /// Records that the runner has finished the prefill, so that only the decode counts as load.
+    pub fn on_prefilled(&mut self) {
         self.node.fleet.borrow_mut().on_prefilled(&self.runner, self.demand);
         self.demand.prefill_tokens = 0;
         self.demand.overdue_tokens = 0;
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.node.fleet.borrow_mut().on_ended(&self.runner, self.demand);
     }
 }
 
-/// A connection to a runner on which nothing of this request has been sent.
-pub struct Prepared {
+/// A connection to a runner on which nothing of this request has been sent yet.
+pub struct PreparedConnection {
     connection: Upstream,
     record: RunnerRecord,
-    flight: Flight,
-    /// How long a kept connection has rested; `None`: a new one.
-    rested: Option<Duration>,
+    in_flight: InFlightGuard,
+    /// How long a pooled connection was idle; `None` for a new connection.
+    idle: Option<Duration>,
 }
 
-impl Prepared {
-    /// The runner.
+impl PreparedConnection {
+    /// The registry record of the runner, as of when the connection was prepared.
     pub fn record(&self) -> &RunnerRecord {
         &self.record
     }
 }
 
-/// How an attempt ended, up to the head of the answer.
+/// How an attempt ended, up to and including the head of the response.
 pub enum AttemptEnd {
-    /// The runner answers.
-    Answering(Box<Answering>),
-    /// The runner has not run it and never will.
+    /// The runner responds; the body is still to be read.
+    Responding(Box<AttemptResponse>),
+    /// The runner has not executed the request and will not do so.
     Declined,
-    /// The runner may have run it.
+    /// The connection broke, or the response is not valid. The runner may have executed the
+    /// request.
     Lost,
-    /// No answer came within the attempt's time.
-    Silent,
+    /// No response head was received in time, or the runner became suspect. It may have executed
+    /// the request.
+    Unanswered,
 }
 
-/// An answer whose head has come.
-pub struct Answering {
-    /// The head.
+/// A response whose head has been received.
+pub struct AttemptResponse {
+    /// Status line and headers of the response.
     pub head: ResponseHead,
-    /// The runner.
+    /// The registry record of the responding runner.
     pub record: RunnerRecord,
-    /// Counts the attempt.
-    pub flight: Flight,
+    /// Keeps the attempt counted as in flight until the response has been handled.
+    pub in_flight: InFlightGuard,
     connection: Upstream,
     decoder: BodyDecoder,
 }
 
-/// Why there is no connection to a chosen runner.
+/// Why no connection to a chosen runner is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotPrepared {
-    /// It takes no request from this node any more, or none now.
+pub enum PrepareError {
+    /// The runner currently accepts no requests of this node, or not any more.
     Withheld,
-    /// It cannot be reached.
+    /// The runner cannot be reached, or this node's connection limit for it is used up.
     Unreachable,
 }
 
-/// Takes or opens a connection to the chosen runner.
-pub async fn prepare(node: &Rc<Node>, choice: &RunnerChoice) -> Result<Prepared, NotPrepared> {
-    let record = usable_record(node, &choice.runner)?;
-    if in_flight(node, &choice.runner) >= node.connection_share(&record.service) {
-        log::info!(target: "attempt", runner = choice.runner.as_str(); "no connection left");
-        return Err(NotPrepared::Unreachable);
+/// Takes a pooled connection to the chosen runner or opens a new one. Fails if the runner accepts
+/// no requests of this node or cannot be reached.
+pub async fn prepare(
+    node: &Rc<Node>,
+    choice: &RunnerChoice,
+) -> Result<PreparedConnection, PrepareError> {
+    let record = record_accepting_work(node, &choice.runner)?;
+    if attempts_in_flight(node, &choice.runner) >= node.connection_share(&record.service) {
+        log::info!(target: "attempt", runner = choice.runner.as_str(); "connection limit reached");
+        return Err(PrepareError::Unreachable);
     }
-    let flight = Flight::new(node, choice);
+    let in_flight = InFlightGuard::new(node, choice);
     if let Some(kept) = node.pool.take(&record.id) {
-        let rested = Some(kept.idle_for);
-        return Ok(Prepared { connection: kept.connection, record, flight, rested });
+        let idle = Some(kept.idle_for);
+        return Ok(PreparedConnection { connection: kept.connection, record, in_flight, idle });
     }
     node.metrics.connections.inc();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     match Upstream::open(record.address, RUNNER_CONNECT_TIMEOUT).await {
         Ok(connection) => {
-            node.on_round_trip(&record.zone, begun.elapsed());
-            // The runner may have begun to leave, or to rest, while the connection was being opened.
-            let record = usable_record(node, &choice.runner)?;
-            Ok(Prepared { connection, record, flight, rested: None })
+            node.on_round_trip(&record.zone, started_at.elapsed());
+            // The runner may have started to leave or to rest while the connection was being
+            // opened.
+            let record = record_accepting_work(node, &choice.runner)?;
+            Ok(PreparedConnection { connection, record, in_flight, idle: None })
         }
         Err(error) => {
             let is_refused = error.is_refused();
@@ -134,110 +144,113 @@
             let runner = record.id.as_str();
             log::info!(target: "attempt", runner, error; "unreachable");
             node.on_unreachable(&record.id, is_refused);
-            Err(NotPrepared::Unreachable)
+            Err(PrepareError::Unreachable)
         }
     }
 }
 
-fn in_flight(node: &Node, runner: &RunnerId) -> u32 {
+fn attempts_in_flight(node: &Node, runner: &RunnerId) -> u32 {
     node.fleet.borrow().get(runner).map_or(0, |runner| runner.in_flight)
 }
 
-fn usable_record(node: &Node, runner: &RunnerId) -> Result<RunnerRecord, NotPrepared> {
+fn record_accepting_work(node: &Node, runner: &RunnerId) -> Result<RunnerRecord, PrepareError> {
     let now_us = node.now_us();
     let fleet = node.fleet.borrow();
-    let usable = fleet.get(runner).filter(|runner| runner.accepts_work_from_this_node(now_us));
-    usable.map(|runner| runner.record.clone()).ok_or(NotPrepared::Withheld)
+    let accepting = fleet.get(runner).filter(|runner| runner.accepts_work_from_this_node(now_us));
+    accepting.map(|runner| runner.record.clone()).ok_or(PrepareError::Withheld)
 }
 
-/// What goes with an attempt.
+/// Parameters of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptParams {
-    /// What to do.
+    /// What the runner is asked to do: the whole request, only the prefill, or the decode of a
+    /// prefilled prompt.
     pub work: Work,
-    /// Rank, 0 first.
+    /// Priority sent to the runner, 0 being the most urgent. `None` for services without an engine.
     pub priority: Option<u8>,
-    /// The stream goes on after this event, if the node resumes it.
+    /// ID of the last event the client has received, if this node resumes the stream.
     pub after_event: Option<u64>,
-    /// The runner first takes over what this one holds of the prompt.
+    /// Address of the runner from which the chosen runner fetches shared prefixes before it
+    /// prefills.
     pub fetch_from: Option<SocketAddr>,
-    /// The tenant for whom the request runs.
+    /// The tenant on whose behalf the request runs.
     pub tenant: Option<TenantName>,
-    /// Whether the configuration has tenants, so that clients' words on who they are stay here.
+    /// Whether the configuration has tenants. If so, the client's credentials are not forwarded to
+    /// the runner.
     pub has_tenants: bool,
-    /// When the request's time is up.
+    /// When the request's deadline expires.
     pub deadline: Instant,
-    /// Longest wait for the head of the answer.
-    pub head_limit: Duration,
-    /// Time until the prompt should have been read.
-    pub expected: Duration,
-    /// Silence after which the runner is looked at.
-    pub doubt_after: Duration,
-    /// Whether the attempt ends when its runner cannot be reached any more: only for what may
-    /// be repeated.
-    pub leaves_suspects: bool,
+    /// Maximum wait for the head of the response.
+    pub head_timeout: Duration,
+    /// Expected time until the prefill is finished. It is only logged.
+    pub expected_prefill: Duration,
+    /// Time without data from the runner after which the runner is checked.
+    pub verify_after: Duration,
+    /// Whether the attempt is abandoned when its runner becomes suspect. Only set if the request
+    /// may be repeated.
+    pub abandons_suspects: bool,
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request on a prepared connection and waits for the head of the response.
 pub async fn send(
     node: &Rc<Node>,
     request: &ClientRequest,
-    prepared: Prepared,
+    prepared: PreparedConnection,
     params: &AttemptParams,
 ) -> AttemptEnd {
     let runner = prepared.record.id.clone();
     node.metrics.attempts.inc();
-    let bytes = attempt_bytes(request, &prepared.record, params);
+    let bytes = encode_attempt(request, &prepared.record, params);
     log_sent(request, &prepared, params);
     let sent_at = Instant::now();
     let sent_at_us = node.now_us();
-    let connection = ConnectionUse { rested: prepared.rested, sent_at };
-    let broken = BrokenAttempt { request, tenant: params.tenant.as_ref(), runner: &runner };
+    let connection = ConnectionUse { idle: prepared.idle, sent_at };
+    let attempt = InterruptedAttempt { request, tenant: params.tenant.as_ref(), runner: &runner };
     if !node.may_send_to(&runner) {
         node.metrics.unwanted_attempts.inc();
     }
     if let Err(error) = prepared.connection.send(bytes) {
-        on_lost(node, broken, connection, &error);
+        on_connection_lost(node, attempt, connection, &error);
         return AttemptEnd::Lost;
     }
-    let head = read_own_head(node, request, &prepared, sent_at_us);
-    let answer = tokio::select! {
-        answer = timeout(params.head_limit, head) => answer,
-        () = wait_until_suspected(node, &runner), if params.leaves_suspects => {
+    let head = read_matching_head(node, request, &prepared, sent_at_us);
+    let outcome = tokio::select! {
+        outcome = timeout(params.head_timeout, head) => outcome,
+        () = wait_until_suspected(node, &runner), if params.abandons_suspects => {
             log::info!(target: "attempt", request = request.metadata.id.as_str(), runner = runner.as_str(); "left");
-            on_under_way(node, broken);
-            return AttemptEnd::Silent;
+            record_unfinished_attempt(node, attempt);
+            return AttemptEnd::Unanswered;
         }
-        () = probe_while_silent(node, &runner, params.doubt_after) => return AttemptEnd::Silent,
+        () = probe_while_silent(node, &runner, params.verify_after) => return AttemptEnd::Unanswered,
     };
-    match answer {
+    match outcome {
         Err(_) => {
-            let limit_ms = u64::try_from(params.head_limit.as_millis()).unwrap_or(u64::MAX);
+            let limit_ms = u64::try_from(params.head_timeout.as_millis()).unwrap_or(u64::MAX);
             let id = request.metadata.id.as_str();
             log::info!(target: "attempt", request = id, runner = runner.as_str(), limit_ms; "silent");
             node.on_silence(&runner, sent_at_us);
-            on_under_way(node, broken);
-            AttemptEnd::Silent
+            record_unfinished_attempt(node, attempt);
+            AttemptEnd::Unanswered
         }
         Ok(Err(error)) => {
-            on_lost(node, broken, connection, &error);
+            on_connection_lost(node, attempt, connection, &error);
             AttemptEnd::Lost
         }
-        Ok(Ok((head, facts))) => {
-            log_head(request, &runner, &head, &facts, sent_at);
-            classify(node, request, prepared, params, head, &facts)
+        Ok(Ok((head, metadata))) => {
+            log_head(request, &runner, &head, &metadata, sent_at);
+            classify(node, request, prepared, params, head, &metadata)
         }
     }
 }
 
-fn attempt_bytes(
+fn encode_attempt(
     request: &ClientRequest,
     record: &RunnerRecord,
     params: &AttemptParams,
 ) -> Vec<u8> {
-    let left = params.deadline.saturating_duration_since(Instant::now());
-    let order = AttemptInstructions {
-        deadline_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1),
+    let remaining = params.deadline.saturating_duration_since(Instant::now());
+    let instructions = AttemptInstructions {
+        deadline_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX).max(1),
         runner: record.id.clone(),
         priority: params.priority,
         work: params.work.clone(),
@@ -248,77 +261,89 @@
     let left_out =
         LeftOut { last_event: params.after_event.is_some(), authorization: params.has_tenants };
     let is_forwarded = |(name, value): &&Header| headers::is_forwarded(name, value, left_out);
-    let forwarded = request.headers.iter().filter(is_forwarded);
-    let mut all: Vec<Header> = forwarded.cloned().collect();
-    let own = headers::attempt_headers(&order).into_iter();
-    all.extend(own.map(|(name, value)| (name.to_owned(), value.into_bytes())));
-    encode_request(&request.method, &request.target, &all, &request.body)
+    let forwarded_headers = request.headers.iter().filter(is_forwarded);
+    let mut headers_to_send: Vec<Header> = forwarded_headers.cloned().collect();
+    let attempt_headers = headers::attempt_headers(&instructions).into_iter();
+    headers_to_send
+        .extend(attempt_headers.map(|(name, value)| (name.to_owned(), value.into_bytes())));
+    encode_request(&request.method, &request.target, &headers_to_send, &request.body)
 }
 
-/// Reads heads until the one that answers this request. A surplus answer to an earlier
-/// request may stand in its place on a kept connection; what it says of its runner holds as well.
-async fn read_own_head(
+/// Reads response heads until one matches this request. On a reused connection, a surplus response
+/// to an earlier request may come first. What it reports about the runner is used too.
+async fn read_matching_head(
     node: &Node,
     request: &ClientRequest,
-    prepared: &Prepared,
+    prepared: &PreparedConnection,
     sent_at_us: u64,
 ) -> Result<(ResponseHead, ResponseMetadata), ReadError> {
-    for _ in 0..MOST_SURPLUS {
+    for _ in 0..MAX_SURPLUS_RESPONSES {
         let head = prepared.connection.read_head().await?;
-        let facts = node.on_answer_head(&prepared.record.id, &head);
-        let is_other = facts.request_id.as_deref().is_some_and(|id| id != request.metadata.id);
-        // When an earlier request was sent is not known here.
+        let metadata = node.on_answer_head(&prepared.record.id, &head);
+        let is_other = metadata.request_id.as_deref().is_some_and(|id| id != request.metadata.id);
+        // The time at which the earlier request was sent is not known here.
         let sent_at_us = if is_other { 0 } else { sent_at_us };
-        node.on_limit_in_head(&prepared.record.id, &facts, sent_at_us);
-        if !is_other || prepared.rested.is_none() {
-            return Ok((head, facts));
+        node.on_limit_in_response(&prepared.record.id, &metadata, sent_at_us);
+        if !is_other || prepared.idle.is_none() {
+            return Ok((head, metadata));
         }
         let runner = prepared.record.id.as_str();
-        log::info!(target: "attempt", request = request.metadata.id.as_str(), runner; "surplus answer");
+        log::info!(target: "attempt", request = request.metadata.id.as_str(), runner; "surplus response discarded");
         let decoder = BodyDecoder::new(head.framing);
-        prepared.connection.read_whole_body(&decoder, MOST_SURPLUS_BYTES).await?;
+        prepared.connection.read_whole_body(&decoder, MAX_SURPLUS_RESPONSE_BYTES).await?;
     }
     Err(ReadError::Closed)
 }
 
-/// Decides what the head of an answer means.
+/// Decides what the head of a response means for the attempt.
 fn classify(
     node: &Rc<Node>,
     request: &ClientRequest,
-    prepared: Prepared,
+    prepared: PreparedConnection,
     params: &AttemptParams,
     head: ResponseHead,
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
 ) -> AttemptEnd {
     let runner = prepared.record.id.clone();
     let id = request.metadata.id.as_str();
     let status = head.status;
-    if let Some(load) = facts.load {
+    if let Some(load) = metadata.load {
         node.fleet.borrow_mut().on_load(&runner, load, node.now_us());
     }
-    let is_own = facts.request_id.as_deref() == Some(id);
-    if facts.not_run && (is_own || facts.request_id.is_none()) {
-        let misdirected = facts.misdirected;
+    let is_own = metadata.request_id.as_deref() == Some(id);
+    if metadata.not_run && (is_own || metadata.request_id.is_none()) {
+        let misdirected = metadata.misdirected;
         log::info!(target: "attempt", request = id, runner = runner.as_str(), status, misdirected; "declined");
         on_declined(node, prepared, head, misdirected);
         return AttemptEnd::Declined;
     }
-    let success = (200..300).contains(&status);
-    let only_read = params.work == Work::Prefill && success;
-    // What is not signed by a runner is no runner's answer, whatever its status.
-    if !is_own || facts.encoded || !(facts.signed || only_read) {
-        log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "no answer");
+    let is_success = (200..300).contains(&status);
+    let is_prefill_response = params.work == Work::Prefill && is_success;
+    // A response without a runner's stamp was not sent by a runner, whatever its status.
+    if !is_own || metadata.encoded || !(metadata.signed || is_prefill_response) {
+        log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "invalid response");
         node.fleet.borrow_mut().on_answered(&runner, true, node.now_us());
         return AttemptEnd::Lost;
     }
     node.fleet.borrow_mut().on_answered(&runner, status >= 500, node.now_us());
     node.fleet.borrow_mut().on_accepted(&runner);
     let decoder = BodyDecoder::new(head.framing);
-    let Prepared { connection, record, flight, .. } = prepared;
-    AttemptEnd::Answering(Box::new(Answering { head, record, flight, connection, decoder }))
+    let PreparedConnection { connection, record, in_flight, .. } = prepared;
+    AttemptEnd::Responding(Box::new(AttemptResponse {
+        head,
+        record,
+        in_flight,
+        connection,
+        decoder,
+    }))
 }
 
-fn on_declined(node: &Rc<Node>, prepared: Prepared, head: ResponseHead, misdirected: bool) {
+fn on_declined(
+    node: &Rc<Node>,
+    prepared: PreparedConnection,
+    head: ResponseHead,
+    misdirected: bool,
+) {
     let runner = prepared.record.id.clone();
     if misdirected {
         node.fleet.borrow_mut().on_misdirected(&runner);
@@ -328,18 +353,18 @@
     node.fleet.borrow_mut().on_full(&runner, node.now_us());
     let node = node.clone();
     ntex::rt::spawn(async move {
-        let Prepared { connection, flight, .. } = prepared;
-        drop(flight);
+        let PreparedConnection { connection, in_flight, .. } = prepared;
+        drop(in_flight);
         let decoder = BodyDecoder::new(head.framing);
-        let whole = connection.read_whole_body(&decoder, MOST_SURPLUS_BYTES);
-        let read = timeout(RUNNER_CONNECT_TIMEOUT, whole).await;
+        let body = connection.read_whole_body(&decoder, MAX_SURPLUS_RESPONSE_BYTES);
+        let read = timeout(RUNNER_CONNECT_TIMEOUT, body).await;
         if matches!(read, Ok(Ok(_))) && head.keep_alive {
             node.pool.put(&runner, connection, head.idle_timeout);
         }
     });
 }
 
-fn log_sent(request: &ClientRequest, prepared: &Prepared, params: &AttemptParams) {
+fn log_sent(request: &ClientRequest, prepared: &PreparedConnection, params: &AttemptParams) {
     let work = match params.work {
         Work::Run => "run",
         Work::Prefill => "read",
@@ -347,11 +372,11 @@
     };
     let id = request.metadata.id.as_str();
     let runner = prepared.record.id.as_str();
-    let reused = prepared.rested.is_some();
+    let reused = prepared.idle.is_some();
     let revision = prepared.record.revision.to_string();
-    let unread = prepared.flight.demand.prefill_tokens;
-    let late = prepared.flight.demand.overdue_tokens;
-    let expected_ms = u64::try_from(params.expected.as_millis()).unwrap_or(u64::MAX);
+    let unread = prepared.in_flight.demand.prefill_tokens;
+    let late = prepared.in_flight.demand.overdue_tokens;
+    let expected_ms = u64::try_from(params.expected_prefill.as_millis()).unwrap_or(u64::MAX);
     let rank = params.priority.unwrap_or_default();
     let fetch = params.fetch_from.is_some();
     log::info!(target: "attempt", request = id, runner, work, reused, revision, unread, late, rank, fetch, expected_ms; "sent");
@@ -361,26 +386,26 @@
     request: &ClientRequest,
     runner: &RunnerId,
     head: &ResponseHead,
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
     sent_at: Instant,
 ) {
     let id = request.metadata.id.as_str();
     let runner = runner.as_str();
     let status = head.status;
     let head_ms = u64::try_from(sent_at.elapsed().as_millis()).unwrap_or(u64::MAX);
-    let running = facts.load.map_or(0, |load| load.running);
-    let waiting = facts.load.map_or(0, |load| load.waiting);
-    let RunnerNotice { leaving, rest_us, limit, malformed } = facts.notice;
+    let running = metadata.load.map_or(0, |load| load.running);
+    let waiting = metadata.load.map_or(0, |load| load.waiting);
+    let RunnerNotice { leaving, rest_us, limit, malformed } = metadata.notice;
     let limit = limit.map_or_else(|| "none".to_owned(), |limit| limit.to_string());
-    let rest_ms = rest_us / MICROS_PER_MILLI;
+    let rest_ms = rest_us / US_PER_MS;
     log::info!(
         target: "attempt",
         request = id, runner, status, head_ms, running, waiting, leaving, rest_ms, limit, malformed; "head"
     );
 }
 
-impl Answering {
-    /// The headers of the answer that are for the client.
+impl AttemptResponse {
+    /// The response headers that are forwarded to the client.
     pub fn client_headers(&self) -> Vec<Header> {
         let named = crate::http::connection_options(&self.head.headers);
         let passes = |header: &&Header| {
@@ -391,23 +416,23 @@
     }
 
     /// Reads the next bytes of the body; `None` at its end.
-    pub async fn read(&self) -> Result<Option<ntex::util::Bytes>, ReadError> {
+    pub async fn read_chunk(&self) -> Result<Option<ntex::util::Bytes>, ReadError> {
         self.connection.read_body(&self.decoder).await
     }
 
-    /// Whether only the end of the connection tells the end of the body.
+    /// Whether the end of the body is only marked by the end of the connection.
     pub fn ends_with_connection(&self) -> bool {
         self.decoder.ends_with_connection()
     }
 
-    /// Reads the whole body.
-    pub async fn read_whole(&self) -> Result<BufferedResponse, ReadError> {
-        let body = self.connection.read_whole_body(&self.decoder, MOST_ANSWER_BYTES).await?;
+    /// Reads the whole body. Fails if it is larger than 16 MiB or the connection breaks.
+    pub async fn read_all(&self) -> Result<BufferedResponse, ReadError> {
+        let body = self.connection.read_whole_body(&self.decoder, MAX_RESPONSE_BYTES).await?;
         Ok(BufferedResponse { status: self.head.status, headers: self.client_headers(), body })
     }
 
-    /// The body was read to its end: the connection may serve another request.
-    pub fn give_back(self, node: &Node) {
+    /// Returns the connection to the pool. The body must have been read to its end.
+    pub fn return_connection(self, node: &Node) {
         if self.head.keep_alive {
             node.pool.put(&self.record.id, self.connection, self.head.idle_timeout);
         }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -1,19 +1,19 @@
-//! Makes attempts until a request has its final answer.
+//! Makes attempts until a request has its final response.
 //!
-//! What may be repeated is decided here: a request that surely has not run may go to another
-//! runner, one that may have run only if its route allows it, and both only within the retry
-//! budget that all nodes share.
+//! This module decides what may be repeated. A request that has certainly not been executed may be
+//! sent to another runner. One that may have been executed is repeated only if its route allows it.
+//! Both are subject to the retry budget, which all nodes share.
 
 mod admission;
 mod planning;
 
 use self::admission::Admission;
 use self::planning::elapsed_ms;
-use crate::attempt::{self, Answering, AttemptEnd, AttemptParams, NotPrepared};
-use crate::broken_attempt::{look_at_runner, on_broken, BrokenAttempt};
+use crate::attempt::{self, AttemptEnd, AttemptParams, AttemptResponse, PrepareError};
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
 use crate::intake::{BufferedResponse, ClientRequest, RequestOutcome};
+use crate::interrupted_attempt::{on_interrupted, verify_runner, InterruptedAttempt};
 use crate::local_responses::LocalResponse;
 use crate::node::Node;
 use crate::policy::PlacementRules;
@@ -38,18 +38,19 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Runners that are tried without reaching them before a request is given up.
-const MOST_UNREACHABLE: usize = 8;
-/// Part of the time left that one attempt may take when another could follow.
-const ATTEMPT_SHARE: f64 = 0.45;
-/// Part of its target for which a request hears nothing before its runner is doubted.
-const DOUBT_SHARE: f64 = 0.5;
-/// Pauses between events, in targets, after which a stream counts as silent.
-const SILENT_PAUSES: u32 = 4;
-/// Shortest pause after which a stream counts as silent.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(1_000);
-
-/// One request on its way to its final answer.
+/// Maximum number of unreachable runners that are tried before a request fails.
+const MAX_UNREACHABLE_RUNNERS: usize = 8;
+/// Share of the remaining time that one attempt may take if another one could follow.
+const MAX_ATTEMPT_TIME_SHARE: f64 = 0.45;
+/// Share of a request's target time without data from the runner after which the runner is checked.
+const VERIFY_AFTER_TARGET_SHARE: f64 = 0.5;
+/// Maximum gap between two events of a stream, as a multiple of the route's gap target, before the
+/// stream counts as stalled.
+const STALL_GAP_TARGETS: u32 = 4;
+/// Minimum gap between two events after which a stream counts as stalled.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+/// A request that is being dispatched until it has its final response.
 pub struct Dispatch<'a> {
     node: &'a Rc<Node>,
     request: &'a ClientRequest,
@@ -57,42 +58,43 @@
     service: ServiceName,
     engine: Option<EngineSpec>,
     prompt: Prompt,
-    /// What the operators' policy program decided.
+    /// The decision of the operators' policy program.
     rules: PlacementRules,
-    /// The tenant for whom the request runs.
+    /// The tenant on whose behalf the request runs.
     tenant: Option<Rc<Tenant>>,
     /// Whether the configuration has tenants.
     has_tenants: bool,
-    version: u64,
-    /// What a run costs the tenant; `None`: nothing.
+    config_version: u64,
+    /// What a run costs the tenant; `None` if it is free.
     run_cost: Option<RunCost>,
-    /// The next run, if it is paid for by the tenant's keepers.
+    /// The payment for the next run, if the keepers of the tenant's quota have granted it.
     payment: Option<QuotaReservation>,
-    /// Whether the request has been counted as begun.
+    /// Whether the request has been counted as begun for its tenant.
     is_counted: bool,
-    /// Whether the next attempt is paid for: it was when the one before was left.
-    is_prepaid: bool,
+    /// Whether the retry budget has already been charged for the next attempt, which happens when a
+    /// stalled attempt is abandoned.
+    has_prepaid_retry: bool,
     deadline: Instant,
-    /// What is known of the request after the attempts so far.
+    /// What is known about the execution of the request after the attempts so far.
     execution: Execution,
-    /// Attempts that may have run.
+    /// Number of attempts that may have been executed.
     runs: u32,
-    /// Which arrivals at runners draw on the retry budget.
+    /// Determines which requests sent to runners draw on the retry budget.
     arrivals: ArrivalLedger,
     excluded: Vec<RunnerId>,
-    unreachable: usize,
-    /// A runner's own failure, for want of something better.
-    failure: Option<BufferedResponse>,
+    unreachable_count: usize,
+    /// An error response of a runner, returned to the client if no attempt succeeds.
+    runner_failure: Option<BufferedResponse>,
     stream: StreamState,
 }
 
 enum Step {
-    Again,
+    Retry,
     Done(RequestOutcome),
 }
 
 impl<'a> Dispatch<'a> {
-    /// A request that no runner has seen.
+    /// Creates the dispatch of a request that has not been sent to any runner.
     pub fn new(
         node: &'a Rc<Node>,
         request: &'a ClientRequest,
@@ -113,40 +115,41 @@
             rules,
             tenant: None,
             has_tenants: !configuration.tenants.is_empty(),
-            version: configuration.version,
+            config_version: configuration.version,
             run_cost: None,
             payment: None,
             is_counted: false,
-            is_prepaid: false,
+            has_prepaid_retry: false,
             deadline,
             execution: Execution::NotRun,
             runs: 0,
             arrivals: ArrivalLedger::default(),
             excluded: Vec::new(),
-            unreachable: 0,
-            failure: None,
+            unreachable_count: 0,
+            runner_failure: None,
             stream: StreamState::new(request.metadata.last_event_id),
         }
     }
 
-    /// The request runs for a tenant.
+    /// Sets the tenant on whose behalf the request runs.
     pub fn for_tenant(self, tenant: Option<Rc<Tenant>>) -> Self {
         let facts = &self.request.metadata;
-        let run_cost = RunCost::of(tenant.as_ref(), facts, self.rules.priority, self.version);
+        let run_cost =
+            RunCost::of(tenant.as_ref(), facts, self.rules.priority, self.config_version);
         Self { tenant, run_cost, ..self }
     }
 
-    /// Makes attempts until there is a final answer.
+    /// Makes attempts until there is a final response.
     pub async fn run(mut self, client: &ClientConnection) -> RequestOutcome {
         loop {
-            if let Step::Done(end) = self.step(client).await {
+            if let Step::Done(end) = self.run_next_attempt(client).await {
                 return end;
             }
         }
     }
 
-    async fn step(&mut self, client: &ClientConnection) -> Step {
-        if self.time_left().is_zero() {
+    async fn run_next_attempt(&mut self, client: &ClientConnection) -> Step {
+        if self.time_remaining().is_zero() {
             return self.give_up(EndReason::OutOfTime);
         }
         if self.is_quarantined() {
@@ -158,23 +161,23 @@
         };
         let prepared = match attempt::prepare(self.node, &plan.choice).await {
             Ok(prepared) => prepared,
-            // The runner is no candidate any more: another one is chosen.
-            Err(NotPrepared::Withheld) => return Step::Again,
-            Err(NotPrepared::Unreachable) => {
-                plan.tell(Progress::Unreachable(plan.choice.runner.clone()));
+            // The runner is no longer a candidate, so another one is chosen.
+            Err(PrepareError::Withheld) => return Step::Retry,
+            Err(PrepareError::Unreachable) => {
+                plan.report(Progress::Unreachable(plan.choice.runner.clone()));
                 return self.on_unreachable(plan.choice.runner);
             }
         };
         let spent = match self.admit(&plan).await {
             Ok(Admission::Paid(spent)) => spent,
-            Ok(Admission::Withheld) => return Step::Again,
+            Ok(Admission::Withheld) => return Step::Retry,
             Err(reason) => return self.give_up(reason),
         };
-        let work = match &plan.prompt {
+        let work = match &plan.prefilled {
             Some(prompt) => Work::DecodeFrom(prompt.handle.clone()),
             None => Work::Run,
         };
-        let params = self.params(work, &plan.choice);
+        let params = self.attempt_params(work, &plan.choice);
         let sent_at = Instant::now();
         let mut begin = self.begin_mark(sent_at);
         let end = attempt::send(self.node, self.request, prepared, &params).await;
@@ -184,23 +187,23 @@
             (_, None) => {}
         }
         match end {
-            AttemptEnd::Answering(answering) => {
+            AttemptEnd::Responding(response) => {
                 begin.on_response();
                 self.is_counted = true;
-                if let Some(prompt) = &plan.prompt {
+                if let Some(prompt) = &plan.prefilled {
                     prompt.mark_transferred();
                 } else {
-                    plan.tell(Progress::Prefilled(elapsed_ms(sent_at)));
+                    plan.report(Progress::Prefilled(elapsed_ms(sent_at)));
                 }
-                self.deliver(*answering, client).await
+                self.deliver(*response, client).await
             }
             AttemptEnd::Declined => {
                 begin.on_declined();
-                plan.tell(Progress::Declined(plan.choice.runner.clone()));
+                plan.report(Progress::Declined(plan.choice.runner.clone()));
                 self.excluded.push(plan.choice.runner);
-                Step::Again
+                Step::Retry
             }
-            AttemptEnd::Lost | AttemptEnd::Silent => {
+            AttemptEnd::Lost | AttemptEnd::Unanswered => {
                 begin.on_no_response();
                 self.is_counted = true;
                 self.on_lost(plan.choice.runner)
@@ -208,7 +211,8 @@
         }
     }
 
-    /// Whether it reaches no runner any more: asked before each time that it would.
+    /// Whether the request is quarantined and must not be sent to a runner. Checked before each
+    /// send.
     fn is_quarantined(&self) -> bool {
         self.node.is_quarantined(|| self.identity())
     }
@@ -217,18 +221,18 @@
         self.request.identity(self.tenant.as_ref().map(|tenant| &tenant.name))
     }
 
-    /// Counts the request for its tenant when it begins to run; once, however often it is repeated.
+    /// Counts the request for its tenant when it begins to run, once regardless of repetitions.
     fn begin_mark(&self, sent_at: Instant) -> StartRecorder {
         let tenant = self.tenant.as_ref().filter(|_| !self.is_counted);
         let tenant = tenant.map(|tenant| tenant.name.clone());
         StartRecorder::new(self.node, tenant, sent_at, self.engine.is_none())
     }
 
-    fn time_left(&self) -> Duration {
+    fn time_remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    fn params(&self, work: Work, choice: &RunnerChoice) -> AttemptParams {
+    fn attempt_params(&self, work: Work, choice: &RunnerChoice) -> AttemptParams {
         AttemptParams {
             fetch_from: self.address_of(choice.fetch_from.as_ref()),
             work,
@@ -238,12 +242,13 @@
                 .engine
                 .as_ref()
                 .map(|_| rank(self.rules.priority, choice, self.route.target_ms as f64)),
-            after_event: self.resume_point(),
+            after_event: self.resume_after_event(),
             deadline: self.deadline,
-            head_limit: self.attempt_limit(),
-            expected: Duration::from_micros(choice.expected_prefill_us),
-            doubt_after: Duration::from_millis(self.route.target_ms).mul_f64(DOUBT_SHARE),
-            leaves_suspects: self.could_follow(),
+            head_timeout: self.attempt_timeout(),
+            expected_prefill: Duration::from_micros(choice.expected_prefill_us),
+            verify_after: Duration::from_millis(self.route.target_ms)
+                .mul_f64(VERIFY_AFTER_TARGET_SHARE),
+            abandons_suspects: self.allows_another_attempt(),
         }
     }
 
@@ -252,8 +257,9 @@
         Some(fleet.get(runner?)?.record.address)
     }
 
-    /// The event after which the node itself makes a stream go on.
-    fn resume_point(&self) -> Option<u64> {
+    /// The event after which this node resumes a stream; `None` if nothing has been sent to the
+    /// client.
+    fn resume_after_event(&self) -> Option<u64> {
         if self.stream.is_head_sent {
             self.stream.deduplicator.last_id()
         } else {
@@ -261,146 +267,151 @@
         }
     }
 
-    /// Silence gives no reason to end an attempt, unless another can follow.
-    fn attempt_limit(&self) -> Duration {
-        let left = self.time_left();
-        if self.could_follow() {
-            left.mul_f64(ATTEMPT_SHARE)
+    /// A slow attempt is only ended early if another one can follow.
+    fn attempt_timeout(&self) -> Duration {
+        let remaining = self.time_remaining();
+        if self.allows_another_attempt() {
+            remaining.mul_f64(MAX_ATTEMPT_TIME_SHARE)
         } else {
-            left
+            remaining
         }
     }
 
-    /// Whether another attempt may follow the one that is made now.
-    fn could_follow(&self) -> bool {
-        self.may_run_again(1) && self.budget_allows_one()
+    /// Whether another attempt may follow the current one.
+    fn allows_another_attempt(&self) -> bool {
+        self.may_run_again(1) && self.has_retry_budget()
     }
 
-    /// Whether the request may run once more after so many further runs.
+    /// Whether the request may run once more after the given number of further runs.
     fn may_run_again(&self, further: u32) -> bool {
         self.route.is_repeatable() && self.runs + further < self.route.max_attempts
     }
 
-    fn budget_allows_one(&self) -> bool {
+    fn has_retry_budget(&self) -> bool {
         self.node.with_budget(&self.service, |budget| budget.has_attempt())
     }
 
     fn on_unreachable(&mut self, runner: RunnerId) -> Step {
         self.excluded.push(runner);
-        self.unreachable += 1;
-        if self.unreachable >= MOST_UNREACHABLE {
+        self.unreachable_count += 1;
+        if self.unreachable_count >= MAX_UNREACHABLE_RUNNERS {
             return self.give_up(EndReason::NoRunner);
         }
-        Step::Again
+        Step::Retry
     }
 
     fn on_lost(&mut self, runner: RunnerId) -> Step {
         self.execution = self.execution.max(Execution::Unknown);
         self.runs += 1;
         self.excluded.push(runner);
-        if self.time_left().is_zero() {
+        if self.time_remaining().is_zero() {
             return self.give_up(EndReason::OutOfTime);
         }
         if self.may_run_again(0) {
-            return Step::Again;
+            return Step::Retry;
         }
         self.give_up(EndReason::Failed)
     }
 
-    async fn deliver(&mut self, mut answering: Answering, client: &ClientConnection) -> Step {
-        answering.flight.on_read();
-        self.node.on_parts_held(&answering.record.id, self.prompt.shared_prefix());
+    async fn deliver(&mut self, mut response: AttemptResponse, client: &ClientConnection) -> Step {
+        response.in_flight.on_prefilled();
+        self.node.on_parts_held(&response.record.id, self.prompt.shared_prefix());
         let first_byte = self.request.received_at.elapsed().as_secs_f64();
         self.node.metrics.first_byte.observe(first_byte);
-        let success = (200..300).contains(&answering.head.status);
+        let success = (200..300).contains(&response.head.status);
         if success && self.route.kind == RequestKind::Streaming {
-            self.deliver_stream(answering, client).await
+            self.deliver_stream(response, client).await
         } else {
-            self.deliver_whole(answering).await
+            self.deliver_complete(response).await
         }
     }
 
-    async fn deliver_whole(&mut self, answering: Answering) -> Step {
-        let runner = answering.record.id.clone();
-        let answer = match timeout(self.attempt_limit(), answering.read_whole()).await {
-            Ok(Ok(answer)) => answer,
+    async fn deliver_complete(&mut self, response: AttemptResponse) -> Step {
+        let runner = response.record.id.clone();
+        let full_response = match timeout(self.attempt_timeout(), response.read_all()).await {
+            Ok(Ok(full_response)) => full_response,
             Ok(Err(error)) => {
                 let error = error.to_string();
                 let id = self.request.metadata.id.as_str();
-                log::info!(target: "attempt", request = id, runner = runner.as_str(), error; "broken off");
-                on_broken(self.node, self.broken(&runner));
+                log::info!(target: "attempt", request = id, runner = runner.as_str(), error; "response interrupted");
+                on_interrupted(self.node, self.interrupted_attempt(&runner));
                 return self.on_lost(runner);
             }
             Err(_) => return self.on_lost(runner),
         };
-        let is_framed = !answering.ends_with_connection();
-        answering.give_back(self.node);
-        // A failure may come from a runner that has not begun to run it.
-        if (200..300).contains(&answer.status) {
+        let is_framed = !response.ends_with_connection();
+        response.return_connection(self.node);
+        // An error response may come from a runner that has not begun to execute the request.
+        if (200..300).contains(&full_response.status) {
             self.on_success(&runner, is_framed);
         }
-        const FIRST_FAILURE: u16 = 500;
-        if answer.status < FIRST_FAILURE || self.stream.is_head_sent {
-            return self.done_whole(answer);
+        const MIN_SERVER_ERROR_STATUS: u16 = 500;
+        if full_response.status < MIN_SERVER_ERROR_STATUS || self.stream.is_head_sent {
+            return self.finish_complete(full_response);
         }
         self.execution = Execution::Ran;
         self.runs += 1;
         self.excluded.push(runner);
-        if !self.may_run_again(0) || !self.budget_allows_one() {
-            return self.done_whole(answer);
+        if !self.may_run_again(0) || !self.has_retry_budget() {
+            return self.finish_complete(full_response);
         }
-        self.failure = Some(answer);
-        Step::Again
+        self.runner_failure = Some(full_response);
+        Step::Retry
     }
 
-    /// A runner has answered with success. Where only the end of the connection tells that the answer
-    /// is whole, the runner may as well have ended.
+    /// Handles a successful response. If the end of the body was only marked by the end of the
+    /// connection, the runner may have crashed instead, so it is checked.
     fn on_success(&self, runner: &RunnerId, is_framed: bool) {
         if is_framed {
             self.node.on_success(|| self.identity());
         } else {
-            look_at_runner(self.node, self.broken(runner));
+            verify_runner(self.node, self.interrupted_attempt(runner));
         }
     }
 
-    fn done_whole(&self, answer: BufferedResponse) -> Step {
+    fn finish_complete(&self, full_response: BufferedResponse) -> Step {
         if self.stream.is_head_sent {
             return Step::Done(RequestOutcome::Truncated);
         }
-        Step::Done(RequestOutcome::Buffered(answer))
+        Step::Done(RequestOutcome::Buffered(full_response))
     }
 
-    async fn deliver_stream(&mut self, answering: Answering, client: &ClientConnection) -> Step {
-        let runner = answering.record.id.clone();
+    async fn deliver_stream(
+        &mut self,
+        response: AttemptResponse,
+        client: &ClientConnection,
+    ) -> Step {
+        let runner = response.record.id.clone();
         let mut splitter = EventSplitter::default();
         let end = loop {
-            let limits = RelayLimits { deadline: self.deadline, max_pause: self.longest_pause() };
-            let end = relay(&answering, client, &mut self.stream, &mut splitter, limits).await;
-            if end != RelayOutcome::Stalled || self.may_leave(&runner) {
+            let limits = RelayLimits { deadline: self.deadline, max_pause: self.max_stream_gap() };
+            let end = relay(&response, client, &mut self.stream, &mut splitter, limits).await;
+            if end != RelayOutcome::Stalled || self.may_abandon(&runner) {
                 break end;
             }
         };
         match end {
             RelayOutcome::Complete => {
-                let is_framed = !answering.ends_with_connection();
-                answering.give_back(self.node);
+                let is_framed = !response.ends_with_connection();
+                response.return_connection(self.node);
                 self.on_success(&runner, is_framed);
                 Step::Done(RequestOutcome::Streamed)
             }
             RelayOutcome::ClientDisconnected => Step::Done(RequestOutcome::ClientDisconnected),
             RelayOutcome::DeadlineExceeded => self.on_out_of_time(),
             RelayOutcome::ConnectionLost | RelayOutcome::Stalled => {
-                // The connection is closed first, so that the runner stops before the next
-                // one goes on.
-                drop(answering);
-                self.on_broken_stream(runner)
+                // The connection is closed first, so that this runner stops before the next one
+                // continues.
+                drop(response);
+                self.on_stream_interrupted(runner)
             }
         }
     }
 
-    /// Whether a run that is silent is left: only if another runner is there to go on, and what that
-    /// costs is paid. Silence alone is no reason to end an answer sooner.
-    fn may_leave(&mut self, runner: &RunnerId) -> bool {
+    /// Whether a stalled run may be abandoned. This requires another healthy runner, a route that
+    /// allows another run, and the retry budget for it, which is charged here. A stall alone is no
+    /// reason to end a response early.
+    fn may_abandon(&mut self, runner: &RunnerId) -> bool {
         let others: Vec<RunnerId> = self.excluded.iter().chain([runner]).cloned().collect();
         let eligible = Eligible {
             sender: Sender::ThisNode,
@@ -410,16 +421,17 @@
             scope: Scope::AllRegions,
         };
         let has_other = self.node.fleet.borrow().has_healthy(&eligible, self.node.now_us());
-        self.is_prepaid =
-            self.is_prepaid || (has_other && self.may_run_again(1) && self.withdraw());
-        self.is_prepaid
+        self.has_prepaid_retry =
+            self.has_prepaid_retry || (has_other && self.may_run_again(1) && self.withdraw());
+        self.has_prepaid_retry
     }
 
-    /// Only a stream that can go on elsewhere is left because of a pause.
-    fn longest_pause(&self) -> Duration {
-        let gap = self.route.gap_target_ms.filter(|_| self.could_follow());
-        let silence = gap.map(|gap_ms| Duration::from_millis(gap_ms) * SILENT_PAUSES);
-        silence.map_or(self.time_left(), |silence| silence.max(SHORTEST_SILENCE))
+    /// Maximum gap between two events. Only a stream that can be continued by another runner is
+    /// abandoned because of a gap.
+    fn max_stream_gap(&self) -> Duration {
+        let gap = self.route.gap_target_ms.filter(|_| self.allows_another_attempt());
+        let silence = gap.map(|gap_ms| Duration::from_millis(gap_ms) * STALL_GAP_TARGETS);
+        silence.map_or(self.time_remaining(), |silence| silence.max(MIN_STALL_TIMEOUT))
     }
 
     fn on_out_of_time(&mut self) -> Step {
@@ -427,17 +439,17 @@
         self.give_up(EndReason::OutOfTime)
     }
 
-    fn broken<'b>(&'b self, runner: &'b RunnerId) -> BrokenAttempt<'b> {
+    fn interrupted_attempt<'b>(&'b self, runner: &'b RunnerId) -> InterruptedAttempt<'b> {
         let tenant = self.tenant.as_ref().map(|tenant| &tenant.name);
-        BrokenAttempt { request: self.request, tenant, runner }
+        InterruptedAttempt { request: self.request, tenant, runner }
     }
 
-    fn on_broken_stream(&mut self, runner: RunnerId) -> Step {
-        on_broken(self.node, self.broken(&runner));
+    fn on_stream_interrupted(&mut self, runner: RunnerId) -> Step {
+        on_interrupted(self.node, self.interrupted_attempt(&runner));
         let id = self.request.metadata.id.as_str();
         let after = self.stream.deduplicator.last_id().unwrap_or_default();
         let begun = self.stream.is_head_sent;
-        log::info!(target: "stream", request = id, runner = runner.as_str(), after, begun; "broken off");
+        log::info!(target: "stream", request = id, runner = runner.as_str(), after, begun; "stream interrupted");
         self.node.metrics.resumes.inc();
         self.on_lost(runner)
     }
@@ -455,10 +467,10 @@
         if self.stream.is_head_sent {
             return Step::Done(RequestOutcome::Truncated);
         }
-        if let Some(answer) = self.failure.take() {
-            return Step::Done(RequestOutcome::Buffered(answer));
+        if let Some(response) = self.runner_failure.take() {
+            return Step::Done(RequestOutcome::Buffered(response));
         }
-        let answer = LocalResponse::from(final_response(self.execution, reason));
-        Step::Done(RequestOutcome::Local(answer))
+        let response = LocalResponse::from(final_response(self.execution, reason));
+        Step::Done(RequestOutcome::Local(response))
     }
 }
--- /dev/null
+++ b/crates/gateway/src/interrupted_attempt.rs
@@ -0,0 +1,91 @@
+//! Handling of attempts that ended before their responses were complete.
+//!
+//! Each of them may mean that the runner has crashed. The runner is therefore checked, and the
+//! request that was in progress there is remembered until the result is known (see
+//! [`pitchstall_serving::crash_evidence`]).
+
+use crate::clock::Instant;
+use crate::http::ReadError;
+use crate::intake::ClientRequest;
+use crate::node::Node;
+use crate::runner_probe::probe;
+use pitchstall_serving::ids::{RunnerId, TenantName};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// If a pooled connection ends within this time after a request was sent on it, the runner is
+/// assumed to have closed the idle connection before.
+const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(30);
+
+/// An attempt that ended before its response was complete.
+#[derive(Clone, Copy)]
+pub struct InterruptedAttempt<'a> {
+    /// The request of the attempt.
+    pub request: &'a ClientRequest,
+    /// The tenant on whose behalf the request runs.
+    pub tenant: Option<&'a TenantName>,
+    /// The runner to which the request was sent.
+    pub runner: &'a RunnerId,
+}
+
+/// Handles a connection that broke before the response was complete: the runner has crashed, or has
+/// lost this one response.
+pub fn on_interrupted(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
+    let now_us = node.now_us();
+    node.fleet.borrow_mut().on_response_interrupted(attempt.runner, now_us);
+    verify_runner(node, attempt);
+}
+
+/// Records the unfinished attempt and checks whether its runner has crashed.
+pub fn verify_runner(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
+    record_unfinished_attempt(node, attempt);
+    probe(node, attempt.runner, node.now_us());
+}
+
+/// Records that a request was in progress at a runner that may have crashed.
+pub fn record_unfinished_attempt(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
+    let identity = attempt.request.identity(attempt.tenant);
+    node.on_broken_attempt(attempt.runner, attempt.request.metadata.id.as_str(), identity);
+}
+
+/// How the connection of a lost attempt was used.
+#[derive(Clone, Copy)]
+pub struct ConnectionUse {
+    /// How long a pooled connection was idle before the request; `None` for a new connection.
+    pub idle: Option<Duration>,
+    /// When the request was sent.
+    pub sent_at: Instant,
+}
+
+impl ConnectionUse {
+    /// The idle time of a pooled connection that was already closed by the runner when the request
+    /// was sent. This is assumed if the connection ended faster than any response could have been
+    /// computed. `None` otherwise.
+    fn stale_after(&self) -> Option<Duration> {
+        self.idle.filter(|_| self.sent_at.elapsed() < STALE_CONNECTION_WINDOW)
+    }
+}
+
+/// Handles a connection that broke before the head of the response was received.
+pub fn on_connection_lost(
+    node: &Rc<Node>,
+    attempt: InterruptedAttempt<'_>,
+    connection: ConnectionUse,
+    error: &ReadError,
+) {
+    let error = error.to_string();
+    let runner = attempt.runner;
+    let id = attempt.request.metadata.id.as_str();
+    let stale_after = connection.stale_after();
+    let rested_ms = stale_after.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
+    log::info!(target: "attempt", request = id, runner = runner.as_str(), rested_ms, error; "lost");
+    match stale_after {
+        Some(idle) => {
+            node.pool.on_stale_connection(idle);
+            node.pool.remove_runner(runner);
+            // The runner may also have crashed just after it accepted the request.
+            verify_runner(node, attempt);
+        }
+        None => on_interrupted(node, attempt),
+    }
+}
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -6,10 +6,10 @@
 //! it observes itself and what runners report.
 
 use crate::clock::Instant;
-use crate::held_parts;
 use crate::node::{machine_wall_ms, Node};
 use crate::peer_messages::{PeerMessage, PeerSocket, MAX_DATAGRAM_BYTES};
 use crate::platform_client::PlatformClient;
+use crate::prefix_announcements;
 use crate::quarantine;
 use crate::quota::{self, RegistrationLease};
 use crate::refused_entries::EntryFault;
@@ -122,14 +122,16 @@
             PeerMessage::Digest(digest) => self.on_digest(&digest, from),
             PeerMessage::Hello(digest) => self.on_hello(&digest, from),
             PeerMessage::Members(members) => self.on_members(&members),
-            PeerMessage::PlacementQuery(query) => shard_scheduler::on_question(&self.node, query),
-            PeerMessage::PlacementReply(reply) => scheduling::on_answer(&self.node, reply, from),
+            PeerMessage::PlacementQuery(query) => shard_scheduler::on_query(&self.node, query),
+            PeerMessage::PlacementReply(reply) => scheduling::on_reply(&self.node, reply, from),
             PeerMessage::ProgressMessage(message) => {
                 shard_scheduler::on_progress(&self.node, &message)
             }
             PeerMessage::ShardLoads(loads) => self.node.on_shard_loads(&loads),
             PeerMessage::RegionLoads(loads) => scheduling::on_region_loads(&self.node, loads),
-            PeerMessage::CachedPrefixes(prefixes) => held_parts::on_word(&self.node, &prefixes),
+            PeerMessage::CachedPrefixes(prefixes) => {
+                prefix_announcements::apply(&self.node, &prefixes)
+            }
             PeerMessage::UsageQuery(query) => usage::on_query(&self.node, &query),
             PeerMessage::CrashMessage(message) => quarantine::on_message(&self.node, message),
             PeerMessage::QuotaQuery(query) => quota::keeper::on_query(&self.node, &query, from),
@@ -138,9 +140,9 @@
                 quota::keeper::on_forward_ack(&self.node, &keeper)
             }
             PeerMessage::QuotaRefund(refund) => quota::keeper::on_refund(&self.node, &refund),
-            PeerMessage::LimitQuery(query) => runner_limits::on_question(&self.node, &query, from),
-            PeerMessage::LimitReply(reply) => runner_limits::on_answer(&self.node, reply),
-            PeerMessage::LimitMessage(message) => runner_limits::on_word(&self.node, &message),
+            PeerMessage::LimitQuery(query) => runner_limits::on_query(&self.node, &query, from),
+            PeerMessage::LimitReply(reply) => runner_limits::on_reply(&self.node, reply),
+            PeerMessage::LimitMessage(message) => runner_limits::on_message(&self.node, &message),
             PeerMessage::UsageMessage(message) => usage::on_message(&self.node, &message),
         }
     }
@@ -200,7 +202,7 @@
     fn learn(&self, name: &NodeId, member: &Member) {
         let peer = Peer { address: member.address, last_received_at: Instant::now() };
         self.state.borrow_mut().peers.insert(name.clone(), peer);
-        self.node.runner_limits.on_heard(name, self.node.now_us());
+        self.node.runner_limits.on_node_message(name, self.node.now_us());
         self.node.members.borrow_mut().upsert(name, member);
         let is_remote = !self.node.members.borrow().is_in_own_region(name);
         self.socket.cross_region_traffic().set_region(member.address, is_remote);
@@ -218,7 +220,7 @@
             store: self.node.freshness.borrow().report(now_us),
             changing: self.node.fleet.borrow().role_changes(now_us),
             held_keepers: self.node.quotas.held_keepers(),
-            limits: self.node.runner_limits.words(now_us),
+            limits: self.node.runner_limits.digest_messages(now_us),
             is_stopping: self.node.is_stopping(),
             wall_ms: machine_wall_ms(),
         }
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -1,12 +1,12 @@
 //! Runs the prefill of a prompt on a prefill runner and holds the KV handle until a decode runner uses it or it is
 //! released.
 
-use crate::attempt::{self, AttemptEnd, AttemptParams, Prepared};
-use crate::broken_attempt::{on_broken, BrokenAttempt};
+use crate::attempt::{self, AttemptEnd, AttemptParams, PreparedConnection};
 use crate::clock::Instant;
 use crate::http::request::encode_request;
 use crate::http::Upstream;
 use crate::intake::ClientRequest;
+use crate::interrupted_attempt::{on_interrupted, InterruptedAttempt};
 use crate::node::Node;
 use pitchstall_platform_adapter::paths;
 use pitchstall_serving::ids::{RunnerId, ServiceName, ZoneId};
@@ -86,7 +86,7 @@
 pub async fn run_prefill(
     node: &Rc<Node>,
     prefill: &PrefillRequest<'_>,
-    prepared: Prepared,
+    prepared: PreparedConnection,
     params: &AttemptParams,
 ) -> PrefillOutcome {
     let started_at = Instant::now();
@@ -94,18 +94,18 @@
     let tokens = prefill.choice.prefill_tokens();
     let was_unqueued = node.has_nothing_else_to_read(&runner, tokens);
     let answering = match attempt::send(node, prefill.request, prepared, params).await {
-        AttemptEnd::Answering(answering) => answering,
+        AttemptEnd::Responding(answering) => answering,
         AttemptEnd::Declined => return PrefillOutcome::Declined,
-        AttemptEnd::Silent | AttemptEnd::Lost => return PrefillOutcome::Failed,
+        AttemptEnd::Unanswered | AttemptEnd::Lost => return PrefillOutcome::Failed,
     };
-    let response = match timeout(params.head_limit, answering.read_whole()).await {
+    let response = match timeout(params.head_timeout, answering.read_all()).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
             let (request, error) = (prefill.request.metadata.id.as_str(), error.to_string());
             log::info!(target: "reading", request, runner = runner.as_str(), error; "response interrupted");
             let tenant = params.tenant.as_ref();
-            let broken = BrokenAttempt { request: prefill.request, tenant, runner: &runner };
-            on_broken(node, broken);
+            let broken = InterruptedAttempt { request: prefill.request, tenant, runner: &runner };
+            on_interrupted(node, broken);
             return PrefillOutcome::Failed;
         }
         Err(_) => return PrefillOutcome::Failed,
@@ -125,7 +125,7 @@
     node.on_read_in(prefill.service, &runner, sample);
     let handle = KvHandle { address: answering.record.address, name };
     let zone = answering.record.zone.clone();
-    answering.give_back(node);
+    answering.return_connection(node);
     PrefillOutcome::Prefilled(PrefilledPrompt {
         handle,
         zone,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,6 +1,6 @@
 //! Forwards the events of a stream to the client as they arrive.
 
-use crate::attempt::Answering;
+use crate::attempt::AttemptResponse;
 use crate::clock::Instant;
 use crate::connection::{ClientConnection, ClientDisconnected};
 use crate::http::Header;
@@ -56,7 +56,7 @@
 /// Forwards one run of a stream. Only complete events are forwarded, so that another run can continue the stream.
 /// Bytes of an incomplete event stay in `splitter`, so that relaying a stalled run can be resumed.
 pub async fn relay(
-    answering: &Answering,
+    answering: &AttemptResponse,
     client: &ClientConnection,
     state: &mut StreamState,
     splitter: &mut EventSplitter,
@@ -65,12 +65,12 @@
     let headers = answering.client_headers();
     loop {
         let remaining = limits.deadline.saturating_duration_since(Instant::now());
-        let result = match timeout(remaining.min(limits.max_pause), answering.read()).await {
+        let result = match timeout(remaining.min(limits.max_pause), answering.read_chunk()).await {
             Ok(result) => result,
             Err(_) if remaining <= limits.max_pause => return RelayOutcome::DeadlineExceeded,
             Err(_) => return RelayOutcome::Stalled,
         };
-        answering.flight.on_progress();
+        answering.in_flight.on_progress();
         let forwarded = match result {
             Ok(Some(bytes)) => forward(&bytes, splitter, client, state, &headers).await,
             Ok(None) => return finish(answering, splitter, client, state, &headers).await,
@@ -119,7 +119,7 @@
 /// Handles the end of the body. If the body ends with the connection and an event is incomplete, the runner has
 /// stopped in the middle of that event.
 async fn finish(
-    answering: &Answering,
+    answering: &AttemptResponse,
     splitter: &EventSplitter,
     client: &ClientConnection,
     state: &mut StreamState,
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -1,8 +1,8 @@
-//! Changes the roles of runners, while this node has the authority: where there are several regions,
-//! of those in its own region, under the subject of that region.
+//! Orders role changes of runners while this node holds the authority. If there are several
+//! regions, it orders those of its own region, under the authority subject of that region.
 //!
-//! What is ordered is decided in [`pitchstall_serving::role_planner`]. An order that was not
-//! answered may be carried out later: nothing else is ordered for a time.
+//! The changes are decided in [`pitchstall_serving::role_planner`]. An order without a response may
+//! still be executed later, so no further change is ordered for a while.
 
 use crate::authority::{local_roles_authority, roles_subject, LocalAuthority};
 use crate::http::request::encode_request;
@@ -24,68 +24,73 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Between two looks at the fleet.
-const PLAN_EVERY: Duration = Duration::from_millis(250);
-/// Limit of a call to a runner.
-const RUNNER_LIMIT: Duration = Duration::from_millis(700);
-/// Longest time for which a runner counts as changing its role. The list tells earlier, unless
-/// the order was lost.
-const CHANGING_US: u64 = 6_000_000;
-const MOST_REPORT_BYTES: usize = 1024 * 1024;
+/// Interval between two planning rounds.
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum duration of a call to a runner.
+const RUNNER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum time for which a runner counts as changing its role, in microseconds. The registry
+/// usually shows the new role earlier, unless the order was lost.
+const MAX_ROLE_CHANGE_US: u64 = 6_000_000;
+const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
-/// Between two lines on what a service's planner saw when it ordered nothing.
-const LINE_EVERY_US: u64 = 1_000_000;
+/// Minimum interval between two log lines about a service for which no change was ordered, in
+/// microseconds.
+const LOG_INTERVAL_US: u64 = 1_000_000;
 
-struct Roles {
+struct RoleController {
     node: Rc<Node>,
-    /// The subject under which this node may order.
+    /// The authority subject under which this node orders changes.
     subject: AuthoritySubject,
     planners: HashMap<ServiceName, RolePlanner>,
-    /// When a service's last line was written.
-    lines: HashMap<ServiceName, u64>,
+    /// When a service without an ordered change was last logged, in microseconds.
+    last_logged_us: HashMap<ServiceName, u64>,
 }
 
-/// Orders role changes whenever this node may, until the task is dropped.
-pub async fn order_changes(node: Rc<Node>) {
+/// Orders role changes whenever this node holds the authority, until the task is dropped.
+pub async fn order_role_changes(node: Rc<Node>) {
     let subject = roles_subject(&node);
-    let mut roles = Roles { node, subject, planners: HashMap::new(), lines: HashMap::new() };
+    let mut controller =
+        RoleController { node, subject, planners: HashMap::new(), last_logged_us: HashMap::new() };
     loop {
-        sleep(PLAN_EVERY).await;
-        let subject = roles_subject(&roles.node);
-        let is_other = std::mem::replace(&mut roles.subject, subject) != roles.subject;
-        if is_other || roles.holding().fence().is_none() {
-            // What was seen in an earlier term, or of other runners, says nothing about the next.
-            roles.planners.clear();
+        sleep(PLAN_INTERVAL).await;
+        let subject = roles_subject(&controller.node);
+        let has_new_subject =
+            std::mem::replace(&mut controller.subject, subject) != controller.subject;
+        if has_new_subject || controller.holding().fence().is_none() {
+            // Measurements of an earlier term or of another region's runners do not apply to the
+            // next term.
+            controller.planners.clear();
             continue;
         }
-        roles.plan().await;
+        controller.plan().await;
     }
 }
 
-impl Roles {
+impl RoleController {
     fn holding(&self) -> &LocalAuthority {
         local_roles_authority(&self.node, &self.subject)
     }
 
     async fn plan(&mut self) {
         for (service, engine) in self.node.engine_services() {
-            let Some(plan) = self.look(&service, &engine) else { continue };
+            let Some(plan) = self.plan_service(&service, &engine) else { continue };
             let changes = match plan.decision {
                 Ok(_) if self.fence_now().is_none() => {
-                    // The planner's pressure goes on: orders follow when the term allows them.
-                    self.log_nothing(&service, &plan.metrics, "authority not ready");
+                    // The planner keeps track of the pressure, so orders follow as soon as the term
+                    // allows them.
+                    self.log_no_order(&service, &plan.metrics, "authority not ready");
                     continue;
                 }
                 Ok(changes) => changes,
                 Err(NoChangeReason::NoPressure) => continue,
                 Err(reason) => {
-                    self.log_nothing(&service, &plan.metrics, reason.name());
+                    self.log_no_order(&service, &plan.metrics, reason.name());
                     continue;
                 }
             };
-            log_seen(&service, &plan.metrics, changes.len());
+            log_ordering(&service, &plan.metrics, changes.len());
             for change in &changes {
-                self.order(change).await;
+                self.order_change(change).await;
             }
             if let Some(planner) = self.planners.get_mut(&service) {
                 planner.on_ordered(self.node.now_us());
@@ -93,26 +98,27 @@
         }
     }
 
-    /// Says what a planner saw under pressure and why it ordered nothing.
-    fn log_nothing(&mut self, service: &ServiceName, seen: &RoleMetrics, reason: &str) {
+    /// Logs the measurements of a planner under pressure and the reason why it ordered no change.
+    fn log_no_order(&mut self, service: &ServiceName, metrics: &RoleMetrics, reason: &str) {
         let now_us = self.node.now_us();
-        let last_us = self.lines.get(service).copied();
-        if last_us.is_some_and(|last_us| now_us < last_us + LINE_EVERY_US) {
+        let last_us = self.last_logged_us.get(service).copied();
+        if last_us.is_some_and(|last_us| now_us < last_us + LOG_INTERVAL_US) {
             return;
         }
-        self.lines.insert(service.clone(), now_us);
-        let RoleMetrics { prefill, decode, .. } = *seen;
-        let needed = seen.prefill_needed.round() as u64;
-        let [wait, late, occupancy, memory] = percents(seen);
+        self.last_logged_us.insert(service.clone(), now_us);
+        let RoleMetrics { prefill, decode, .. } = *metrics;
+        let needed = metrics.prefill_needed.round() as u64;
+        let [wait, late, occupancy, memory] = percents(metrics);
         let service = service.as_str();
         log::info!(
             target: "authority",
-            service, reason, wait, late, occupancy, memory, prefill, decode, needed; "nothing ordered"
+            service, reason, wait, late, occupancy, memory, prefill, decode, needed; "no role change ordered"
         );
     }
 
-    /// `None` for a service for which the configuration names no target.
-    fn look(&mut self, service: &ServiceName, engine: &EngineSpec) -> Option<RolePlan> {
+    /// Plans the role changes of a service; `None` if the configuration has no target for the
+    /// service.
+    fn plan_service(&mut self, service: &ServiceName, engine: &EngineSpec) -> Option<RolePlan> {
         let configuration = self.node.configuration();
         let target_ms = configuration.and_then(|it| it.min_target_ms(service))?;
         let demand = RoleDemand {
@@ -125,12 +131,13 @@
         let new_planner = || RolePlanner::new(RolePolicy::default());
         let planner = self.planners.entry(service.clone()).or_insert_with(new_planner);
         let fleet = self.node.fleet.borrow();
-        Some(self.node.with_pace(service, |pace| planner.plan(&fleet, pace, &demand, now_us)))
+        Some(self.node.with_pace(service, |speeds| planner.plan(&fleet, speeds, &demand, now_us)))
     }
 
-    async fn order(&mut self, change: &RoleChange) {
+    async fn order_change(&mut self, change: &RoleChange) {
         let Some(fence) = self.fence_now() else { return };
-        // An order is two requests, which nobody counts; a runner in need keeps its role.
+        // An order takes two requests that no keeper counts, so a runner with a limit keeps its
+        // role.
         let has_limit =
             |fleet: &Fleet| fleet.get(&change.runner).is_some_and(|it| it.limit().is_some());
         if !self.node.may_send_to(&change.runner) || has_limit(&self.node.fleet.borrow()) {
@@ -140,9 +147,9 @@
         let Some(record) = record else { return };
         let answer = self.send_order(&record, change.stage, fence).await;
         let now_us = self.node.now_us();
-        // An order without an answer may have been taken.
+        // An order without a response may have been accepted.
         if !matches!(answer, Some(OrderAnswer::Refused | OrderAnswer::Outdated)) {
-            let until_us = now_us + CHANGING_US;
+            let until_us = now_us + MAX_ROLE_CHANGE_US;
             self.node.on_role_ordered(&record.id, change.stage, until_us);
         }
         let runner = record.id.as_str();
@@ -151,7 +158,7 @@
         log::info!(target: "authority", runner, stage, fence, answer; "ordered");
     }
 
-    /// The fencing token, while orders may be given.
+    /// The current fencing token, if orders are allowed now.
     fn fence_now(&self) -> Option<FencingToken> {
         self.holding().fence_for_orders(self.node.now_us())
     }
@@ -166,7 +173,8 @@
         let Some(report) = paths::parse_report(&body) else {
             return Some(OrderAnswer::Refused);
         };
-        // Another life counts its orders anew: the number that it is asked to expect would hold by chance.
+        // Another incarnation counts its accepted orders from the start, so the expected number
+        // could match by chance.
         if !record.id.matches_start(report.born_ms) {
             self.node.on_other_life(&record.id, report.born_ms);
             return Some(OrderAnswer::Refused);
@@ -176,7 +184,7 @@
         if is_busy || leaving {
             return Some(OrderAnswer::Refused);
         }
-        // The term may have ended while the runner was asked.
+        // The term may have ended while the runner's report was awaited.
         if self.fence_now() != Some(fence) {
             return Some(OrderAnswer::Refused);
         }
@@ -191,21 +199,21 @@
     }
 }
 
-/// Wait, late work, slots and memory in use, each in hundredths.
-fn percents(seen: &RoleMetrics) -> [u64; 4] {
+/// Wait, wait because of overdue work, occupied slots and used memory, each in hundredths.
+fn percents(metrics: &RoleMetrics) -> [u64; 4] {
     let percent = |share: f64| (share * 100.0).round() as u64;
-    [seen.wait, seen.overdue_wait, seen.occupancy, seen.memory].map(percent)
+    [metrics.wait, metrics.overdue_wait, metrics.occupancy, metrics.memory].map(percent)
 }
 
-/// Says what a planner saw when it orders changes.
-fn log_seen(service: &ServiceName, seen: &RoleMetrics, changes: usize) {
-    let RoleMetrics { prefill, decode, .. } = *seen;
-    let needed = seen.prefill_needed.round() as u64;
-    let [wait, late, occupancy, memory] = percents(seen);
+/// Logs the measurements of a planner that orders role changes.
+fn log_ordering(service: &ServiceName, metrics: &RoleMetrics, changes: usize) {
+    let RoleMetrics { prefill, decode, .. } = *metrics;
+    let needed = metrics.prefill_needed.round() as u64;
+    let [wait, late, occupancy, memory] = percents(metrics);
     let service = service.as_str();
     log::info!(
         target: "authority",
-        service, changes, wait, late, occupancy, memory, prefill, decode, needed; "ordering changes"
+        service, changes, wait, late, occupancy, memory, prefill, decode, needed; "ordering role changes"
     );
 }
 
@@ -217,22 +225,23 @@
     body: &[u8],
 ) -> Option<(u16, Vec<u8>)> {
     let exchange = async {
-        let connection = Upstream::open(record.address, RUNNER_LIMIT).await.ok()?;
-        let mut all: Vec<Header> =
+        let connection = Upstream::open(record.address, RUNNER_CALL_TIMEOUT).await.ok()?;
+        let mut all_headers: Vec<Header> =
             vec![("host".to_owned(), record.address.to_string().into_bytes())];
-        let own = headers::order_headers(&record.id).into_iter();
-        all.extend(own.map(|(name, value)| (name.to_owned(), value.into_bytes())));
+        let order_headers = headers::order_headers(&record.id).into_iter();
+        all_headers
+            .extend(order_headers.map(|(name, value)| (name.to_owned(), value.into_bytes())));
         if !body.is_empty() {
-            all.push(("content-type".to_owned(), b"application/json".to_vec()));
+            all_headers.push(("content-type".to_owned(), b"application/json".to_vec()));
         }
         let sent_at_us = node.now_us();
-        connection.send(encode_request(method, target, &all, body)).ok()?;
+        connection.send(encode_request(method, target, &all_headers, body)).ok()?;
         let head = connection.read_head().await.ok()?;
-        let facts = node.on_answer_head(&record.id, &head);
-        node.on_limit_in_head(&record.id, &facts, sent_at_us);
+        let metadata = node.on_answer_head(&record.id, &head);
+        node.on_limit_in_response(&record.id, &metadata, sent_at_us);
         let decoder = BodyDecoder::new(head.framing);
-        let body = connection.read_whole_body(&decoder, MOST_REPORT_BYTES).await.ok()?;
+        let body = connection.read_whole_body(&decoder, MAX_REPORT_BYTES).await.ok()?;
         Some((head.status, body))
     };
-    timeout(RUNNER_LIMIT, exchange).await.ok().flatten()
+    timeout(RUNNER_CALL_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -1,7 +1,8 @@
-//! Orders how many runners there are, while this node has the authority.
+//! Orders runners from the platform while this node holds the authority.
 //!
-//! What is ordered is decided in [`pitchstall_serving::capacity_planner`]. What was needed is kept
-//! in the store: a node that takes over goes on by it, and orders nothing before it knows it.
+//! The orders are decided in [`pitchstall_serving::capacity_planner`]. The required capacity is
+//! kept in the store. A node that takes over continues from this record and orders nothing before
+//! it has read it.
 
 use crate::clock::Instant;
 use crate::node::Node;
@@ -21,38 +22,39 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two looks at the fleet.
-const PLAN_EVERY: Duration = Duration::from_millis(250);
-/// Limit of a call.
-const CALL_LIMIT: Duration = Duration::from_millis(1_000);
-/// Time for which the number of runners must not change before all are taken to be listed: runners
-/// write to the store about every second.
-const LISTED_WITHIN: Duration = Duration::from_millis(2_000);
-/// Pause after an order that the platform did not take.
-const LATER_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between two planning rounds.
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum duration of a call to the store or the platform.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long the number of runners must be unchanged before all of them are assumed to be
+/// registered. Runners write to the store about once per second.
+const REGISTRATION_SETTLE_TIME: Duration = Duration::from_millis(2_000);
+/// Pause after an order that the platform did not accept.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-struct Scaling {
+struct ScalingController {
     node: Rc<Node>,
     store: PlatformClient,
     cloud: PlatformClient,
-    /// The term for which the plans hold; `None`: there has been none.
+    /// The fencing token of the term for which the plans hold; `None` before the first term.
     fence: Option<FencingToken>,
-    plans: HashMap<ServiceName, Plan>,
+    plans: HashMap<ServiceName, ServicePlan>,
 }
 
 /// The plan of a service.
-struct Plan {
+struct ServicePlan {
     planner: CapacityPlanner,
     record: CapacityRecord,
-    /// Preemptible runners that were there before any was ordered.
-    found_preemptible: u32,
-    /// Since when the runners that are listed are as many as the record says; `None`: it is final.
-    counting: Option<Instant>,
+    /// Number of preemptible runners that existed before the first order.
+    initial_preemptible: u32,
+    /// Since when the number of registered runners has matched the record; `None` once the record
+    /// is final.
+    counting_since: Option<Instant>,
 }
 
-/// Orders runners whenever this node may, until the task is dropped.
+/// Orders runners whenever this node holds the authority, until the task is dropped.
 pub async fn order_runners(node: Rc<Node>) {
-    let mut scaling = Scaling {
+    let mut controller = ScalingController {
         node,
         store: PlatformClient::default(),
         cloud: PlatformClient::default(),
@@ -60,18 +62,18 @@
         plans: HashMap::new(),
     };
     loop {
-        sleep(PLAN_EVERY).await;
-        let node = &scaling.node;
+        sleep(PLAN_INTERVAL).await;
+        let node = &controller.node;
         let has_duty = node.settings().cloud.as_ref().is_some_and(|it| it.has(Duty::Scaling));
         let fence = node.authority.fence_for_orders(node.now_us());
         if let Some(fence) = fence.filter(|_| has_duty) {
-            scaling.step(fence).await;
+            controller.plan_services(fence).await;
         }
     }
 }
 
-impl Scaling {
-    async fn step(&mut self, fence: FencingToken) {
+impl ScalingController {
+    async fn plan_services(&mut self, fence: FencingToken) {
         if self.fence != Some(fence) {
             self.fence = Some(fence);
             self.plans.clear();
@@ -80,7 +82,7 @@
             if !self.plans.contains_key(&service) && !self.begin_plan(&service).await {
                 continue;
             }
-            self.count(&service).await;
+            self.count_initial_runners(&service).await;
             self.plan(&service, &spec).await;
         }
     }
@@ -101,62 +103,63 @@
         services.filter_map(|(name, it)| Some((name.clone(), it.scaling.clone()?))).collect()
     }
 
-    /// Begins to plan by what an earlier holder recorded, or by what is there; `false`: the store
-    /// does not tell.
+    /// Creates the plan of a service from the record of an earlier authority holder or, if there is
+    /// none, from the existing runners. Returns `false` if the store does not answer or its record
+    /// is unreadable.
     async fn begin_plan(&mut self, service: &ServiceName) -> bool {
         let read = store::read_capacity(service);
-        let answer = self.node.call_store(&mut self.store, &read, CALL_LIMIT).await;
-        let (record, counting) = match answer.map(|answer| (answer.status, answer.body)) {
+        let answer = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
+        let (record, counting_since) = match answer.map(|answer| (answer.status, answer.body)) {
             Some((StoreStatus::Done, body)) => {
                 let record = readable(service.as_str(), store::parse_capacity(&body));
                 let Some(record) = record else { return false };
                 (record, None)
             }
-            Some((StoreStatus::Absent, _)) => (self.present(service), Some(Instant::now())),
+            Some((StoreStatus::Absent, _)) => (self.observed(service), Some(Instant::now())),
             _ => return false,
         };
         let planner = CapacityPlanner::new(self.policy(), record.clone());
-        let found_preemptible = self.supply(service).values().map(|zone| zone.preemptible).sum();
-        let plan = Plan { planner, record, found_preemptible, counting };
+        let initial_preemptible = self.supply(service).values().map(|zone| zone.preemptible).sum();
+        let plan = ServicePlan { planner, record, initial_preemptible, counting_since };
         self.plans.insert(service.clone(), plan);
         true
     }
 
-    /// What is there. Operators set a service up with as many runners as it needs.
-    fn present(&self, service: &ServiceName) -> CapacityRecord {
+    /// The existing capacity. Operators set up a service with as many runners as it needs.
+    fn observed(&self, service: &ServiceName) -> CapacityRecord {
         let supply = self.supply(service);
         let need = supply.values().map(|zone| zone.reserved + zone.preemptible).sum();
         CapacityRecord { need, zones: supply.into_keys().collect() }
     }
 
-    /// Counts the runners of a service that has never been planned, until all are listed; then
-    /// records them. Those that were ordered meanwhile do not count.
-    async fn count(&mut self, service: &ServiceName) {
+    /// Counts the runners of a service that has never been planned until all of them are
+    /// registered, then writes the record. Runners that were ordered meanwhile are not counted.
+    async fn count_initial_runners(&mut self, service: &ServiceName) {
         let supply = self.supply(service);
         let Some(plan) = self.plans.get_mut(service) else { return };
-        let Some(since) = plan.counting else { return };
+        let Some(since) = plan.counting_since else { return };
         let reserved: u32 = supply.values().map(|zone| zone.reserved).sum();
-        let need = reserved + plan.found_preemptible;
+        let need = reserved + plan.initial_preemptible;
         if need != plan.record.need {
             plan.record = CapacityRecord { need, zones: supply.into_keys().collect() };
             plan.planner.on_recounted(plan.record.clone());
-            plan.counting = Some(Instant::now());
+            plan.counting_since = Some(Instant::now());
             return;
         }
-        if need == 0 || since.elapsed() < LISTED_WITHIN {
+        if need == 0 || since.elapsed() < REGISTRATION_SETTLE_TIME {
             return;
         }
         let Some(fence) = self.fence else { return };
         let write = store::write_capacity(service, &plan.record, fence);
-        let answer = self.node.call_store(&mut self.store, &write, CALL_LIMIT).await;
+        let answer = self.node.call_store(&mut self.store, &write, CALL_TIMEOUT).await;
         match answer.map(|answer| answer.status) {
-            Some(StoreStatus::Done) => plan.counting = None,
+            Some(StoreStatus::Done) => plan.counting_since = None,
             Some(StoreStatus::Conflict) => self.node.authority.on_refused(fence),
             _ => {}
         }
     }
 
-    /// The service's runners by zone, without those that leave.
+    /// The service's runners by zone, without those that are leaving.
     fn supply(&self, service: &ServiceName) -> BTreeMap<ZoneId, ZoneSupply> {
         let mut supply: BTreeMap<ZoneId, ZoneSupply> = BTreeMap::new();
         let fleet = self.node.fleet.borrow();
@@ -176,7 +179,7 @@
         let supply = self.supply(service);
         let now_us = self.node.now_us();
         let Some(plan) = self.plans.get_mut(service) else { return };
-        let orders = match plan.counting {
+        let orders = match plan.counting_since {
             None => plan.planner.plan(&supply, spec, now_us),
             Some(_) => plan.planner.plan_additions(&supply, spec, now_us),
         };
@@ -187,40 +190,42 @@
         }
     }
 
-    /// Gives an order; returns whether the next one may follow.
+    /// Sends an order. Returns whether the next one may follow.
     async fn order(&mut self, service: &ServiceName, order: &CapacityOrder) -> bool {
-        let may_order = self.node.authority.fence_for_orders(self.node.now_us());
-        let Some(fence) = may_order.filter(|fence| self.fence == Some(*fence)) else {
+        let current_fence = self.node.authority.fence_for_orders(self.node.now_us());
+        let Some(fence) = current_fence.filter(|fence| self.fence == Some(*fence)) else {
             return false;
         };
         let Some(cloud) = self.node.settings().cloud.clone() else { return false };
         let holder = DutyHolder { node: self.node.settings().node.name.clone(), fence };
         let preemptible = order.kind == RunnerKind::Preemptible;
-        let told = ScaleOrder {
+        let scale_order = ScaleOrder {
             service: service.clone(),
             zone: order.zone.clone(),
             runners: order.runners,
             preemptible,
         };
         self.node.metrics.cloud_calls.inc();
-        let answer =
-            self.cloud.call(cloud.address, &cloud::scale(&holder, &told), CALL_LIMIT).await;
+        let answer = self
+            .cloud
+            .call(cloud.address, &cloud::scale(&holder, &scale_order), CALL_TIMEOUT)
+            .await;
         let outcome = answer.as_ref().map(|answer| cloud::parse_status(answer.status));
         log_order(service, order, fence, &outcome);
         let now_us = self.node.now_us();
         let Some(plan) = self.plans.get_mut(service) else { return false };
         match outcome {
             Ok(DutyAnswer::Done) => plan.planner.on_ordered(order),
-            // The same status tells of a higher fencing token: that one shows at the next order of
-            // the other kind, at a usage report, or when the lease is renewed.
+            // The same status also reports a higher fencing token. This is then noticed at the next
+            // order of the other kind, at a usage report, or when the lease is renewed.
             Ok(DutyAnswer::Conflict) if preemptible => plan.planner.on_unavailable(order, now_us),
             Ok(DutyAnswer::Conflict) => {
                 self.node.authority.on_refused(fence);
                 return false;
             }
-            // Without an answer it may have been taken or not: it is given again.
+            // Without a response the order may or may not have been accepted, so it is sent again.
             Ok(DutyAnswer::Later) | Err(_) => {
-                sleep(LATER_PAUSE).await;
+                sleep(RETRY_PAUSE).await;
                 return false;
             }
         }
