--- a/crates/gateway/tests/history_gone.rs
+++ b/crates/gateway/tests/history_gone.rs
@@ -3,9 +3,9 @@
 
 mod support;
 
-use pitchstall_platform_standins::narrow_link::NarrowLink;
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
 use pitchstall_platform_standins::store::{StoreMode, StoreStandIn};
+use pitchstall_platform_standins::throttled_link::NarrowLink;
 use std::time::Duration;
 use support::{configuration, large_configuration, serves, wait_for, Fixture, Place};
 use test_case::test_case;
--- a/crates/gateway/tests/large_configuration.rs
+++ b/crates/gateway/tests/large_configuration.rs
@@ -3,10 +3,10 @@
 
 mod support;
 
-use pitchstall_platform_standins::narrow_link::{NarrowLink, NodePair};
 use pitchstall_platform_standins::proxy::{Link, LinkMode};
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
 use pitchstall_platform_standins::store::StoreStandIn;
+use pitchstall_platform_standins::throttled_link::{NarrowLink, NodePair};
 use serde_json::json;
 use std::collections::HashMap;
 use std::time::Duration;
