--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -30,7 +30,7 @@
     let file = &arguments.file;
     if file.extension().is_some_and(|extension| extension == PROGRAM_EXTENSION) {
         let source = read(file)?;
-        try_program(&source)
+        check_program(&source)
             .map_err(|error| CommandError::Policy(file.display().to_string(), error))?;
         println!("{}: valid policy program", file.display());
         return Ok(ExitCode::SUCCESS);
@@ -62,7 +62,7 @@
 
 /// Compiles a program and runs it on sample requests, so that a program that loops or returns
 /// something else than a decision is found before it is in force.
-fn try_program(source: &str) -> Result<(), PolicyError> {
+fn check_program(source: &str) -> Result<(), PolicyError> {
     let engine = PolicyEngine::new();
     let policy = engine.compile(source)?;
     let zones: BTreeSet<ZoneId> = SAMPLE_ZONES.into_iter().map(ZoneId::new).collect();
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -41,41 +41,44 @@
 }
 
 const REGIONS: [&str; ZONES.len()] = ["region-1", "region-2"];
-const NODES_IN_ZONE: u16 = 2;
-const PORTS_A_NODE: u16 = 3;
+const NODES_PER_ZONE: u16 = 2;
+const PORTS_PER_NODE: u16 = 3;
 const REQUESTS: usize = 60;
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs everything in this process.
 pub fn run(arguments: &DevArguments) -> Result<ExitCode, CommandError> {
     if !(1..=REGIONS.len()).contains(&arguments.regions) {
-        let most = REGIONS.len();
-        return Err(CommandError::Usage(format!("--regions: expected 1 to {most}")));
+        let max = REGIONS.len();
+        return Err(CommandError::Usage(format!("--regions: expected 1 to {max}")));
     }
     let _logger =
         logging::start(&arguments.log).map_err(|error| CommandError::Logging(error.to_string()))?;
     let stop = stop_flag()?;
     let fleet = StandInFleet::start()
         .map_err(|error| CommandError::Fleet(format!("the stand-ins cannot start: {error}")))?;
-    let stores = stores(&fleet, arguments)
+    let store_addresses = store_addresses(&fleet, arguments)
         .map_err(|error| CommandError::Fleet(format!("the links cannot start: {error}")))?;
-    let nodes = start_nodes(&fleet, &stores, arguments);
-    wait_until_taking(&nodes)?;
+    let nodes = start_nodes(&fleet, &store_addresses, arguments);
+    wait_until_ready(&nodes)?;
     for node in &nodes {
         println!("node on http://{node}");
     }
     println!("{}", example_request(nodes[0]));
     println!("with the key {LIMITED_KEY}: the same for a tenant with a limit, 429 beyond it");
     if arguments.once {
-        return Ok(send_once(&nodes));
+        return Ok(run_load(&nodes));
     }
     wait_for_stop(&stop);
     Ok(ExitCode::SUCCESS)
 }
 
 /// Where the nodes of each zone reach the store.
-fn stores(fleet: &StandInFleet, arguments: &DevArguments) -> std::io::Result<Vec<SocketAddr>> {
+fn store_addresses(
+    fleet: &StandInFleet,
+    arguments: &DevArguments,
+) -> std::io::Result<Vec<SocketAddr>> {
     if arguments.regions == 1 {
         return Ok(vec![fleet.store.address(); ZONES.len()]);
     }
@@ -85,14 +88,15 @@
 
 fn start_nodes(
     fleet: &StandInFleet,
-    stores: &[SocketAddr],
+    store_addresses: &[SocketAddr],
     arguments: &DevArguments,
 ) -> Vec<SocketAddr> {
     let mut nodes = Vec::new();
-    let places = ZONES.iter().zip(stores).zip((0..).step_by(usize::from(NODES_IN_ZONE)));
-    for ((zone, store), first) in places {
-        for number in first..first + NODES_IN_ZONE {
-            let port = arguments.port + number * PORTS_A_NODE;
+    let placements =
+        ZONES.iter().zip(store_addresses).zip((0..).step_by(usize::from(NODES_PER_ZONE)));
+    for ((zone, store), first) in placements {
+        for number in first..first + NODES_PER_ZONE {
+            let port = arguments.port + number * PORTS_PER_NODE;
             let mut settings = settings(zone, number, port, fleet);
             settings.store.address = *store;
             settings.node.regions = regions(arguments.regions);
@@ -152,25 +156,25 @@
 }
 
 /// Waits until each node answers a request.
-fn wait_until_taking(nodes: &[SocketAddr]) -> Result<(), CommandError> {
-    let end = Instant::now() + READY_WITHIN;
-    let takes = |node: &SocketAddr| {
-        TcpStream::connect(node).is_ok() && send_load(&[*node], 2).faults.is_empty()
+fn wait_until_ready(nodes: &[SocketAddr]) -> Result<(), CommandError> {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    let is_ready = |node: &SocketAddr| {
+        TcpStream::connect(node).is_ok() && send_load(&[*node], 2).failures.is_empty()
     };
-    while !nodes.iter().all(takes) {
-        if Instant::now() >= end {
+    while !nodes.iter().all(is_ready) {
+        if Instant::now() >= deadline {
             return Err(CommandError::Fleet("the nodes did not become ready".to_owned()));
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-fn send_once(nodes: &[SocketAddr]) -> ExitCode {
+fn run_load(nodes: &[SocketAddr]) -> ExitCode {
     let report = send_load(nodes, REQUESTS);
-    println!("{} of {REQUESTS} answers were whole", report.whole);
-    report.faults.iter().for_each(|fault| println!("{fault}"));
-    if report.faults.is_empty() {
+    println!("{} of {REQUESTS} answers were whole", report.complete);
+    report.failures.iter().for_each(|failure| println!("{failure}"));
+    if report.failures.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(EXIT_FAILED)
@@ -179,6 +183,6 @@
 
 fn wait_for_stop(stop: &StopFlag) {
     while !stop.load(Ordering::Acquire) {
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -17,13 +17,13 @@
 }
 
 /// A log line that belongs to the story.
-struct Entry {
+struct LogEntry {
     time: String,
     source: String,
     fields: Map<String, Value>,
 }
 
-impl Entry {
+impl LogEntry {
     fn text(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
@@ -41,61 +41,67 @@
         entries.extend(read_entries(&file)?);
     }
     entries.sort_by(|left, right| left.time.cmp(&right.time));
-    let story = story_of(&entries, id);
-    if story.is_empty() {
+    let related = related_entries(&entries, id);
+    if related.is_empty() {
         println!("no line names the request {id}");
         return Ok(ExitCode::from(EXIT_FAILED));
     }
-    story.iter().for_each(|entry| println!("{}", render(entry)));
+    related.iter().for_each(|entry| println!("{}", render(entry)));
     Ok(ExitCode::SUCCESS)
 }
 
 /// Reads the JSON lines of a file; what stands before a line's object is dropped, and lines
 /// without one are passed over.
-fn read_entries(path: &Path) -> Result<Vec<Entry>, CommandError> {
+fn read_entries(path: &Path) -> Result<Vec<LogEntry>, CommandError> {
     let text = crate::check::read(path)?;
     let source = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
     Ok(text.lines().filter_map(|line| parse_line(line, &source)).collect())
 }
 
-fn parse_line(line: &str, file: &str) -> Option<Entry> {
+fn parse_line(line: &str, file: &str) -> Option<LogEntry> {
     let start = line.find('{')?;
     let (before, object) = line.split_at(start);
     let Ok(Value::Object(fields)) = serde_json::from_str(object.trim()) else { return None };
     let time = fields.get("time")?.as_str()?.to_owned();
     // Collected logs name the node before each line.
     let node = before.split_whitespace().last();
-    Some(Entry { time, source: node.unwrap_or(file).to_owned(), fields })
+    Some(LogEntry { time, source: node.unwrap_or(file).to_owned(), fields })
 }
 
-fn story_of<'a>(entries: &'a [Entry], id: &str) -> Vec<&'a Entry> {
-    let own = |entry: &&Entry| entry.text("request") == id;
-    let Some(first) = entries.iter().find(own) else { return Vec::new() };
-    let last = entries.iter().rfind(own).unwrap_or(first);
+fn related_entries<'a>(entries: &'a [LogEntry], id: &str) -> Vec<&'a LogEntry> {
+    let is_about_request = |entry: &&LogEntry| entry.text("request") == id;
+    let Some(first) = entries.iter().find(is_about_request) else { return Vec::new() };
+    let last = entries.iter().rfind(is_about_request).unwrap_or(first);
     let runners: BTreeSet<&str> = entries
         .iter()
-        .filter(own)
+        .filter(is_about_request)
         .map(|entry| entry.text("runner"))
         .filter(|runner| !runner.is_empty())
         .collect();
-    let meanwhile = |entry: &Entry| first.time <= entry.time && entry.time <= last.time;
-    let of_runner =
-        |entry: &Entry| entry.text("request").is_empty() && runners.contains(entry.text("runner"));
-    let identities: BTreeSet<&str> = entries.iter().filter(own).flat_map(identities_of).collect();
+    let is_during_request = |entry: &LogEntry| first.time <= entry.time && entry.time <= last.time;
+    let is_about_runner = |entry: &LogEntry| {
+        entry.text("request").is_empty() && runners.contains(entry.text("runner"))
+    };
+    let identities: BTreeSet<&str> =
+        entries.iter().filter(is_about_request).flat_map(request_identities).collect();
     // Runners may have crashed under the same request long before it came under this id.
-    let of_identity = |entry: &Entry| identities_of(entry).any(|it| identities.contains(it));
-    let belongs =
-        |entry: &&Entry| own(entry) || of_identity(entry) || (meanwhile(entry) && of_runner(entry));
-    entries.iter().filter(belongs).collect()
+    let shares_identity =
+        |entry: &LogEntry| request_identities(entry).any(|it| identities.contains(it));
+    let is_related = |entry: &&LogEntry| {
+        is_about_request(entry)
+            || shares_identity(entry)
+            || (is_during_request(entry) && is_about_runner(entry))
+    };
+    entries.iter().filter(is_related).collect()
 }
 
 /// The identities of requests that a line names: what stays of a request when it comes again.
-fn identities_of(entry: &Entry) -> impl Iterator<Item = &str> {
+fn request_identities(entry: &LogEntry) -> impl Iterator<Item = &str> {
     let named = entry.text("identities").split_whitespace();
     named.chain([entry.text("identity")]).filter(|identity| !identity.is_empty())
 }
 
-fn render(entry: &Entry) -> String {
+fn render(entry: &LogEntry) -> String {
     const SHOWN_FIRST: [&str; 5] = ["time", "level", "kind", "event", "request"];
     let mut line =
         format!("{} {} {}: {}", entry.time, entry.source, entry.text("kind"), entry.text("event"));
--- a/crates/cli/src/quota.rs
+++ b/crates/cli/src/quota.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 /// Longest wait for the node, for each step.
-const NODE_LIMIT: Duration = Duration::from_secs(5);
-const MILLIS_A_SECOND: f64 = 1_000.0;
+const NODE_TIMEOUT: Duration = Duration::from_secs(5);
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// Arguments of `pitchstall quota`.
 #[derive(Debug, Options)]
@@ -31,28 +31,28 @@
     let address: SocketAddr =
         address.parse().map_err(|_| CommandError::Usage(format!("{address} is not an IP:port")))?;
     let failed = |error: String| CommandError::Fleet(format!("{address}: {error}"));
-    let answer = ask(address).map_err(|error| failed(error.to_string()))?;
-    let body = body_of(&answer).ok_or_else(|| failed(format!("no {QUOTA_PATH} there")))?;
+    let response = fetch_report(address).map_err(|error| failed(error.to_string()))?;
+    let body = response_body(&response).ok_or_else(|| failed(format!("no {QUOTA_PATH} there")))?;
     let report: Value = serde_json::from_str(body).map_err(|error| failed(error.to_string()))?;
     print!("{}", render(&report));
     let is_known = report["keepers"].as_array().is_some_and(|keepers| !keepers.is_empty());
-    let is_sound = is_known || report["has_limits"] == false;
-    Ok(if is_sound { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILED) })
+    let is_healthy = is_known || report["has_limits"] == false;
+    Ok(if is_healthy { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILED) })
 }
 
-fn ask(address: SocketAddr) -> std::io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&address, NODE_LIMIT)?;
-    stream.set_read_timeout(Some(NODE_LIMIT))?;
+fn fetch_report(address: SocketAddr) -> std::io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, NODE_TIMEOUT)?;
+    stream.set_read_timeout(Some(NODE_TIMEOUT))?;
     let request =
         format!("GET {QUOTA_PATH} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    Ok(answer)
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    Ok(response)
 }
 
-fn body_of(answer: &str) -> Option<&str> {
-    let (head, body) = answer.split_once("\r\n\r\n")?;
+fn response_body(response: &str) -> Option<&str> {
+    let (head, body) = response.split_once("\r\n\r\n")?;
     head.split(' ').nth(1).filter(|status| *status == "200").map(|_| body)
 }
 
@@ -64,10 +64,10 @@
     let (held, keepers) = (list(&report["held"]), list(&report["keepers"]));
     let mut text = String::new();
     for keeper in &held {
-        let (name, left) = (text_of(keeper, "keeper"), seconds(keeper, "left_ms"));
+        let (name, left) = (text_field(keeper, "keeper"), seconds_field(keeper, "left_ms"));
         text.push_str(&format!("{name} is kept here for {left} s more, if not renewed\n"));
         for tenant in list(&keeper["tenants"]) {
-            let name = text_of(&tenant, "tenant");
+            let name = text_field(&tenant, "tenant");
             let amount = |field: &str| tenant[field].as_i64().unwrap_or_default();
             let (level, debt, granted) = (amount("level"), amount("debt"), amount("granted"));
             text.push_str(&format!(
@@ -83,20 +83,20 @@
         let note = if keeper["asked"] == true { "" } else { ", passed over" };
         text.push_str(&format!(
             "{} is held by {} at {}, heard of {} s ago{note}\n",
-            text_of(keeper, "keeper"),
-            text_of(keeper, "node"),
-            text_of(keeper, "address"),
-            seconds(keeper, "heard_ms"),
+            text_field(keeper, "keeper"),
+            text_field(keeper, "node"),
+            text_field(keeper, "address"),
+            seconds_field(keeper, "heard_ms"),
         ));
     }
     text
 }
 
-fn text_of<'a>(value: &'a Value, field: &str) -> &'a str {
+fn text_field<'a>(value: &'a Value, field: &str) -> &'a str {
     value[field].as_str().unwrap_or_default()
 }
 
-fn seconds(value: &Value, field: &str) -> String {
+fn seconds_field(value: &Value, field: &str) -> String {
     let millis = value[field].as_u64().unwrap_or_default();
-    format!("{:.1}", millis as f64 / MILLIS_A_SECOND)
+    format!("{:.1}", millis as f64 / MILLIS_PER_SECOND)
 }
--- a/crates/cli/tests/check.rs
+++ b/crates/cli/tests/check.rs
@@ -14,7 +14,7 @@
     (output.status.code(), String::from_utf8(text).unwrap())
 }
 
-fn check_text(name: &str, text: &str) -> (Option<i32>, String) {
+fn check_contents(name: &str, text: &str) -> (Option<i32>, String) {
     let file = std::env::temp_dir().join(format!("pitchstall-{}-{name}", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let checked = check(&file);
@@ -24,23 +24,23 @@
 
 #[test_case("examples/serve.toml", "valid settings")]
 #[test_case("examples/stay-in-zone.rhai", "valid policy program")]
-fn examples_are_valid(file: &str, said: &str) {
+fn examples_are_valid(file: &str, expected: &str) {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let (code, text) = check(&root.join(file));
     assert_eq!(code, Some(0), "{text}");
-    assert!(text.contains(said), "{text}");
+    assert!(text.contains(expected), "{text}");
 }
 
 #[test]
 fn the_regions_in_force_are_printed() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let example = std::fs::read_to_string(root.join("examples/serve.toml")).unwrap();
-    let (code, text) = check_text("regions.toml", &example);
+    let (code, text) = check_contents("regions.toml", &example);
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("zone brest-hall (this node): region finistere"), "{text}");
     assert!(text.contains("zone quimper-hall: region finistere"), "{text}");
-    let untold = example.replace("brest-hall = \"finistere\"", "");
-    let (_, text) = check_text("untold.toml", &untold);
+    let unnamed = example.replace("brest-hall = \"finistere\"", "");
+    let (_, text) = check_contents("untold.toml", &unnamed);
     assert!(text.contains("brest-hall (this node): not named, a region of its own"), "{text}");
 }
 
@@ -50,7 +50,7 @@
 #[test_case("d.rhai", "#{ zone", "parse"; "a program that does not parse")]
 #[test_case("e.rhai", "loop { }", "operations"; "a program that loops")]
 fn what_is_wrong_is_told(name: &str, text: &str, expected: &str) {
-    let (code, said) = check_text(name, text);
-    assert_eq!(code, Some(EXIT_USAGE), "{said}");
-    assert!(said.contains(expected), "{said}");
+    let (code, output) = check_contents(name, text);
+    assert_eq!(code, Some(EXIT_USAGE), "{output}");
+    assert!(output.contains(expected), "{output}");
 }
--- a/crates/cli/tests/quota.rs
+++ b/crates/cli/tests/quota.rs
@@ -12,9 +12,9 @@
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let mut question = [0; 512];
-        let length = stream.read(&mut question).unwrap();
-        assert!(question[..length].starts_with(b"GET /quota HTTP/1.1\r\n"));
+        let mut request = [0; 512];
+        let length = stream.read(&mut request).unwrap();
+        assert!(request[..length].starts_with(b"GET /quota HTTP/1.1\r\n"));
         let body = report.to_string();
         let head = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n", body.len());
         stream.write_all((head + &body).as_bytes()).unwrap();
@@ -22,7 +22,7 @@
     address
 }
 
-fn ask(arguments: &[&str]) -> Output {
+fn run_quota(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_pitchstall")).arg("quota").args(arguments).output().unwrap()
 }
 
@@ -42,7 +42,7 @@
             { "keeper": "west/1", "node": "node-2", "address": "127.0.0.1:8", "heard_ms": 2_400, "asked": false },
         ],
     });
-    let output = ask(&[&health_address("200 OK", report).to_string()]);
+    let output = run_quota(&[&health_address("200 OK", report).to_string()]);
     assert!(output.status.success());
     assert_eq!(
         text(&output),
@@ -56,7 +56,7 @@
 #[test]
 fn it_fails_where_there_are_limits_and_no_keeper_is_known() {
     let report = json!({ "has_limits": true, "held": [], "keepers": [] });
-    let output = ask(&[&health_address("200 OK", report).to_string()]);
+    let output = run_quota(&[&health_address("200 OK", report).to_string()]);
     assert_eq!(output.status.code(), Some(1));
     assert!(text(&output).starts_with("no keeper is known"));
 }
@@ -64,7 +64,7 @@
 #[test]
 fn without_limits_it_says_so() {
     let report = json!({ "has_limits": false, "held": [], "keepers": [] });
-    let output = ask(&[&health_address("200 OK", report).to_string()]);
+    let output = run_quota(&[&health_address("200 OK", report).to_string()]);
     assert!(output.status.success());
     assert_eq!(text(&output), "no tenant has a limit\n");
 }
@@ -73,7 +73,7 @@
 fn an_address_that_is_none_or_answers_something_else_is_an_error() {
     let other = health_address("404 Not Found", json!({})).to_string();
     for arguments in [&[][..], &["here"][..], &["127.0.0.1:1"][..], &[other.as_str()][..]] {
-        let output = ask(arguments);
+        let output = run_quota(arguments);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
         assert!(!output.stderr.is_empty());
     }
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant};
 
 /// No test waits longer for something that should happen.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Bits of SIGHUP and SIGTERM in a mask of signals.
-const RELOAD: u64 = 1;
-const STOP: u64 = 1 << 14;
+const SIGHUP_BIT: u64 = 1;
+const SIGTERM_BIT: u64 = 1 << 14;
 
 /// The signals that a process catches, as a mask.
-fn caught_by(process: &Child) -> u64 {
+fn caught_signals(process: &Child) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.id())).unwrap();
     let mask = status.lines().find_map(|line| line.strip_prefix("SigCgt:")).unwrap();
     u64::from_str_radix(mask.trim(), 16).unwrap()
@@ -31,14 +31,14 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let end = Instant::now() + PATIENCE;
-    let wanted = RELOAD | STOP;
-    while caught_by(&process) & wanted != wanted && Instant::now() < end {
+    let deadline = Instant::now() + CATCH_TIMEOUT;
+    let expected = SIGHUP_BIT | SIGTERM_BIT;
+    while caught_signals(&process) & expected != expected && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let caught = caught_by(&process);
+    let caught = caught_signals(&process);
     process.kill().unwrap();
     process.wait().unwrap();
     std::fs::remove_file(&settings).unwrap();
-    assert_eq!(caught & wanted, wanted);
+    assert_eq!(caught & expected, expected);
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -7,7 +7,7 @@
 use crate::intake::{ClientRequest, WholeAnswer};
 use crate::node::Node;
 use crate::verification::{becomes_suspect, doubt, CONNECT_LIMIT};
-use pitchstall_platform_adapter::headers::{self, LeftOut};
+use pitchstall_platform_adapter::headers::{self, OmittedHeaders};
 use pitchstall_serving::ids::{RunnerId, TenantName};
 use pitchstall_serving::placement::RunnerChoice;
 use pitchstall_serving::request::{AttemptInstructions, ResponseMetadata, Work};
@@ -245,9 +245,12 @@
         fetch_from: params.fetch_from,
         tenant: params.tenant.clone(),
     };
-    let left_out =
-        LeftOut { last_event: params.after_event.is_some(), authorization: params.has_tenants };
-    let is_forwarded = |(name, value): &&Header| headers::is_forwarded(name, value, left_out);
+    let left_out = OmittedHeaders {
+        last_event_id: params.after_event.is_some(),
+        authorization: params.has_tenants,
+    };
+    let is_forwarded =
+        |(name, value): &&Header| headers::is_forwarded_to_runner(name, value, left_out);
     let forwarded = request.headers.iter().filter(is_forwarded);
     let mut all: Vec<Header> = forwarded.cloned().collect();
     let own = headers::attempt_headers(&order).into_iter();
@@ -384,7 +387,7 @@
     pub fn client_headers(&self) -> Vec<Header> {
         let named = crate::http::named_by_connection(&self.head.headers);
         let passes = |header: &&Header| {
-            headers::is_for_client(&header.0)
+            headers::is_forwarded_to_client(&header.0)
                 && !crate::http::is_connection_header(&header.0, &named)
         };
         self.head.headers.iter().filter(passes).cloned().collect()
--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -171,7 +171,7 @@
         let lease = StoreLease { era: granted.era, number };
         let node = self.node.settings().node.name.clone();
         // Without an answer the key may be ours unknown to us: the lease lapses by itself.
-        let take = store::take_authority(&self.subject, &node, lease.number);
+        let take = store::acquire_authority(&self.subject, &node, lease.number);
         let Some(taken) = self.call(&take).await.filter(StoreAnswer::is_done) else { return };
         let Some(revision) = readable("authority", store::parse_transaction(&taken.body)) else {
             return;
@@ -193,14 +193,14 @@
     /// The store came back older between the granting of the lease and the writing of the key, which hangs on whatever
     /// lease has that number now.
     async fn undo(&mut self, acquired_at: StoreRevision) {
-        let remove = store::remove_authority(&self.subject, acquired_at.number());
+        let remove = store::release_authority(&self.subject, acquired_at.number());
         let status = self.call(&remove).await.map(|answer| answer.status);
         log::warn!(target: "authority", subject = self.name.as_str(), status:?; "taken in another era");
     }
 
     async fn renew(&mut self, lease: StoreLease) {
         let sent_at_us = self.node.now_us();
-        let answer = self.call(&store::keep_lease(lease.number)).await;
+        let answer = self.call(&store::renew_lease(lease.number)).await;
         if answer.as_ref().is_some_and(|answer| answer.era != lease.era) {
             // Whatever it says, it is of another lease.
             return self.lose("the lease is of another era of the store");
@@ -246,7 +246,7 @@
     /// Without an answer the lease lapses by itself. One of an earlier era may be another holder's by now.
     async fn end_lease(&mut self, lease: StoreLease) {
         let is_own = lease.era == self.node.store_era();
-        if !is_own || self.call(&store::end_lease(lease.number)).await.is_none() {
+        if !is_own || self.call(&store::revoke_lease(lease.number)).await.is_none() {
             let (subject, lease) = (self.name.as_str(), lease.number);
             log::info!(target: "authority", subject, lease; "left to lapse");
         }
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::shard_scheduler::own_shards;
 use crate::transfer::{read_body, Transfer};
-use pitchstall_platform_adapter::paths::{self, Told};
+use pitchstall_platform_adapter::paths::{self, RunnerResponse};
 use pitchstall_serving::fleet::Fleet;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::prefix::PromptPart;
@@ -38,11 +38,12 @@
             continue;
         }
         let told = list(address).await;
-        if let Some(other) = told.as_ref().filter(|told| !runner.matches_start(told.born_ms)) {
-            node.on_other_life(&runner, other.born_ms);
+        if let Some(other) = told.as_ref().filter(|told| !runner.matches_start(told.started_at_ms))
+        {
+            node.on_other_life(&runner, other.started_at_ms);
             continue;
         }
-        let parts = told.map(|told| told.what);
+        let parts = told.map(|told| told.value);
         let listed = parts.as_ref().map_or(0, Vec::len);
         let answered = parts.is_some();
         log::info!(target: "scheduling", runner = runner.as_str(), answered, listed; "cache listed");
@@ -60,11 +61,11 @@
     listed.map(|runner| (runner.record.id.clone(), runner.record.address)).collect()
 }
 
-async fn list(address: SocketAddr) -> Option<Told<Vec<PromptPart>>> {
+async fn list(address: SocketAddr) -> Option<RunnerResponse<Vec<PromptPart>>> {
     const OK: u16 = 200;
     let connection = Upstream::open(address, LIST_LIMIT).await.ok()?;
     let headers = [("host".to_owned(), address.to_string().into_bytes())];
-    connection.send(request_bytes("GET", paths::LIST_CACHE, &headers, &[])).ok()?;
+    connection.send(request_bytes("GET", paths::CACHE_LIST, &headers, &[])).ok()?;
     let head = timeout(LIST_LIMIT, connection.read_head()).await.ok()?.ok()?;
     let decoder = BodyDecoder::new(head.framing);
     let transfer = Transfer::default();
--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use crate::refused_entries::EntryFault;
-use pitchstall_platform_adapter::documents::{self, ReadConfiguration, RefusedTenant};
+use pitchstall_platform_adapter::documents::{self, ParsedConfiguration, RefusedTenant};
 use pitchstall_platform_adapter::store::{self, Item, CONFIGURATION_KEY};
 use pitchstall_serving::ids::RunnerName;
 use pitchstall_serving::quarantine::{Crash, CrashRecord};
@@ -45,7 +45,7 @@
     }
     let Some(document) = &entry.document else { return };
     match documents::parse_configuration(document.as_bytes()) {
-        Ok(ReadConfiguration { configuration, refused }) => {
+        Ok(ParsedConfiguration { configuration, refused }) => {
             for RefusedTenant { tenant, cause } in refused {
                 let (tenant, error) = (tenant.as_str(), cause.to_string());
                 log::error!(target: "configuration", version = configuration.version, tenant, error; "tenant refused");
@@ -68,7 +68,7 @@
     if let Some(record) = read_record(node, entry, revision) {
         return node.put_runner(record);
     }
-    let Some(name) = documents::runner_of_key(&entry.key) else { return };
+    let Some(name) = documents::parse_runner_key(&entry.key) else { return };
     // An entry that cannot be used has not lapsed: somebody has written it.
     let lapses_until_us = node.lapses_until_us().filter(|_| entry.is_tombstone());
     node.remove_runner(&name, revision, lapses_until_us);
@@ -89,14 +89,14 @@
     let used_names: HashSet<RunnerName> = used.iter().map(|record| record.id.name()).collect();
     for record in refused {
         let name = record.id.name();
-        let key = documents::key_of_runner(&name);
+        let key = documents::runner_key(&name);
         let revision = record.revision.number();
         node.on_refused_entry(Subject::Runners.name(), &key, revision, &EntryFault::NoStart);
     }
     node.replace_runners(used, update.known_to(), node.lapses_until_us());
     let unusable = update.entries.iter().filter(|entry| !entry.is_tombstone());
     for entry in unusable {
-        let name = documents::runner_of_key(&entry.key);
+        let name = documents::parse_runner_key(&entry.key);
         if let Some(name) = name.filter(|name| !used_names.contains(name)) {
             node.remove_runner(&name, update.revision_of(entry), None);
         }
@@ -107,7 +107,7 @@
     if let Some((crash, record)) = crash_of(node, entry) {
         let change = node.quarantine.borrow_mut().on_stored(&crash, record);
         node.log_crash(&crash, change, "store");
-    } else if let Some(crash) = store::crash_of_key(&entry.key) {
+    } else if let Some(crash) = store::parse_crash_key(&entry.key) {
         node.quarantine.borrow_mut().on_removed(&crash);
     }
 }
@@ -115,7 +115,7 @@
 /// The crash that an entry tells; `None` if it was removed or cannot be read.
 fn crash_of(node: &Node, entry: &StoreEntry) -> Option<(Crash, CrashRecord)> {
     let document = entry.document.as_deref()?;
-    let fault = match (store::crash_of_key(&entry.key), serde_json::from_str(document)) {
+    let fault = match (store::parse_crash_key(&entry.key), serde_json::from_str(document)) {
         (Some(crash), Ok(record)) => return Some((crash, record)),
         (None, _) => EntryFault::Key,
         (_, Err(error)) => EntryFault::Document(error.to_string()),
@@ -168,9 +168,8 @@
 /// A value as a document; keys in a configuration are hidden from here on.
 fn document_of(subject: Subject, value: Vec<u8>) -> Result<String, EntryFault> {
     match subject {
-        Subject::Configuration => {
-            documents::hide_keys(&value).map_err(|error| EntryFault::Document(error.to_string()))
-        }
+        Subject::Configuration => documents::digest_api_keys(&value)
+            .map_err(|error| EntryFault::Document(error.to_string())),
         Subject::Runners | Subject::Crashes => {
             String::from_utf8(value).map_err(|_| EntryFault::NoText)
         }
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -129,7 +129,7 @@
     /// Reads the head of a runner's answer, and takes in what the runner says of itself there. Whatever becomes of the
     /// request, the word holds: the store may hear of it many seconds later, or never.
     pub fn on_answer_head(&self, runner: &RunnerId, head: &AnswerHead) -> ResponseMetadata {
-        let facts = headers::parse_answer(head.status, head.header_pairs());
+        let facts = headers::parse_response(head.status, head.header_pairs());
         self.on_unknown_words(runner, &facts.unknown_headers);
         if facts.is_about(runner) {
             self.on_notice(runner, facts.notice);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -321,13 +321,13 @@
                     .await;
             }
             let sent_at_us = self.node.now_us();
-            match self.call(client, &store::keep_lease(lease.number)).await {
+            match self.call(client, &store::renew_lease(lease.number)).await {
                 Ok(_) => self.node.quotas.on_renewed(sent_at_us),
                 Err(CallFailure::Absent) => return self.node.quotas.on_lease_over(),
                 Err(CallFailure::Other) => {}
             }
             if renewal % RENEWALS_A_LISTING == 0 {
-                self.list(client, store::read_nodes_cheaply).await;
+                self.list(client, store::read_nodes_stale).await;
             }
         }
     }
@@ -357,7 +357,7 @@
 
     /// The node that an entry names; `None` if it names none.
     fn read_node(&self, item: &Item) -> Option<(NodeId, Member)> {
-        let node = store::node_of(item);
+        let node = store::parse_node(item);
         if node.is_none() {
             let fault = EntryFault::Document("it tells of no node".to_owned());
             self.node.on_refused_entry("nodes", &item.key, item.revision, &fault);
--- a/crates/gateway/src/quota/slots.rs
+++ b/crates/gateway/src/quota/slots.rs
@@ -95,7 +95,7 @@
 
     /// Learns who holds a keeper from an item of the store, read in an era.
     fn learn(&self, item: &Item, era: StoreEra) {
-        let Some((keeper, holder, revision)) = quota_slots::keeper_of(item) else {
+        let Some((keeper, holder, revision)) = quota_slots::parse_keeper(item) else {
             let fault = EntryFault::Document("it tells of no keeper".to_owned());
             self.node.on_refused_entry("keepers", &item.key, item.revision, &fault);
             return;
@@ -141,7 +141,7 @@
     ) {
         let address = own_address(&self.node);
         let holder = KeeperHolder { node: own_name(&self.node), address };
-        let call = quota_slots::take_keeper(keeper, &holder, lease.id.number, revision);
+        let call = quota_slots::acquire_keeper(keeper, &holder, lease.id.number, revision);
         let answer = self.node.call_store(&mut self.client, &call, STORE_LIMIT).await;
         match answer.map(|answer| (answer.status, answer.era, answer.body)) {
             Some((StoreStatus::Done, era, body)) => {
@@ -205,7 +205,7 @@
                 // What has that number now may be another holder's.
                 continue;
             }
-            let call = quota_slots::remove_keeper(&keeper, revision.number());
+            let call = quota_slots::release_keeper(&keeper, revision.number());
             let answer = self.node.call_store(&mut self.client, &call, STORE_LIMIT).await;
             let status = answer.map(|answer| answer.status);
             let (keeper, revision) = (keeper.to_string(), revision.to_string());
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -51,7 +51,7 @@
     let exchange = async {
         let connection = Upstream::open(address, FREE_LIMIT).await.ok()?;
         let headers = [("host".to_owned(), address.to_string().into_bytes())];
-        let target = paths::free_handle(&name);
+        let target = paths::kv_handle_path(&name);
         connection.send(request_bytes("DELETE", &target, &headers, &[])).ok()?;
         connection.read_head().await.ok()
     };
@@ -109,14 +109,15 @@
         }
         Err(_) => return ReadingEnd::Failed,
     };
-    let read = if answer.status == 200 { paths::parse_prompt_read(&answer.body) } else { None };
+    let read =
+        if answer.status == 200 { paths::parse_prefill_response(&answer.body) } else { None };
     let Some(read) = read else { return ReadingEnd::Failed };
     // The handle holds whichever life has given it; what else is believed of this one is over.
-    match runner.matches_start(read.born_ms) {
+    match runner.matches_start(read.started_at_ms) {
         true => node.on_parts_held(&runner, demand.prompt.shared_prefix()),
-        false => node.on_other_life(&runner, read.born_ms),
+        false => node.on_other_life(&runner, read.started_at_ms),
     }
-    let name = read.what;
+    let name = read.value;
     let elapsed_ms = begun.elapsed().as_secs_f64() * 1_000.0;
     let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
     node.on_read_in(demand.service, &runner, sample);
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -9,7 +9,7 @@
 use crate::http::{BodyDecoder, Header, Upstream};
 use crate::node::Node;
 use pitchstall_platform_adapter::headers;
-use pitchstall_platform_adapter::paths::{self, OrderAnswer, RunnerReport};
+use pitchstall_platform_adapter::paths::{self, OrderResponse, RunnerReport};
 use pitchstall_serving::authority::{AuthoritySubject, FencingToken};
 use pitchstall_serving::configuration::EngineSpec;
 use pitchstall_serving::fleet::Fleet;
@@ -141,7 +141,7 @@
         let answer = self.send_order(&record, change.stage, fence).await;
         let now_us = self.node.now_us();
         // An order without an answer may have been taken.
-        if !matches!(answer, Some(OrderAnswer::Refused | OrderAnswer::Outdated)) {
+        if !matches!(answer, Some(OrderResponse::Refused | OrderResponse::Outdated)) {
             let until_us = now_us + CHANGING_US;
             self.node.on_role_ordered(&record.id, change.stage, until_us);
         }
@@ -161,30 +161,30 @@
         record: &RunnerRecord,
         stage: Stage,
         fence: FencingToken,
-    ) -> Option<OrderAnswer> {
+    ) -> Option<OrderResponse> {
         let (_, body) = call_runner(&self.node, record, "GET", paths::REPORT, &[]).await?;
-        let Some(report) = paths::parse_report(&body) else {
-            return Some(OrderAnswer::Refused);
+        let Some(report) = paths::parse_runner_report(&body) else {
+            return Some(OrderResponse::Refused);
         };
         // Another life counts its orders anew: the number that it is asked to expect would hold by chance.
-        if !record.id.matches_start(report.born_ms) {
-            self.node.on_other_life(&record.id, report.born_ms);
-            return Some(OrderAnswer::Refused);
+        if !record.id.matches_start(report.started_at_ms) {
+            self.node.on_other_life(&record.id, report.started_at_ms);
+            return Some(OrderResponse::Refused);
         }
-        let RunnerReport { orders_taken, is_busy, leaving } = report.what;
+        let RunnerReport { accepted_orders, is_busy, is_draining: leaving } = report.value;
         self.node.on_notice(&record.id, RunnerNotice { leaving, ..RunnerNotice::default() });
         if is_busy || leaving {
-            return Some(OrderAnswer::Refused);
+            return Some(OrderResponse::Refused);
         }
         // The term may have ended while the runner was asked.
         if self.fence_now() != Some(fence) {
-            return Some(OrderAnswer::Refused);
+            return Some(OrderResponse::Refused);
         }
         let name = self.node.settings().node.name.clone();
-        let order = paths::role_order(stage, &name, fence, orders_taken);
+        let order = paths::role_order_body(stage, &name, fence, accepted_orders);
         let (status, _) = call_runner(&self.node, record, "POST", paths::ORDER, &order).await?;
         let answer = paths::parse_order_status(status);
-        if answer == Some(OrderAnswer::Outdated) {
+        if answer == Some(OrderResponse::Outdated) {
             self.holding().on_refused(fence);
         }
         answer
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -8,7 +8,7 @@
 use crate::platform_client::PlatformClient;
 use crate::settings::Duty;
 use crate::store_answers::readable;
-use pitchstall_platform_adapter::cloud::{self, DutyAnswer, DutyHolder, ScaleOrder};
+use pitchstall_platform_adapter::cloud::{self, DutyHolder, DutyResponse, ScaleOrder};
 use pitchstall_platform_adapter::store::{self, StoreStatus};
 use pitchstall_serving::authority::FencingToken;
 use pitchstall_serving::capacity_planner::{
@@ -210,16 +210,16 @@
         let now_us = self.node.now_us();
         let Some(plan) = self.plans.get_mut(service) else { return false };
         match outcome {
-            Ok(DutyAnswer::Done) => plan.planner.on_ordered(order),
+            Ok(DutyResponse::Done) => plan.planner.on_ordered(order),
             // The same status tells of a higher fencing token: that one shows at the next order of
             // the other kind, at a usage report, or when the lease is renewed.
-            Ok(DutyAnswer::Conflict) if preemptible => plan.planner.on_unavailable(order, now_us),
-            Ok(DutyAnswer::Conflict) => {
+            Ok(DutyResponse::Conflict) if preemptible => plan.planner.on_unavailable(order, now_us),
+            Ok(DutyResponse::Conflict) => {
                 self.node.authority.on_refused(fence);
                 return false;
             }
             // Without an answer it may have been taken or not: it is given again.
-            Ok(DutyAnswer::Later) | Err(_) => {
+            Ok(DutyResponse::Later) | Err(_) => {
                 sleep(LATER_PAUSE).await;
                 return false;
             }
@@ -232,7 +232,7 @@
     service: &ServiceName,
     order: &CapacityOrder,
     fence: FencingToken,
-    outcome: &Result<DutyAnswer, E>,
+    outcome: &Result<DutyResponse, E>,
 ) {
     let answer = match outcome {
         Ok(answer) => format!("{answer:?}"),
--- a/crates/gateway/src/store_answers.rs
+++ b/crates/gateway/src/store_answers.rs
@@ -1,6 +1,6 @@
 //! Answers of the store to calls that are not its copies' ([`crate::watcher`]).
 
-use pitchstall_platform_adapter::store::{StoreAnswerError, StoreStatus};
+use pitchstall_platform_adapter::store::{StoreResponseError, StoreStatus};
 use pitchstall_serving::store_revision::StoreEra;
 
 /// An answer.
@@ -23,7 +23,7 @@
 
 /// What an answer says of `what`; one that cannot be read is logged, and is as good as none: whatever was granted by
 /// it lapses.
-pub fn readable<T>(what: &str, parsed: Result<T, StoreAnswerError>) -> Option<T> {
+pub fn readable<T>(what: &str, parsed: Result<T, StoreResponseError>) -> Option<T> {
     parsed
         .inspect_err(|error| {
             let error = error.to_string();
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -12,7 +12,7 @@
 use crate::refused_entries::EntryFault;
 use crate::settings::{Duty, UsageSection};
 use crate::store_answers::{readable, StoreAnswer};
-use pitchstall_platform_adapter::cloud::{self, DutyAnswer, DutyHolder};
+use pitchstall_platform_adapter::cloud::{self, DutyHolder, DutyResponse};
 use pitchstall_platform_adapter::store::{self, StoreStatus};
 use pitchstall_serving::authority::FencingToken;
 use pitchstall_serving::ids::{NodeId, TenantName};
@@ -277,7 +277,7 @@
         let now_ms = self.node.wall_ms();
         for item in page.items {
             let (key, revision) = (item.key.clone(), item.revision);
-            let Some((window, body)) = store::usage_report_of(item) else {
+            let Some((window, body)) = store::parse_stored_usage_report(item) else {
                 let fault = EntryFault::Document("it tells of no window".to_owned());
                 self.node.on_refused_entry("usage", &key, revision, &fault);
                 continue;
@@ -316,7 +316,7 @@
         let Some(fence) = self.fence_to_act() else { return };
         let kept_from = window.saturating_sub(2 + times.due_ms / times.windows.length_ms.max(1));
         let older: Vec<u64> = self.stored.iter().copied().filter(|it| *it < kept_from).collect();
-        let call = store::fix_usage_report(window, &report, fence, &older);
+        let call = store::persist_usage_report(window, &report, fence, &older);
         let answer = self.node.call_store(&mut self.store, &call, CALL_LIMIT).await;
         let fixed = match answer.map(|answer| (answer.status, answer.body)) {
             Some((StoreStatus::Done, _)) => Some(report),
@@ -345,7 +345,7 @@
     /// The report that is in the store already; `None`: the authority has gone to another node.
     fn fixed_by_another(&self, window: u64, fence: FencingToken, body: &[u8]) -> Option<Vec<u8>> {
         let items = readable("usage report", store::parse_conflict(body))?;
-        let reports = items.into_iter().filter_map(store::usage_report_of);
+        let reports = items.into_iter().filter_map(store::parse_stored_usage_report);
         let found = reports.into_iter().find(|(of, _)| *of == window);
         if found.is_none() {
             log::warn!(target: "usage", window, fence = fence.number(); "authority lost");
@@ -389,9 +389,9 @@
         };
         log::info!(target: "usage", window, fence = fence.number(), answer = told; "reported");
         match outcome {
-            Ok(DutyAnswer::Done) => drop(self.open.remove(&window)),
-            Ok(DutyAnswer::Conflict) => self.node.authority.on_refused(fence),
-            Ok(DutyAnswer::Later) | Err(_) => self.put_off(window),
+            Ok(DutyResponse::Done) => drop(self.open.remove(&window)),
+            Ok(DutyResponse::Conflict) => self.node.authority.on_refused(fence),
+            Ok(DutyResponse::Later) | Err(_) => self.put_off(window),
         }
     }
 
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -22,7 +22,7 @@
 use other_nodes::hedged_copy;
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store::{
-    self, Page, StoreAnswerError, StoreStatus, CONFIGURATION_KEY, CRASHES_PREFIX, RUNNERS_PREFIX,
+    self, Page, StoreResponseError, StoreStatus, CONFIGURATION_KEY, CRASHES_PREFIX, RUNNERS_PREFIX,
 };
 use pitchstall_serving::freshness::{Freshness, ReplicaFreshness};
 use pitchstall_serving::store_replica::{StoreUpdate, StoreUpdateQuery, Subject};
@@ -68,7 +68,7 @@
     #[error(transparent)]
     Store(#[from] PlatformFailure),
     #[error(transparent)]
-    Answer(#[from] StoreAnswerError),
+    Answer(#[from] StoreResponseError),
     #[error("the store says {0:?}")]
     Status(StoreStatus),
     #[error("the configuration cannot be read")]
--- a/crates/gateway/tests/authority.rs
+++ b/crates/gateway/tests/authority.rs
@@ -96,7 +96,7 @@
         let script = move |request: &ReceivedRequest| match request.target.as_str() {
             "/v1/report" => json_answer(report),
             "/v1/kv-list" => json_answer(r#"{"epoch":"e","next_token":0,"held":[]}"#),
-            _ => Reaction::Answer { status: 202, body: Vec::new() },
+            _ => Reaction::Respond { status: 202, body: Vec::new() },
         };
         RunnerStandIn::start(id, script).unwrap()
     };
--- a/crates/gateway/tests/connection_pool.rs
+++ b/crates/gateway/tests/connection_pool.rs
@@ -5,7 +5,7 @@
 
 use pitchstall_gateway::clock::Instant;
 use pitchstall_gateway::http::TrustedRest;
-use pitchstall_platform_standins::runner::{signed_answer, Reaction, RunnerStandIn};
+use pitchstall_platform_standins::runner::{signed_response, Reaction, RunnerStandIn};
 use std::collections::HashSet;
 use std::sync::Mutex;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     let known = Mutex::new(HashSet::new());
     let runner = RunnerStandIn::start("i-desk", move |request| {
         if known.lock().unwrap().insert(request.connection) {
-            return Reaction::Raw(signed_answer(request, 200, b"booked"));
+            return Reaction::Raw(signed_response(request, 200, b"booked"));
         }
         Reaction::RawThenReset(Vec::new())
     });
--- a/crates/gateway/tests/foreign_entries.rs
+++ b/crates/gateway/tests/foreign_entries.rs
@@ -13,7 +13,8 @@
 
 fn runner(id: &'static str) -> RunnerStandIn {
     let body = id.as_bytes().to_vec();
-    RunnerStandIn::start(id, move |_| Reaction::Answer { status: 200, body: body.clone() }).unwrap()
+    RunnerStandIn::start(id, move |_| Reaction::Respond { status: 200, body: body.clone() })
+        .unwrap()
 }
 
 fn ask(node: &Fixture) -> (u16, String) {
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -3,9 +3,9 @@
 
 mod support;
 
-use pitchstall_platform_standins::http::{answer_bytes, ReceivedRequest};
+use pitchstall_platform_standins::http::{response_bytes, ReceivedRequest};
 use pitchstall_platform_standins::runner::{
-    event_text, signed_answer, stream_head, EventStream, Reaction, RunnerStandIn,
+    event_text, signed_response, stream_head, EventStream, Reaction, RunnerStandIn,
 };
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use test_case::test_case;
 
 fn ok(body: &str) -> Reaction {
-    Reaction::Answer { status: 200, body: body.as_bytes().to_vec() }
+    Reaction::Respond { status: 200, body: body.as_bytes().to_vec() }
 }
 
 fn desk(script: impl Fn(&ReceivedRequest) -> Reaction + Send + Sync + 'static) -> RunnerStandIn {
@@ -146,8 +146,8 @@
 #[test_case(Reaction::RawThenReset(Vec::new()); "reset unanswered")]
 #[test_case(Reaction::Raw(b"what is this\r\n\r\n".to_vec()); "no answer in HTTP")]
 #[test_case(Reaction::RawThenClose(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhal".to_vec()); "not signed and cut")]
-#[test_case(Reaction::Raw(answer_bytes(200, &[], b"whose?")); "a success without a signature")]
-#[test_case(Reaction::Raw(answer_bytes(503, &[], b"")); "a refusal that promises nothing")]
+#[test_case(Reaction::Raw(response_bytes(200, &[], b"whose?")); "a success without a signature")]
+#[test_case(Reaction::Raw(response_bytes(503, &[], b"")); "a refusal that promises nothing")]
 fn what_may_have_run_is_not_repeated_and_not_called_refused(reaction: Reaction) {
     let runs = std::sync::Arc::new(AtomicUsize::new(0));
     let counted = runs.clone();
@@ -167,7 +167,7 @@
 #[test]
 fn half_an_answer_is_not_passed_as_whole() {
     let runner = desk(|request| {
-        let whole = signed_answer(request, 200, b"a whole answer");
+        let whole = signed_response(request, 200, b"a whole answer");
         Reaction::RawThenReset(whole[..whole.len() - 5].to_vec())
     });
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
@@ -198,8 +198,8 @@
 #[test]
 fn a_surplus_answer_never_reaches_another_request() {
     let runner = desk(|request| {
-        let own = signed_answer(request, 200, b"own");
-        let surplus = signed_answer(request, 200, b"surplus");
+        let own = signed_response(request, 200, b"own");
+        let surplus = signed_response(request, 200, b"surplus");
         Reaction::Raw([own, surplus].concat())
     });
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
@@ -218,7 +218,7 @@
 fn a_surplus_answer_that_comes_late_is_passed_over() {
     let runner = desk(|request| {
         if request.path() == "/lookup/second" {
-            let late = signed_answer(
+            let late = signed_response(
                 &ReceivedRequest {
                     headers: vec![("x-pitchstall-request-id".into(), "id-1".into())],
                     ..request.clone()
@@ -226,7 +226,7 @@
                 200,
                 b"late",
             );
-            return Reaction::Raw([late, signed_answer(request, 200, b"own")].concat());
+            return Reaction::Raw([late, signed_response(request, 200, b"own")].concat());
         }
         ok("first")
     });
@@ -255,7 +255,7 @@
 #[test]
 fn a_runner_that_closes_after_an_answer_gets_the_next_request_on_a_new_connection() {
     let runner = desk(|request| {
-        let signed = signed_answer(request, 200, b"booked");
+        let signed = signed_response(request, 200, b"booked");
         let text = String::from_utf8(signed).unwrap();
         let closing = text.replacen("\r\n", "\r\nconnection: close\r\n", 1);
         Reaction::RawThenClose(closing.into_bytes())
@@ -321,7 +321,7 @@
 fn a_stream_that_breaks_off_is_seen_to_break_off() {
     let runner = desk(|request| {
         let whole = EventStream::whole(request, 20);
-        Reaction::Stream(EventStream { breaks_after: Some(4), ..whole })
+        Reaction::Stream(EventStream { cut_after_event: Some(4), ..whole })
     });
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
     let mut client = node.client();
@@ -339,8 +339,9 @@
 fn a_stream_that_may_be_resumed_goes_on_at_another_runner() {
     let breaking = |request: &ReceivedRequest| {
         let whole = EventStream::whole(request, 9);
-        let breaks_after = if request.header("last-event-id").is_none() { Some(4) } else { None };
-        Reaction::Stream(EventStream { breaks_after, ..whole })
+        let cut_after_event =
+            if request.header("last-event-id").is_none() { Some(4) } else { None };
+        Reaction::Stream(EventStream { cut_after_event, ..whole })
     };
     let one = RunnerStandIn::start("i-1", breaking).unwrap();
     let two = RunnerStandIn::start("i-2", breaking).unwrap();
--- a/crates/gateway/tests/history_gone.rs
+++ b/crates/gateway/tests/history_gone.rs
@@ -5,7 +5,7 @@
 
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
 use pitchstall_platform_standins::store::{StoreMode, StoreStandIn};
-use pitchstall_platform_standins::throttled_link::NarrowLink;
+use pitchstall_platform_standins::throttled_link::ThrottledLink;
 use std::time::Duration;
 use support::{configuration, large_configuration, serves, wait_for, Fixture, Place};
 use test_case::test_case;
@@ -19,12 +19,13 @@
 fn readers_have_the_configuration_though_the_history_of_what_they_know_is_gone(readers: usize) {
     let store = StoreStandIn::start().unwrap();
     let runner =
-        RunnerStandIn::start("i-1", |_| Reaction::Answer { status: 200, body: b"done".to_vec() })
+        RunnerStandIn::start("i-1", |_| Reaction::Respond { status: 200, body: b"done".to_vec() })
             .unwrap();
     store.put("op/config", &configuration(3));
-    let links: Vec<NarrowLink> = (0..readers).map(|_| NarrowLink::new(BYTES_A_SECOND)).collect();
-    let start = |(number, link): (usize, &NarrowLink)| {
-        let view = link.reach(store.address()).unwrap();
+    let links: Vec<ThrottledLink> =
+        (0..readers).map(|_| ThrottledLink::new(BYTES_A_SECOND)).collect();
+    let start = |(number, link): (usize, &ThrottledLink)| {
+        let view = link.link_to(store.address()).unwrap();
         let name = format!("node-{number}");
         Fixture::start_in(Place::new(), store.clone(), view, &name, "", "")
     };
@@ -35,7 +36,7 @@
     // Watches that wait have been cut by then.
     std::thread::sleep(Duration::from_millis(500));
     store.put("op/config", &large_configuration(7));
-    store.forget_history();
+    store.compact_history();
     store.set_mode(StoreMode::Serving);
     for (number, node) in nodes.iter().enumerate() {
         wait_for(&format!("the added route at node {number}"), || serves(node, "added"));
--- a/crates/gateway/tests/large_configuration.rs
+++ b/crates/gateway/tests/large_configuration.rs
@@ -6,7 +6,7 @@
 use pitchstall_platform_standins::proxy::{Link, LinkMode};
 use pitchstall_platform_standins::runner::{Reaction, RunnerStandIn};
 use pitchstall_platform_standins::store::StoreStandIn;
-use pitchstall_platform_standins::throttled_link::{NarrowLink, NodePair};
+use pitchstall_platform_standins::throttled_link::{NodePair, ThrottledLink};
 use serde_json::json;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,7 +24,7 @@
     "[machine]\nmemory_mb = 512\nfile_descriptors = 4000\nprocessor_share = 0.5\n";
 
 fn runner() -> RunnerStandIn {
-    RunnerStandIn::start("i-1", |_| Reaction::Answer { status: 200, body: b"done".to_vec() })
+    RunnerStandIn::start("i-1", |_| Reaction::Respond { status: 200, body: b"done".to_vec() })
         .unwrap()
 }
 
@@ -47,14 +47,14 @@
     store: StoreStandIn,
     _strong: Vec<Fixture>,
     weak: Fixture,
-    link: NarrowLink,
+    link: ThrottledLink,
     /// The ways between the weak node and each of the others.
     pairs: Vec<NodePair>,
     _runner: RunnerStandIn,
 }
 
 fn nodes() -> Nodes {
-    let link = NarrowLink::new(COPY_BYTES_A_SECOND);
+    let link = ThrottledLink::new(COPY_BYTES_A_SECOND);
     let store = StoreStandIn::start().unwrap();
     let runner = runner();
     store.put("op/config", &configuration(3));
@@ -65,10 +65,10 @@
         .into_iter()
         .map(|name| {
             let place = Place::new();
-            let pair = link.join_nodes(weak_place.peers(), place.peers()).unwrap();
-            let seen = pair.far_seen_from_near.to_string();
+            let pair = link.connect_nodes(weak_place.peers(), place.peers()).unwrap();
+            let seen = pair.remote_address_for_local.to_string();
             seen_from_weak.insert(place.peers().to_string(), seen);
-            let seen = pair.near_seen_from_far.to_string();
+            let seen = pair.local_address_for_remote.to_string();
             let view = HashMap::from([(weak_place.peers().to_string(), seen)]);
             let view = store.serve_view(view).unwrap();
             pairs.push(pair);
@@ -77,7 +77,7 @@
         .collect();
     strong[0].add_runner(&runner, "desk", None);
     let view = store.serve_view(seen_from_weak).unwrap();
-    let view = link.reach(view).unwrap();
+    let view = link.link_to(view).unwrap();
     let weak = Fixture::start_in(weak_place, store.clone(), view, "weak", "", WEAK_MACHINE);
     strong.iter().for_each(Fixture::wait_until_ready);
     weak.wait_until_ready();
@@ -90,11 +90,11 @@
     const TWICE: u64 = 2;
     let nodes = nodes();
     let large = large_configuration(7);
-    let before = nodes.link.passed();
+    let before = nodes.link.transferred_bytes();
     nodes.store.put("op/config", &large);
     wait_for("the added route behind the narrow link", || serves(&nodes.weak, "added"));
     let document_bytes = large.to_string().len() as u64;
-    assert!(nodes.link.passed() - before <= TWICE * document_bytes);
+    assert!(nodes.link.transferred_bytes() - before <= TWICE * document_bytes);
 }
 
 /// A node that has begun to read a large configuration from the store itself, for it knew nobody who had it, takes it
@@ -102,21 +102,23 @@
 /// for half a second, and it was deaf for 20 s with what the store sent.
 #[test]
 fn a_copy_of_another_node_overtakes_what_the_store_sends_slowly() {
-    let link = NarrowLink::new(COPY_BYTES_A_SECOND);
+    let link = ThrottledLink::new(COPY_BYTES_A_SECOND);
     let store = StoreStandIn::start().unwrap();
     let runner = runner();
     store.put("op/config", &large_configuration(3));
     let weak_place = Place::new();
     let strong_place = Place::new();
-    let pair = link.join_nodes(weak_place.peers(), strong_place.peers()).unwrap();
+    let pair = link.connect_nodes(weak_place.peers(), strong_place.peers()).unwrap();
     let seen = |place: Place, address: std::net::SocketAddr| {
         HashMap::from([(place.peers().to_string(), address.to_string())])
     };
-    let view = store.serve_view(seen(strong_place, pair.far_seen_from_near)).unwrap();
-    let view = link.reach(view).unwrap();
+    let view = store.serve_view(seen(strong_place, pair.remote_address_for_local)).unwrap();
+    let view = link.link_to(view).unwrap();
     let weak = Fixture::start_in(weak_place, store.clone(), view, "weak", "", WEAK_MACHINE);
-    wait_for("the store's answer to be on its way", || link.passed() > 3 * COPY_BYTES_A_SECOND / 2);
-    let view = store.serve_view(seen(weak_place, pair.near_seen_from_far)).unwrap();
+    wait_for("the store's answer to be on its way", || {
+        link.transferred_bytes() > 3 * COPY_BYTES_A_SECOND / 2
+    });
+    let view = store.serve_view(seen(weak_place, pair.local_address_for_remote)).unwrap();
     let strong = Fixture::start_in(strong_place, store.clone(), view, "node-1", "", STRONG_MACHINE);
     strong.add_runner(&runner, "desk", None);
     wait_for("the configuration behind the narrow link", || serves(&weak, "added"));
@@ -133,11 +135,11 @@
 /// A node alone reads the store over a narrow link, when it starts and when a change comes.
 #[test]
 fn a_large_configuration_is_read_from_the_store_over_a_narrow_link() {
-    let link = NarrowLink::new(STORE_BYTES_A_SECOND);
+    let link = ThrottledLink::new(STORE_BYTES_A_SECOND);
     let store = StoreStandIn::start().unwrap();
     let runner = runner();
     store.put("op/config", &large_configuration(3));
-    let address = link.reach(store.address()).unwrap();
+    let address = link.link_to(store.address()).unwrap();
     let node = Fixture::start_in(Place::new(), store.clone(), address, "node-1", "", "");
     node.add_runner(&runner, "desk", None);
     wait_for("the first configuration", || serves(&node, "added"));
@@ -153,11 +155,11 @@
 /// answer held three versions, 3.8 MB, and took 3.1 s over 10 Mbit/s; five probes for the last one were late.
 #[test]
 fn a_storm_of_large_configurations_does_not_pile_up_at_a_reader() {
-    let link = NarrowLink::new(STORE_BYTES_A_SECOND);
+    let link = ThrottledLink::new(STORE_BYTES_A_SECOND);
     let store = StoreStandIn::start().unwrap();
     let runner = runner();
     store.put("op/config", &configuration(3));
-    let address = link.reach(store.address()).unwrap();
+    let address = link.link_to(store.address()).unwrap();
     let node = Fixture::start_in(Place::new(), store.clone(), address, "node-1", "", "");
     node.add_runner(&runner, "desk", None);
     node.wait_until_ready();
@@ -171,11 +173,13 @@
 fn a_source_that_falls_silent_halfway_is_left(which: usize) {
     const PART_OF_A_COPY: u64 = 8 * 1024;
     let nodes = nodes();
-    let before = nodes.link.passed();
+    let before = nodes.link.transferred_bytes();
     nodes.store.put("op/config", &large_configuration(7));
-    wait_for("a copy to be on its way", || nodes.link.passed() > before + PART_OF_A_COPY);
+    wait_for("a copy to be on its way", || {
+        nodes.link.transferred_bytes() > before + PART_OF_A_COPY
+    });
     assert!(!serves(&nodes.weak, "added"));
-    nodes.pairs[which].silence();
+    nodes.pairs[which].start_blackhole();
     wait_for("the added route behind the narrow link", || serves(&nodes.weak, "added"));
 }
 
@@ -183,18 +187,20 @@
 #[test]
 fn an_answer_of_the_store_that_stops_halfway_is_asked_for_again() {
     const AWAY: Duration = Duration::from_secs(3);
-    let link = NarrowLink::new(STORE_BYTES_A_SECOND);
+    let link = ThrottledLink::new(STORE_BYTES_A_SECOND);
     let store = StoreStandIn::start().unwrap();
     let runner = runner();
     store.put("op/config", &configuration(3));
     let faulty = Link::start(store.address()).unwrap();
-    let address = link.reach(faulty.address()).unwrap();
+    let address = link.link_to(faulty.address()).unwrap();
     let node = Fixture::start_in(Place::new(), store.clone(), address, "node-1", "", "");
     node.add_runner(&runner, "desk", None);
     node.wait_until_ready();
-    let before = link.passed();
+    let before = link.transferred_bytes();
     store.put("op/config", &large_configuration(7));
-    wait_for("the answer to be on its way", || link.passed() > before + STORE_BYTES_A_SECOND / 2);
+    wait_for("the answer to be on its way", || {
+        link.transferred_bytes() > before + STORE_BYTES_A_SECOND / 2
+    });
     faulty.set_mode(LinkMode::Silent);
     std::thread::sleep(AWAY);
     faulty.set_mode(LinkMode::Passing);
--- a/crates/gateway/tests/leases_after_return.rs
+++ b/crates/gateway/tests/leases_after_return.rs
@@ -28,7 +28,7 @@
 /// A node that has taken the authority and ordered, and a copy of the store from before.
 fn holder_and_backup(runners: &[RunnerStandIn; 2]) -> (Fixture, Backup) {
     let node = Fixture::start();
-    node.store.tell_era(1);
+    node.store.report_era(1);
     wait_for("the node to be registered", || node.store.contains(NODE));
     let backup = node.store.back_up();
     (0..LOST).for_each(|number| node.store.put("other/key", &number.into()));
@@ -59,7 +59,7 @@
 fn come_back(node: &Fixture, backup: &Backup) {
     node.store.set_mode(StoreMode::Unavailable);
     std::thread::sleep(AWAY);
-    node.store.come_back_as(backup);
+    node.store.restore(backup);
     node.store.set_mode(StoreMode::Serving);
 }
 
@@ -91,7 +91,7 @@
 #[test]
 fn a_node_registers_again_though_another_holder_has_the_number_of_its_lease() {
     let node = Fixture::start();
-    node.store.tell_era(1);
+    node.store.report_era(1);
     let backup = node.store.back_up();
     wait_for("the node to be registered", || node.store.contains(NODE));
     come_back(&node, &backup);
@@ -102,7 +102,7 @@
 #[test]
 fn a_keeper_of_limits_whose_key_was_lost_takes_it_again() {
     let node = Fixture::start_with("[quota]\nwindow_s = 1\noverage = 0.1\nslack = 12\n");
-    node.store.tell_era(1);
+    node.store.report_era(1);
     wait_for("the node to be registered", || node.store.contains(NODE));
     let backup = node.store.back_up();
     let mut limited = configuration(3);
@@ -126,7 +126,7 @@
     let node = Fixture::start();
     write(&node, &runners);
     wait_for("an order", || orders() > 0);
-    node.store.tell_era(1);
+    node.store.report_era(1);
     std::thread::sleep(LEASE + AWAY);
     let before = orders();
     wait_for("another order", || orders() > before);
@@ -143,7 +143,7 @@
         cloud.address()
     );
     let first = Fixture::start_with(&sections);
-    first.store.tell_era(1);
+    first.store.report_era(1);
     let write = || {
         let mut configuration = configuration(3);
         let tenant = serde_json::json!({ "name": "taxis", "api_keys": ["right"] });
@@ -189,6 +189,6 @@
 }
 
 fn desk() -> RunnerStandIn {
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"booked".to_vec() };
     RunnerStandIn::start("i-desk", answer).unwrap()
 }
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -13,7 +13,8 @@
 
 fn runner(id: &str) -> RunnerStandIn {
     let body = id.as_bytes().to_vec();
-    RunnerStandIn::start(id, move |_| Reaction::Answer { status: 200, body: body.clone() }).unwrap()
+    RunnerStandIn::start(id, move |_| Reaction::Respond { status: 200, body: body.clone() })
+        .unwrap()
 }
 
 fn ask(node: &Fixture, path: &str) -> (u16, String) {
@@ -111,7 +112,7 @@
     node.store.remove("servers/i-2");
     let three = runner("i-3");
     node.add_runner(&three, "desk", None);
-    node.store.forget_history();
+    node.store.compact_history();
     node.store.set_mode(StoreMode::Serving);
     wait_for("the third to answer", || ask(&node, "/lookup/1") == (200, "i-3".to_owned()));
 }
@@ -143,7 +144,7 @@
         if request.path() == "/booking/slow" {
             std::thread::sleep(Duration::from_millis(2_500));
         }
-        Reaction::Answer { status: 200, body: b"done".to_vec() }
+        Reaction::Respond { status: 200, body: b"done".to_vec() }
     })
     .unwrap();
     let node = Fixture::with_runners(&[(&slow, "desk", None)]);
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -32,7 +32,7 @@
 }
 
 fn runner(id: &str) -> RunnerStandIn {
-    RunnerStandIn::start(id, |_| Reaction::Answer { status: 200, body: b"done".to_vec() }).unwrap()
+    RunnerStandIn::start(id, |_| Reaction::Respond { status: 200, body: b"done".to_vec() }).unwrap()
 }
 
 #[test]
--- a/crates/gateway/tests/outdated.rs
+++ b/crates/gateway/tests/outdated.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_node_that_is_behind_for_too_long_sends_callers_to_others_until_it_has_caught_up() {
-    let answer = |_: &_| Reaction::Answer { status: 200, body: b"done".to_vec() };
+    let answer = |_: &_| Reaction::Respond { status: 200, body: b"done".to_vec() };
     let runner = RunnerStandIn::start("i-1", answer).unwrap();
     let node = Fixture::start_with(BOUNDS);
     node.store.put("op/config", &configuration(3));
@@ -74,7 +74,7 @@
 /// A node that reads the store for others has lost it, and hears of a change that another node has read.
 #[test]
 fn a_node_that_has_lost_the_store_gets_a_later_configuration_from_another() {
-    let answer = |_: &_| Reaction::Answer { status: 200, body: b"done".to_vec() };
+    let answer = |_: &_| Reaction::Respond { status: 200, body: b"done".to_vec() };
     let runner = RunnerStandIn::start("i-1", answer).unwrap();
     let first = Fixture::start();
     first.store.put("op/config", &configuration(3));
--- a/crates/gateway/tests/policy.rs
+++ b/crates/gateway/tests/policy.rs
@@ -21,7 +21,7 @@
 }
 
 fn answer_with_program(name: &str, program: &str) -> (u16, usize) {
-    let answer = Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let answer = Reaction::Respond { status: 200, body: b"booked".to_vec() };
     let runner = RunnerStandIn::start("i-desk", move |_| answer.clone()).unwrap();
     let (node, file) = node_with_program(name, program, &runner);
     let mut client = node.client();
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -26,10 +26,10 @@
 
 fn engine(request: &ReceivedRequest, head: CrashHead) -> Reaction {
     if request.body == DEADLY {
-        return Reaction::Crash { head, runs_for: Duration::from_millis(20) };
+        return Reaction::Crash { head, crash_after: Duration::from_millis(20) };
     }
     if request.path().starts_with("/lookup/") {
-        return Reaction::Answer { status: 200, body: b"found".to_vec() };
+        return Reaction::Respond { status: 200, body: b"found".to_vec() };
     }
     engine_script(4)(request)
 }
@@ -67,7 +67,7 @@
 
 /// Runners that have ended.
 fn ended(runners: &[RunnerStandIn]) -> usize {
-    runners.iter().filter(|runner| runner.has_ended()).count()
+    runners.iter().filter(|runner| runner.is_terminated()).count()
 }
 
 /// Times that the deadly request has reached a runner.
@@ -204,7 +204,7 @@
         }
         // One runner fails it without running it: that tells nothing of what it does to others.
         match arrivals.fetch_add(1, Ordering::SeqCst) {
-            FAILED_ARRIVAL => Reaction::Answer { status: 500, body: b"failed".to_vec() },
+            FAILED_ARRIVAL => Reaction::Respond { status: 500, body: b"failed".to_vec() },
             _ => engine(request, CrashHead::None),
         }
     };
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -18,7 +18,7 @@
 const QUOTA: &str = "[quota]\nwindow_s = 1\noverage = 0.1\nslack = 12\n";
 
 fn desk() -> RunnerStandIn {
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"booked".to_vec() };
     RunnerStandIn::start("i-desk", answer).unwrap()
 }
 
@@ -249,7 +249,7 @@
         if is_first {
             Reaction::Decline
         } else {
-            Reaction::Answer { status: 200, body: Vec::new() }
+            Reaction::Respond { status: 200, body: Vec::new() }
         }
     };
     let runner = RunnerStandIn::start("i-desk", answer).unwrap();
--- a/crates/gateway/tests/runner_limits.rs
+++ b/crates/gateway/tests/runner_limits.rs
@@ -5,7 +5,7 @@
 
 use pitchstall_platform_standins::http::ReceivedRequest;
 use pitchstall_platform_standins::runner::{
-    engine_script, signed_answer_saying, EventStream, Reaction, RunnerStandIn, SelfReport,
+    engine_script, signed_response_with_notice, EventStream, NoticeHeaders, Reaction, RunnerStandIn,
 };
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -15,7 +15,8 @@
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
 /// Two requests a second.
-const LIMITED: SelfReport = SelfReport { leaving: false, retry_after: None, limit: Some("2") };
+const LIMITED: NoticeHeaders =
+    NoticeHeaders { leaving: false, retry_after: None, limit: Some("2") };
 /// What may arrive in any 4 s at a limit of two a second, from nodes that have been told: one and a half times the
 /// limit, and five.
 const ALLOWED: usize = 17;
@@ -45,9 +46,9 @@
     let noted = arrivals.clone();
     let limited = RunnerStandIn::start("i-1", move |request: &ReceivedRequest| {
         noted.lock().unwrap().push(Instant::now());
-        Reaction::Raw(signed_answer_saying(request, 200, LIMITED, b"limited"))
+        Reaction::Raw(signed_response_with_notice(request, 200, LIMITED, b"limited"))
     });
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"other".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"other".to_vec() };
     let runners = [limited.unwrap(), RunnerStandIn::start("i-2", answer).unwrap()];
     let first = Fixture::with_runners(&[(&runners[0], "desk", None), (&runners[1], "desk", None)]);
     (three_nodes(first), runners)
@@ -62,7 +63,7 @@
         }
         noted.lock().unwrap().push(Instant::now());
         let stream = Reaction::Stream(EventStream::whole(request, 3));
-        Reaction::Saying(LIMITED, Box::new(stream))
+        Reaction::WithNotice(LIMITED, Box::new(stream))
     };
     RunnerStandIn::start("w-1", script).unwrap()
 }
@@ -168,10 +169,10 @@
     let limited = RunnerStandIn::start("i-1", move |request: &ReceivedRequest| {
         noted.lock().unwrap().push(Instant::now());
         let limit = limited_now.load(Ordering::SeqCst).then_some("0.5");
-        let report = SelfReport { limit, ..SelfReport::default() };
-        Reaction::Raw(signed_answer_saying(request, 200, report, b"limited"))
+        let report = NoticeHeaders { limit, ..NoticeHeaders::default() };
+        Reaction::Raw(signed_response_with_notice(request, 200, report, b"limited"))
     });
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"other".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"other".to_vec() };
     let other = RunnerStandIn::start("i-2", answer).unwrap();
     let first = Fixture::with_runners(&[(&limited.unwrap(), "desk", None), (&other, "desk", None)]);
     let nodes = three_nodes(first);
@@ -187,9 +188,9 @@
 /// All runners of a service are limited: what does not fit is refused at once, with the time at which one fits.
 #[test]
 fn what_a_limit_does_not_allow_is_refused_at_once_with_the_time_to_come_back() {
-    let report = SelfReport { limit: Some("0.5"), ..SelfReport::default() };
+    let report = NoticeHeaders { limit: Some("0.5"), ..NoticeHeaders::default() };
     let limited = RunnerStandIn::start("i-1", move |request: &ReceivedRequest| {
-        Reaction::Raw(signed_answer_saying(request, 200, report, b"limited"))
+        Reaction::Raw(signed_response_with_notice(request, 200, report, b"limited"))
     });
     let node = Fixture::with_runners(&[(&limited.unwrap(), "desk", None)]);
     let ask = |number: usize| {
--- a/crates/gateway/tests/runner_lives.rs
+++ b/crates/gateway/tests/runner_lives.rs
@@ -17,7 +17,7 @@
 const KEY: &str = "servers/i-1";
 
 fn answering(text: &'static str) -> impl Fn(&ReceivedRequest) -> Reaction + Send + Sync {
-    move |_| Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
+    move |_| Reaction::Respond { status: 200, body: text.as_bytes().to_vec() }
 }
 
 fn entry(runner: &RunnerStandIn, born: &Value, state: &str) -> Value {
@@ -64,7 +64,7 @@
     let node = node_with(&first);
     assert_eq!(ask(&node, "POST", "/booking/1", "id-1").text(), "first");
     first.crash();
-    let second = first.start_again(answering("second")).unwrap();
+    let second = first.restart(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
     wait_for("the new life to serve", || ask(&node, "GET", "/lookup/1", "id-2").text() == "second");
     for number in 0..4 {
@@ -81,7 +81,7 @@
     node.store.put(KEY, &entry(&first, &json!(1_000), "draining"));
     wait_for("the runner to leave", || ask(&node, "GET", "/lookup/1", "id-1").status == 503);
     first.crash();
-    let second = first.start_again(answering("second")).unwrap();
+    let second = first.restart(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
     wait_for("the new life to serve", || ask(&node, "GET", "/lookup/1", "id-2").text() == "second");
 }
@@ -94,7 +94,7 @@
     let node = node_with(&first);
     let waiting = under_way(&node, &first, "POST", "/booking/1");
     first.crash();
-    let second = first.start_again(answering("second")).unwrap();
+    let second = first.restart(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
     let answer = waiting.join().unwrap();
     assert_eq!(answer.status, 502, "it may have run, so it isn't refused");
@@ -109,7 +109,7 @@
     let begun_again = has_begun_again.clone();
     let runner = RunnerStandIn::start(NAME, move |_: &ReceivedRequest| {
         if begun_again.load(Ordering::SeqCst) {
-            return Reaction::Answer { status: 200, body: b"second".to_vec() };
+            return Reaction::Respond { status: 200, body: b"second".to_vec() };
         }
         while !begun_again.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(1));
@@ -156,8 +156,8 @@
     let reading = format!("{{\"kv_handle\":\"h1\",\"tokens\":100,\"version\":1,\"born\":{NEXT}}}");
     let reader = RunnerStandIn::start("i-reader", move |request: &ReceivedRequest| {
         match request.header("x-pitchstall-stage") {
-            Some(_) => Reaction::Answer { status: 200, body: reading.clone().into_bytes() },
-            None => Reaction::Answer { status: 200, body: Vec::new() },
+            Some(_) => Reaction::Respond { status: 200, body: reading.clone().into_bytes() },
+            None => Reaction::Respond { status: 200, body: Vec::new() },
         }
     })
     .unwrap();
--- a/crates/gateway/tests/runner_notices.rs
+++ b/crates/gateway/tests/runner_notices.rs
@@ -5,8 +5,8 @@
 
 use pitchstall_platform_standins::http::ReceivedRequest;
 use pitchstall_platform_standins::runner::{
-    engine_script, refusal_saying, signed_answer_saying, EventStream, Reaction, RunnerStandIn,
-    SelfReport,
+    engine_script, refusal_with_notice, signed_response_with_notice, EventStream, NoticeHeaders,
+    Reaction, RunnerStandIn,
 };
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -16,12 +16,13 @@
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
 
-const LEAVING: SelfReport = SelfReport { leaving: true, retry_after: None, limit: None };
+const LEAVING: NoticeHeaders = NoticeHeaders { leaving: true, retry_after: None, limit: None };
 /// Longer than any of these tests.
-const LONG_REST: SelfReport = SelfReport { leaving: false, retry_after: Some("120"), limit: None };
+const LONG_REST: NoticeHeaders =
+    NoticeHeaders { leaving: false, retry_after: Some("120"), limit: None };
 
 fn answering(text: &'static str) -> impl Fn(&ReceivedRequest) -> Reaction + Send + Sync {
-    move |_| Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
+    move |_| Reaction::Respond { status: 200, body: text.as_bytes().to_vec() }
 }
 
 fn ask(node: &Fixture, path: &str, id: &str) -> RawAnswer {
@@ -40,7 +41,7 @@
 /// A runner that turns each request to write an answer away and asks for rest.
 fn resting_writer() -> RunnerStandIn {
     let script = |request: &ReceivedRequest| match request.method.as_str() {
-        "POST" => Reaction::Raw(refusal_saying(request, LONG_REST)),
+        "POST" => Reaction::Raw(refusal_with_notice(request, LONG_REST)),
         _ => engine_script(3)(request),
     };
     RunnerStandIn::start("w-1", script).unwrap()
@@ -60,18 +61,18 @@
 #[test]
 fn a_runner_that_says_that_it_leaves_gets_no_more_requests() {
     let whole = |request: &ReceivedRequest| {
-        Reaction::Raw(signed_answer_saying(request, 200, LEAVING, b"whole"))
+        Reaction::Raw(signed_response_with_notice(request, 200, LEAVING, b"whole"))
     };
     let failure = |request: &ReceivedRequest| {
-        Reaction::Raw(signed_answer_saying(request, 500, LEAVING, b"failure"))
+        Reaction::Raw(signed_response_with_notice(request, 500, LEAVING, b"failure"))
     };
-    let declined = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LEAVING));
+    let declined = |request: &ReceivedRequest| Reaction::Raw(refusal_with_notice(request, LEAVING));
     let broken_off = |request: &ReceivedRequest| {
-        let bytes = signed_answer_saying(request, 200, LEAVING, b"broken off");
+        let bytes = signed_response_with_notice(request, 200, LEAVING, b"broken off");
         Reaction::RawThenReset(bytes[..bytes.len() - 1].to_vec())
     };
     let unsigned = |request: &ReceivedRequest| {
-        let bytes = signed_answer_saying(request, 200, LEAVING, b"unsigned");
+        let bytes = signed_response_with_notice(request, 200, LEAVING, b"unsigned");
         let text = String::from_utf8(bytes).unwrap();
         Reaction::Raw(text.replace("x-pitchstall-server-stamp", "x-other").into_bytes())
     };
@@ -93,7 +94,7 @@
 /// It turns one request away and says for how long it wants none.
 #[test]
 fn a_runner_that_asks_for_rest_gets_no_request_before_its_end() {
-    let script = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LONG_REST));
+    let script = |request: &ReceivedRequest| Reaction::Raw(refusal_with_notice(request, LONG_REST));
     let (node, resting) = node_with_one_that(script);
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(600) {
@@ -152,7 +153,7 @@
 #[test]
 fn an_entry_that_says_ready_takes_no_word_back() {
     let script = |request: &ReceivedRequest| {
-        Reaction::Raw(signed_answer_saying(request, 200, LEAVING, b"leaving"))
+        Reaction::Raw(signed_response_with_notice(request, 200, LEAVING, b"leaving"))
     };
     let (node, leaving) = node_with_one_that(script);
     ask_often(&node, "/lookup/1");
@@ -173,7 +174,7 @@
 /// All runners rest for longer than a request may wait: it is refused at once, and that is true.
 #[test]
 fn a_request_is_refused_at_once_while_all_its_runners_rest() {
-    let rest = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LONG_REST));
+    let rest = |request: &ReceivedRequest| Reaction::Raw(refusal_with_notice(request, LONG_REST));
     let one = RunnerStandIn::start("i-1", rest).unwrap();
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     assert_eq!(ask(&node, "/booking/1", "id-first").status, 503);
@@ -192,10 +193,10 @@
 #[test]
 fn a_request_waits_for_the_end_of_a_short_rest() {
     let has_declined = AtomicBool::new(false);
-    let short = SelfReport { leaving: false, retry_after: Some("0.2"), limit: None };
+    let short = NoticeHeaders { leaving: false, retry_after: Some("0.2"), limit: None };
     let script = move |request: &ReceivedRequest| match has_declined.swap(true, Ordering::SeqCst) {
-        false => Reaction::Raw(refusal_saying(request, short)),
-        true => Reaction::Answer { status: 200, body: b"served".to_vec() },
+        false => Reaction::Raw(refusal_with_notice(request, short)),
+        true => Reaction::Respond { status: 200, body: b"served".to_vec() },
     };
     let one = RunnerStandIn::start("i-1", script).unwrap();
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
@@ -218,7 +219,7 @@
     let other = is_other.clone();
     let script = move |request: &ReceivedRequest| {
         if !other.load(Ordering::SeqCst) {
-            return Reaction::Answer { status: 200, body: b"meant".to_vec() };
+            return Reaction::Respond { status: 200, body: b"meant".to_vec() };
         }
         let id = request.header("x-pitchstall-request-id").unwrap_or_default();
         let head = format!(
--- a/crates/gateway/tests/scaling.rs
+++ b/crates/gateway/tests/scaling.rs
@@ -58,7 +58,7 @@
 #[test]
 fn a_zone_that_has_none_to_be_had_is_asked_again_and_the_term_goes_on() {
     let cloud = CloudStandIn::start().unwrap();
-    cloud.answer_next_with(409);
+    cloud.respond_next_with(409);
     let _node = start(&cloud, "");
     let refused = || orders(&cloud).into_iter().find(|order| order.status == 409);
     wait_for("a refusal", || refused().is_some());
--- a/crates/gateway/tests/store_came_back_older.rs
+++ b/crates/gateway/tests/store_came_back_older.rs
@@ -17,7 +17,7 @@
 const LOOKS: usize = 8;
 
 fn runner(id: &str) -> RunnerStandIn {
-    RunnerStandIn::start(id, |_| Reaction::Answer { status: 200, body: b"done".to_vec() }).unwrap()
+    RunnerStandIn::start(id, |_| Reaction::Respond { status: 200, body: b"done".to_vec() }).unwrap()
 }
 
 /// Nodes of one zone: two read the store, the others follow one of these.
@@ -32,7 +32,7 @@
 impl World {
     fn start(nodes: usize) -> Self {
         let store = StoreStandIn::start().unwrap();
-        store.tell_era(1);
+        store.report_era(1);
         let (leaving, staying) = (runner("i-1"), runner("i-2"));
         store.put("op/config", &configuration(3));
         let written: Vec<_> = [&leaving, &staying]
@@ -60,7 +60,7 @@
         }
         self.store().set_mode(StoreMode::Unavailable);
         std::thread::sleep(AWAY);
-        self.store().come_back_as(&backup);
+        self.store().restore(&backup);
         self.write_again(5);
         Returning { world: self }
     }
@@ -172,7 +172,7 @@
     }
     world.store().set_mode(StoreMode::Unavailable);
     std::thread::sleep(AWAY);
-    world.store().come_back_as(&backup);
+    world.store().restore(&backup);
     world.store().set_mode(StoreMode::Serving);
     let looked = std::time::Instant::now();
     while looked.elapsed() < Duration::from_secs(3) {
@@ -187,10 +187,10 @@
 #[test]
 fn a_leaving_runner_gets_nothing_once_the_settings_name_another_store() {
     let mut world = World::start(1);
-    world.store().tell_era(3);
+    world.store().report_era(3);
     world.lose_writes().serve_with(false, |_| {});
     let other = StoreStandIn::start().unwrap();
-    other.tell_era(1);
+    other.report_era(1);
     let mut newer = configuration(9);
     newer["routes"].as_array_mut().unwrap().push(route("moved", "idempotent", "desk"));
     other.put("op/config", &newer);
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -120,7 +120,7 @@
 
 /// A whole answer in JSON.
 pub fn json_answer(text: &str) -> Reaction {
-    Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
+    Reaction::Respond { status: 200, body: text.as_bytes().to_vec() }
 }
 
 /// A prefill runner that takes orders, tells that it has taken three before, and goes on reading prompts.
@@ -128,7 +128,7 @@
     RunnerStandIn::start(id, |request| match request.target.as_str() {
         "/v1/report" => json_answer(r#"{"stage":"prefill","busy":false,"seq":3,"queued":0}"#),
         "/v1/kv-list" => json_answer(r#"{"epoch":"e","next_token":0,"held":[]}"#),
-        _ => Reaction::Answer { status: 202, body: Vec::new() },
+        _ => Reaction::Respond { status: 202, body: Vec::new() },
     })
     .unwrap()
 }
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -39,7 +39,7 @@
 #[test]
 fn a_key_is_not_believed_by_a_copy_that_is_older_than_it_seems() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"booked".to_vec() };
     let runner = RunnerStandIn::start("i-desk", answer).unwrap();
     let node = Fixture::start();
     let mut configuration = configuration(3);
@@ -60,7 +60,7 @@
 #[test]
 fn a_keeper_that_slept_through_its_term_grants_nothing() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"booked".to_vec() };
     let runner = RunnerStandIn::start("i-desk", answer).unwrap();
     let node = Fixture::start();
     let mut configuration = configuration(3);
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -37,7 +37,7 @@
 }
 
 fn desk() -> RunnerStandIn {
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"booked".to_vec() };
     RunnerStandIn::start("i-desk", answer).unwrap()
 }
 
@@ -79,7 +79,7 @@
 #[test]
 fn a_report_that_was_not_taken_is_sent_again_unchanged() {
     let (cloud, runner) = (CloudStandIn::start().unwrap(), desk());
-    cloud.answer_next_with(429);
+    cloud.respond_next_with(429);
     let node = start(&cloud, &runner);
     send(&node, 0..3);
     wait_for("all requests to be reported", || reported_in_all(&cloud) == 3);
@@ -94,7 +94,7 @@
 #[test]
 fn a_holder_that_was_refused_sends_nothing_more_under_its_fencing_token() {
     let (cloud, runner) = (CloudStandIn::start().unwrap(), desk());
-    cloud.answer_next_with(409);
+    cloud.respond_next_with(409);
     let node = start(&cloud, &runner);
     send(&node, 0..3);
     wait_for("a refusal", || cloud.calls().iter().any(|call| call.status == 409));
--- a/crates/gateway/tests/words_of_other_builds.rs
+++ b/crates/gateway/tests/words_of_other_builds.rs
@@ -42,7 +42,7 @@
 #[test]
 fn words_that_cannot_be_read_are_counted_and_cost_nothing_else() {
     let runner =
-        RunnerStandIn::start("i-1", |_| Reaction::Answer { status: 200, body: b"done".to_vec() })
+        RunnerStandIn::start("i-1", |_| Reaction::Respond { status: 200, body: b"done".to_vec() })
             .unwrap();
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/crates/soak/examples/soak/processes.rs
+++ b/crates/soak/examples/soak/processes.rs
@@ -2,7 +2,7 @@
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use pitchstall_platform_standins::client::READY_QUESTION;
+use pitchstall_platform_standins::client::READY_REQUEST;
 use pitchstall_soak::plan::{has_limits, has_regions};
 use pitchstall_soak::proxy::Link;
 use pitchstall_soak::regions::REGIONS;
@@ -195,7 +195,7 @@
     let ask = || -> io::Result<bool> {
         let mut stream = TcpStream::connect_timeout(&health, LIMIT)?;
         stream.set_read_timeout(Some(LIMIT))?;
-        stream.write_all(READY_QUESTION)?;
+        stream.write_all(READY_REQUEST)?;
         let mut head = [0; b"HTTP/1.1 200".len()];
         stream.read_exact(&mut head)?;
         Ok(head.ends_with(b"200"))
--- a/crates/soak/examples/soak/run/faults.rs
+++ b/crates/soak/examples/soak/run/faults.rs
@@ -60,7 +60,7 @@
             }
             Action::ForgetHistory => {
                 self.disturbed(None);
-                lock(&self.fleet).store.forget_history();
+                lock(&self.fleet).store.compact_history();
             }
             Action::ComeBackOlder { loses } => self.come_back_older(*loses, step.lasts),
             Action::CutRegions => {
@@ -99,7 +99,7 @@
         self.disturbed(None);
         store.set_mode(StoreMode::Unavailable);
         std::thread::sleep(away);
-        store.come_back_as(&backup);
+        store.restore(&backup);
         store.set_mode(StoreMode::Serving);
         std::thread::sleep(WRITTEN_AGAIN_AFTER);
         lock(&self.fleet).write_again();
--- a/crates/soak/examples/soak/run/mod.rs
+++ b/crates/soak/examples/soak/run/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::processes::{is_ready, more_settings, NodeProcess, Programs};
 use crate::report::Report;
-use pitchstall_platform_standins::throttled_link::NarrowLink;
+use pitchstall_platform_standins::throttled_link::ThrottledLink;
 use pitchstall_soak::caller::Caller;
 use pitchstall_soak::checks::Violation;
 use pitchstall_soak::fleet::{request_bytes, SoakFleet, SoakRunner};
@@ -137,7 +137,7 @@
             let mut store_address = fleet.store.address();
             if has_large_configurations(seed) {
                 // A link of its own for each node, whatever connections there are.
-                store_address = NarrowLink::new(NODE_LINK).reach(store_address)?;
+                store_address = ThrottledLink::new(NODE_LINK).link_to(store_address)?;
             }
             let store = Link::start(store_address)?;
             let cloud = Link::start(fleet.cloud.address())?;
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -2,7 +2,7 @@
 //! request as long as it is open, whatever the node has been told meanwhile.
 
 use crate::history::Outcome;
-use pitchstall_platform_standins::client::ANSWERED_ID;
+use pitchstall_platform_standins::client::REQUEST_ID_HEADER;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -92,7 +92,7 @@
         let length: usize = header("content-length").map_or(Some(0), |it| it.parse().ok())?;
         rest.get(..length)?.to_vec()
     };
-    let echoed = header(ANSWERED_ID);
+    let echoed = header(REQUEST_ID_HEADER);
     let closes = header("connection").is_some_and(|it| it.eq_ignore_ascii_case("close"));
     let outcome = Outcome::Whole { status, echoed, body };
     Some(Parsed::Whole { outcome, is_kept: !closes })
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::regions::RegionLink;
 use crate::runner_script::{deadly_body, script, Place, Voice, Worker};
 use crate::tenants::{document, tenant_of, tenants, SoakTenant, WINDOW_S};
-use pitchstall_platform_standins::client::CallerRequest;
+use pitchstall_platform_standins::client::ClientRequest;
 use pitchstall_platform_standins::cloud::CloudStandIn;
 use pitchstall_platform_standins::documents::{
     self, runner_key, RouteDocument, RouteKind, RunnerDocument, ServiceDocument, CONFIGURATION_KEY,
@@ -113,7 +113,7 @@
     pub fn start(seed: u64, recorder: Recorder) -> std::io::Result<Self> {
         let store = StoreStandIn::start()?;
         if has_returns(seed) {
-            store.tell_era(1);
+            store.report_era(1);
         }
         let runners = Vec::new();
         let cloud = CloudStandIn::start()?;
@@ -252,7 +252,8 @@
 
     /// Lists the runners anew whose roles have changed.
     pub fn list_changed_roles(&self) {
-        let has_changed = |runner: &&SoakRunner| runner.role.as_ref().is_some_and(|it| it.settle());
+        let has_changed =
+            |runner: &&SoakRunner| runner.role.as_ref().is_some_and(|it| it.finish_due_change());
         self.runners.iter().filter(has_changed).for_each(|runner| self.list(runner, false));
     }
 
@@ -260,7 +261,7 @@
     pub fn take_ended(&mut self) -> Vec<SoakRunner> {
         let (ended, others) = std::mem::take(&mut self.runners)
             .into_iter()
-            .partition(|runner| runner.stand_in.has_ended());
+            .partition(|runner| runner.stand_in.is_terminated());
         self.runners = others;
         ended
     }
@@ -396,6 +397,6 @@
     let path = format!("/{path}/x");
     let (id, key, deadline_ms) = (request, tenant_of(request).key, DEADLINE_MS);
     let request =
-        CallerRequest { method, host: HOST, path: &path, id, key, deadline_ms, body: &body };
+        ClientRequest { method, host: HOST, path: &path, id, key, deadline_ms, body: &body };
     request.to_bytes()
 }
--- a/crates/soak/src/runner_script.rs
+++ b/crates/soak/src/runner_script.rs
@@ -8,7 +8,7 @@
 use crate::tenants::tenant_of;
 use pitchstall_platform_standins::http::ReceivedRequest;
 use pitchstall_platform_standins::role::{OrderOutcome, Role};
-use pitchstall_platform_standins::runner::{engine_script, CrashHead, Reaction, SelfReport};
+use pitchstall_platform_standins::runner::{engine_script, CrashHead, NoticeHeaders, Reaction};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -109,7 +109,7 @@
         let rests = mood.rests;
         let reaction = if rests { Reaction::Decline } else { work() };
         // What ends a runner, or is cut before its head, says nothing.
-        if !matches!(reaction, Reaction::Answer { .. } | Reaction::Stream(_) | Reaction::Decline) {
+        if !matches!(reaction, Reaction::Respond { .. } | Reaction::Stream(_) | Reaction::Decline) {
             return reaction;
         }
         if leaving {
@@ -125,8 +125,8 @@
             recorder.note(Event::AskedForRest { request, runner, rest_us });
         }
         let limit = limit.map(|limit| limit.text);
-        let report = SelfReport { leaving, retry_after: rests.then_some(seconds), limit };
-        Reaction::Saying(report, Box::new(reaction))
+        let report = NoticeHeaders { leaving, retry_after: rests.then_some(seconds), limit };
+        Reaction::WithNotice(report, Box::new(reaction))
     }
 }
 
@@ -171,7 +171,7 @@
         }
         if let Some((holder, fence)) = request.order() {
             recorder.note(Event::Ordered { runner: id.clone(), holder, fence });
-            let Some(role) = &worker.role else { return OrderOutcome::Taken.answer() };
+            let Some(role) = &worker.role else { return OrderOutcome::Taken.response() };
             let outcome = role.order(request);
             let ends =
                 outcome == OrderOutcome::Taken && lock(&chance).random_bool(ENDS_UNDER_ORDERS);
@@ -179,9 +179,9 @@
                 recorder.note(Event::Crashed { runner: id.clone(), under: None });
                 return crash(&own_link, CrashHead::None);
             }
-            return outcome.answer();
+            return outcome.response();
         }
-        let Some(name) = request.id().filter(|_| !request.is_reading()) else {
+        let Some(name) = request.id().filter(|_| !request.is_prefill()) else {
             return engine(request);
         };
         if request.expected_runner().is_some_and(|expected| expected != id) {
@@ -207,7 +207,7 @@
         }
         let mut chance = lock(&chance);
         let reaction = react(&mut *chance, request, name, stage, &engine);
-        if matches!(&reaction, Reaction::Stream(stream) if stream.breaks_after.is_some()) {
+        if matches!(&reaction, Reaction::Stream(stream) if stream.cut_after_event.is_some()) {
             recorder.note(Event::BrokenOff { request: name.to_owned() });
         }
         reaction
@@ -227,7 +227,7 @@
             link.close();
         }
     });
-    Reaction::Crash { head, runs_for: DEADLY_RUNS_FOR }
+    Reaction::Crash { head, crash_after: DEADLY_RUNS_FOR }
 }
 
 /// The body of a request that ends runners: the same each time it comes.
@@ -248,11 +248,11 @@
 ) -> Reaction {
     let is_faulty = chance.random_bool(FAULTY_SHARE);
     if stage.is_none() {
-        let answer = Reaction::Answer { status: 200, body: answer_body(name).into_bytes() };
+        let answer = Reaction::Respond { status: 200, body: answer_body(name).into_bytes() };
         let faults = [
             Reaction::RawThenClose(Vec::new()),
             Reaction::RawThenReset(Vec::new()),
-            Reaction::Answer { status: 500, body: b"failed".to_vec() },
+            Reaction::Respond { status: 500, body: b"failed".to_vec() },
         ];
         let index = chance.random_range(0..faults.len());
         return if is_faulty { faults[index].clone() } else { answer };
@@ -261,7 +261,7 @@
         Reaction::Stream(mut stream) => {
             stream.pause = Duration::from_millis(chance.random_range(1..15));
             if is_faulty {
-                stream.breaks_after = Some(chance.random_range(0..LAST_EVENT));
+                stream.cut_after_event = Some(chance.random_range(0..LAST_EVENT));
             }
             Reaction::Stream(stream)
         }
