--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `pitchstall check`.
+//! `pitchstall check`: validates a settings file or a policy program.
 
 use crate::CommandError;
 use gumdrop::Options;
@@ -10,9 +10,9 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Ending of a policy program's name.
+/// File name extension of policy programs.
 const PROGRAM_EXTENSION: &str = "rhai";
-/// Sizes that a program is tried with: prompt tokens and most output tokens.
+/// Sizes of the sample requests: prompt tokens and maximum output tokens.
 const SAMPLE_SIZES: [(u64, u64); 3] = [(10, 10), (500, 200), (20_000, 1_000)];
 const SAMPLE_ZONES: [&str; 3] = ["sample-east", "sample-west", "sample-north"];
 
@@ -25,7 +25,7 @@
     file: PathBuf,
 }
 
-/// Checks a file.
+/// Checks a file: a policy program if it has the extension `.rhai`, otherwise a settings file.
 pub fn run(arguments: &CheckArguments) -> Result<ExitCode, CommandError> {
     let file = &arguments.file;
     if file.extension().is_some_and(|extension| extension == PROGRAM_EXTENSION) {
@@ -42,7 +42,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints the region of the node, and of each zone that the settings name.
+/// Prints the region of the node's zone, and of every other zone that the settings name.
 fn print_regions(node: &NodeSection) {
     let zone = &node.zone;
     match node.regions.get(zone) {
@@ -54,14 +54,14 @@
     }
 }
 
-/// Reads a file as text.
+/// Reads a UTF-8 file; the error names its path.
 pub fn read(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path)
         .map_err(|error| CommandError::File(format!("{}: {error}", path.display())))
 }
 
-/// Compiles a program and runs it on sample requests, so that a program that loops or returns
-/// something else than a decision is found before it is in force.
+/// Compiles a program and runs it on sample requests, so that a program that does not terminate or does
+/// not return a decision is rejected before it is applied.
 fn check_program(source: &str) -> Result<(), PolicyError> {
     let engine = PolicyEngine::new();
     let policy = engine.compile(source)?;
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -1,4 +1,4 @@
-//! `pitchstall dev`: nodes, and stand-ins for the platform, in one process, to try it out.
+//! `pitchstall dev`: runs nodes and stand-ins for the platform in one process, for evaluation.
 
 use crate::runtime::{stop_flag, StopFlag};
 use crate::{CommandError, EXIT_FAILED};
@@ -24,17 +24,20 @@
 pub struct DevArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "send a small mixed load, print a report and stop")]
+    #[options(help = "send a small mixed load, print a report and exit")]
     once: bool,
     #[options(help = "log levels by module", default = "warn")]
     log: String,
-    #[options(help = "first of nine ports on the loopback interface", default = "17380")]
+    #[options(
+        help = "first of twelve consecutive ports on the loopback interface",
+        default = "17380"
+    )]
     port: u16,
-    #[options(help = "regions that the zones lie in, 1 or 2", default = "1")]
+    #[options(help = "number of regions that the zones belong to, 1 or 2", default = "1")]
     regions: usize,
     #[options(
-        help = "milliseconds, each way, from nodes to runners of the other region, and from the \
-                second region to the store",
+        help = "one-way delay in milliseconds from nodes to runners of the other region, and from \
+                the second region to the store",
         default = "30"
     )]
     region_delay_ms: u64,
@@ -42,12 +45,14 @@
 
 const REGIONS: [&str; ZONES.len()] = ["region-1", "region-2"];
 const NODES_PER_ZONE: u16 = 2;
+/// Ports of a node on consecutive numbers: for clients, for health checks and for peers.
 const PORTS_PER_NODE: u16 = 3;
 const REQUESTS: usize = 60;
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs everything in this process.
+/// Starts the fleet of stand-ins and the nodes, and runs until SIGTERM or SIGINT, or with `--once` until a
+/// small load is done.
 pub fn run(arguments: &DevArguments) -> Result<ExitCode, CommandError> {
     if !(1..=REGIONS.len()).contains(&arguments.regions) {
         let max = REGIONS.len();
@@ -57,16 +62,16 @@
         logging::start(&arguments.log).map_err(|error| CommandError::Logging(error.to_string()))?;
     let stop = stop_flag()?;
     let fleet = StandInFleet::start()
-        .map_err(|error| CommandError::Fleet(format!("the stand-ins cannot start: {error}")))?;
+        .map_err(|error| CommandError::Fleet(format!("stand-ins cannot be started: {error}")))?;
     let store_addresses = store_addresses(&fleet, arguments)
-        .map_err(|error| CommandError::Fleet(format!("the links cannot start: {error}")))?;
+        .map_err(|error| CommandError::Fleet(format!("links cannot be started: {error}")))?;
     let nodes = start_nodes(&fleet, &store_addresses, arguments);
     wait_until_ready(&nodes)?;
     for node in &nodes {
         println!("node on http://{node}");
     }
     println!("{}", example_request(nodes[0]));
-    println!("with the key {LIMITED_KEY}: the same for a tenant with a limit, 429 beyond it");
+    println!("the key {LIMITED_KEY} is of a tenant with a limit: status 429 above it");
     if arguments.once {
         return Ok(run_load(&nodes));
     }
@@ -74,7 +79,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Where the nodes of each zone reach the store.
+/// Addresses at which the nodes of each zone reach the store, in order of [`ZONES`].
 fn store_addresses(
     fleet: &StandInFleet,
     arguments: &DevArguments,
@@ -107,7 +112,7 @@
     nodes
 }
 
-/// The region of each zone, if there are several.
+/// The region of each zone; empty if there is only one region.
 fn regions(count: usize) -> BTreeMap<String, String> {
     let pairs = ZONES.iter().zip(REGIONS).filter(|_| count > 1);
     pairs.map(|(zone, region)| ((*zone).to_owned(), region.to_owned())).collect()
@@ -155,7 +160,7 @@
     }
 }
 
-/// Waits until each node answers a request.
+/// Waits until each node has served a stream and a booking. Fails after [`READY_TIMEOUT`].
 fn wait_until_ready(nodes: &[SocketAddr]) -> Result<(), CommandError> {
     let deadline = Instant::now() + READY_TIMEOUT;
     let is_ready = |node: &SocketAddr| {
@@ -163,7 +168,7 @@
     };
     while !nodes.iter().all(is_ready) {
         if Instant::now() >= deadline {
-            return Err(CommandError::Fleet("the nodes did not become ready".to_owned()));
+            return Err(CommandError::Fleet("nodes did not become ready in time".to_owned()));
         }
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `pitchstall explain`: the story of a request, from the logs of all nodes.
+//! `pitchstall explain`: prints the history of a request from the logs of all nodes.
 
 use crate::{CommandError, EXIT_FAILED};
 use gumdrop::Options;
@@ -12,13 +12,14 @@
 pub struct ExplainArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, help = "the request's id, then files with log lines")]
+    #[options(free, help = "the request's id, followed by log files")]
     rest: Vec<String>,
 }
 
-/// A log line that belongs to the story.
+/// A parsed log line.
 struct LogEntry {
     time: String,
+    /// The node that wrote the line, or the log file if the line does not name the node.
     source: String,
     fields: Map<String, Value>,
 }
@@ -29,8 +30,9 @@
     }
 }
 
-/// Prints every line about a request in the order of time, between them what happened meanwhile to the
-/// runners it was sent to, and all runners that crashed under the same request, whatever its id then.
+/// Prints in order of time every log line about a request, the lines about the runners that it was sent
+/// to from the time between its first and last line, and all lines about runners that crashed while they ran
+/// the same request, under whatever id it had then.
 pub fn run(arguments: &ExplainArguments) -> Result<ExitCode, CommandError> {
     let Some((id, files)) = arguments.rest.split_first().filter(|(_, files)| !files.is_empty())
     else {
@@ -50,8 +52,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads the JSON lines of a file; what stands before a line's object is dropped, and lines
-/// without one are passed over.
+/// Reads the JSON lines of a log file. Text before the object of a line is a prefix of the log collector;
+/// lines without an object are skipped.
 fn read_entries(path: &Path) -> Result<Vec<LogEntry>, CommandError> {
     let text = crate::check::read(path)?;
     let source = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
@@ -63,7 +65,7 @@
     let (before, object) = line.split_at(start);
     let Ok(Value::Object(fields)) = serde_json::from_str(object.trim()) else { return None };
     let time = fields.get("time")?.as_str()?.to_owned();
-    // Collected logs name the node before each line.
+    // Log collectors prefix each line with the node's name, as the last word before the object.
     let node = before.split_whitespace().last();
     Some(LogEntry { time, source: node.unwrap_or(file).to_owned(), fields })
 }
@@ -84,7 +86,7 @@
     };
     let identities: BTreeSet<&str> =
         entries.iter().filter(is_about_request).flat_map(request_identities).collect();
-    // Runners may have crashed under the same request long before it came under this id.
+    // The same request may have crashed runners long before it arrived under this id.
     let shares_identity =
         |entry: &LogEntry| request_identities(entry).any(|it| identities.contains(it));
     let is_related = |entry: &&LogEntry| {
@@ -95,7 +97,8 @@
     entries.iter().filter(is_related).collect()
 }
 
-/// The identities of requests that a line names: what stays of a request when it comes again.
+/// The request identities that a line names. An identity stays the same when a request is sent again under
+/// another id.
 fn request_identities(entry: &LogEntry) -> impl Iterator<Item = &str> {
     let named = entry.text("identities").split_whitespace();
     named.chain([entry.text("identity")]).filter(|identity| !identity.is_empty())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -10,12 +10,12 @@
 use gumdrop::Options;
 use std::process::ExitCode;
 
-/// Exit code when the command line or a file is at fault.
+/// Exit code if the command line or a file is invalid, or if the command could not be carried out.
 pub const EXIT_USAGE: u8 = 2;
-/// Exit code when the work was done and its result is bad.
+/// Exit code if the command was carried out with a negative result.
 pub const EXIT_FAILED: u8 = 1;
 
-/// Serving of language models on a fixed fleet.
+/// Serves language models on a fixed fleet.
 #[derive(Debug, Options)]
 struct Arguments {
     #[options(help = "print this help")]
@@ -28,40 +28,42 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    #[options(help = "serve callers on the platform")]
+    #[options(help = "run a node that serves clients on the platform")]
     Serve(serve::ServeArguments),
     #[options(help = "check a settings file or a policy program")]
     Check(check::CheckArguments),
-    #[options(help = "run nodes, runners and a store in one process, to try it out")]
+    #[options(help = "run nodes, runners and a store in one process, for evaluation")]
     Dev(dev::DevArguments),
-    #[options(help = "print the story of a request from log files: explain ID FILE...")]
+    #[options(help = "print what log files say about a request: explain ID FILE...")]
     Explain(explain::ExplainArguments),
-    #[options(help = "print who keeps tenants' limits, as a node knows it: quota IP:PORT")]
+    #[options(
+        help = "print the quota keepers of tenants' limits that a node knows: quota IP:PORT"
+    )]
     Quota(quota::QuotaArguments),
 }
 
-/// Why a command did not do its work.
+/// Why a command failed. Each variant ends the process with [`EXIT_USAGE`].
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The command line is at fault.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
-    /// Settings cannot be used.
+    /// The settings file cannot be read or is invalid.
     #[error(transparent)]
     Settings(#[from] pitchstall_gateway::settings::SettingsError),
-    /// `serve` failed.
+    /// The node of `serve` failed.
     #[error(transparent)]
     Serve(#[from] pitchstall_gateway::daemon::DaemonError),
-    /// A policy program cannot be used.
+    /// A policy program, named by its path, is invalid.
     #[error("{0}: {1}")]
     Policy(String, pitchstall_policy::PolicyError),
-    /// The logger failed.
+    /// The logger cannot be started.
     #[error("the logger cannot be started: {0}")]
     Logging(String),
-    /// A file cannot be read or is not valid.
+    /// A file cannot be read.
     #[error("{0}")]
     File(String),
-    /// The fleet could not be asked.
+    /// A node cannot be queried, or the fleet of `dev` cannot be started.
     #[error("{0}")]
     Fleet(String),
 }
--- a/crates/cli/src/quota.rs
+++ b/crates/cli/src/quota.rs
@@ -1,4 +1,5 @@
-//! `pitchstall quota`: what a node knows of tenants' limits, and what it keeps of them.
+//! `pitchstall quota`: prints the quota keepers that a node knows, and the tenants' remaining quotas at the
+//! keepers that it holds.
 
 use crate::{CommandError, EXIT_FAILED};
 use gumdrop::Options;
@@ -9,7 +10,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longest wait for the node, for each step.
+/// Timeout for connecting to the node, and for each read.
 const NODE_TIMEOUT: Duration = Duration::from_secs(5);
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
@@ -22,17 +23,18 @@
     rest: Vec<String>,
 }
 
-/// Prints who keeps tenants' limits as far as a node knows, and what is left at the keepers that it
-/// holds itself.
+/// Prints the quota keepers that a node knows and the quotas that remain at the keepers it holds itself.
+/// The result is negative if tenants have limits and the node knows no keeper.
 pub fn run(arguments: &QuotaArguments) -> Result<ExitCode, CommandError> {
     let [address] = arguments.rest.as_slice() else {
-        return Err(CommandError::Usage("expected the health address of a node".to_owned()));
+        return Err(CommandError::Usage("expected the health address of one node".to_owned()));
     };
     let address: SocketAddr =
         address.parse().map_err(|_| CommandError::Usage(format!("{address} is not an IP:port")))?;
     let failed = |error: String| CommandError::Fleet(format!("{address}: {error}"));
     let response = fetch_report(address).map_err(|error| failed(error.to_string()))?;
-    let body = response_body(&response).ok_or_else(|| failed(format!("no {QUOTA_PATH} there")))?;
+    let body = response_body(&response)
+        .ok_or_else(|| failed(format!("{QUOTA_PATH} is not served there")))?;
     let report: Value = serde_json::from_str(body).map_err(|error| failed(error.to_string()))?;
     print!("{}", render(&report));
     let is_known = report["keepers"].as_array().is_some_and(|keepers| !keepers.is_empty());
@@ -51,6 +53,7 @@
     Ok(response)
 }
 
+/// The body of a response with status 200; `None` for other statuses.
 fn response_body(response: &str) -> Option<&str> {
     let (head, body) = response.split_once("\r\n\r\n")?;
     head.split(' ').nth(1).filter(|status| *status == "200").map(|_| body)
--- a/crates/cli/src/runtime.rs
+++ b/crates/cli/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Runs a future on ntex's runtime, on this thread, and takes signals to stop.
+//! Runs a future on ntex's runtime on the current thread, and registers the signals that stop the process.
 
 use crate::CommandError;
 use ntex::rt::{DefaultRuntime, System};
@@ -7,11 +7,11 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-/// Set once the process is told to stop.
+/// Set once the process has received a signal to stop.
 pub type StopFlag = Arc<AtomicBool>;
 
-/// A flag that SIGTERM and SIGINT set. The server's own handling of signals is off: it would
-/// cut streams, where a node has to finish them.
+/// Registers a flag that SIGTERM and SIGINT set. ntex's own signal handling is disabled, because it would
+/// cut open streams, which a node has to finish. Fails if a signal handler cannot be registered.
 pub fn stop_flag() -> Result<StopFlag, CommandError> {
     let flag = StopFlag::default();
     for signal in [SIGTERM, SIGINT] {
@@ -21,7 +21,7 @@
     Ok(flag)
 }
 
-/// Runs a future to its end.
+/// Runs a future to completion on a runtime with the given name.
 pub fn block_on<F>(name: &str, future: F) -> F::Output
 where
     F: Future + 'static,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `pitchstall serve`.
+//! `pitchstall serve`: runs a node.
 
 use crate::runtime::block_on;
 use crate::CommandError;
@@ -14,13 +14,14 @@
 pub struct ServeArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "settings file, TOML", required)]
+    #[options(help = "settings file (TOML)", required)]
     settings: PathBuf,
 }
 
-/// Serves callers until the process is asked to stop and has finished its work.
+/// Serves clients until the process receives a signal to stop and has finished its open work.
 pub fn run(arguments: ServeArguments) -> Result<ExitCode, CommandError> {
-    // First of all: until it is caught, a signal to reload ends the process.
+    // Handlers are registered before anything else: a SIGHUP for a reload that arrives earlier would
+    // terminate the process.
     let signals = Signals::register()?;
     let settings = Settings::read(&arguments.settings)?;
     let _logger = logging::start(&settings.log.levels)
