--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -88,7 +88,7 @@
         return Ok(vec![fleet.store.address(); ZONES.len()]);
     }
     let delay = Duration::from_millis(arguments.region_delay_ms);
-    ZONES.iter().map(|zone| fleet.view_from(zone, delay)).collect()
+    ZONES.iter().map(|zone| fleet.store_view_from(zone, delay)).collect()
 }
 
 fn start_nodes(
--- a/crates/cli/tests/check.rs
+++ b/crates/cli/tests/check.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_regions_in_force_are_printed() {
+fn effective_regions_are_printed() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let example = std::fs::read_to_string(root.join("examples/serve.toml")).unwrap();
     let (code, text) = check_contents("regions.toml", &example);
@@ -49,7 +49,7 @@
 #[test_case("c.toml", "[nodes]\n", "nodes"; "a section that nobody knows")]
 #[test_case("d.rhai", "#{ zone", "parse"; "a program that does not parse")]
 #[test_case("e.rhai", "loop { }", "operations"; "a program that loops")]
-fn what_is_wrong_is_told(name: &str, text: &str, expected: &str) {
+fn errors_are_reported_with_their_location(name: &str, text: &str, expected: &str) {
     let (code, output) = check_contents(name, text);
     assert_eq!(code, Some(EXIT_USAGE), "{output}");
     assert!(output.contains(expected), "{output}");
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_story_leads_from_the_id_to_the_cause() {
+fn output_leads_from_the_request_id_to_the_cause() {
     let (found, text) = explain("r-1");
     assert!(found);
     let events: Vec<&str> = text
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_request_that_is_held_back_leads_to_the_crashes_under_it() {
+fn a_quarantined_request_leads_to_the_earlier_crashes() {
     let (found, text) = explain("r-3");
     assert!(found);
     let events = ["broken attempt", "runner ended", "held back"];
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_unknown_request_is_told() {
+fn an_unknown_request_is_reported() {
     let (found, text) = explain("nobody");
     assert!(!found);
     assert!(text.contains("no line names the request nobody"));
--- a/crates/cli/tests/quota.rs
+++ b/crates/cli/tests/quota.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn who_keeps_what_and_what_is_left_is_printed() {
+fn keepers_and_remaining_quotas_are_printed() {
     let report = json!({
         "has_limits": true,
         "held": [{ "keeper": "east/0", "revision": 7, "left_ms": 9_240, "tenants": [
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn it_fails_where_there_are_limits_and_no_keeper_is_known() {
+fn limits_without_a_known_keeper_are_a_failure() {
     let report = json!({ "has_limits": true, "held": [], "keepers": [] });
     let output = run_quota(&[&health_address("200 OK", report).to_string()]);
     assert_eq!(output.status.code(), Some(1));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn without_limits_it_says_so() {
+fn missing_limits_are_reported() {
     let report = json!({ "has_limits": false, "held": [], "keepers": [] });
     let output = run_quota(&[&health_address("200 OK", report).to_string()]);
     assert!(output.status.success());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_address_that_is_none_or_answers_something_else_is_an_error() {
+fn an_invalid_address_or_an_unexpected_response_is_an_error() {
     let other = health_address("404 Not Found", json!({})).to_string();
     for arguments in [&[][..], &["here"][..], &["127.0.0.1:1"][..], &[other.as_str()][..]] {
         let output = run_quota(arguments);
--- a/crates/gateway/src/store_pages.rs
+++ b/crates/gateway/src/store_pages.rs
@@ -8,10 +8,10 @@
     mut read: impl AsyncFnMut(Option<String>) -> Result<Page, E>,
 ) -> Result<Page, E> {
     let mut all = read(None).await?;
-    while all.more {
+    while all.has_more {
         let after = all.items.last().map(|item: &Item| item.key.clone());
         let page = read(after).await?;
-        all.more = page.more && !page.items.is_empty();
+        all.has_more = page.has_more && !page.items.is_empty();
         all.items.extend(page.items);
     }
     Ok(all)
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -354,7 +354,7 @@
         let all = all.await?;
         let entries = entries_of(&self.node, self.subject, all.items);
         let era = of_first.unwrap_or_default();
-        Ok(StoreUpdate { era, known_to: all.at, is_snapshot: true, entries })
+        Ok(StoreUpdate { era, known_to: all.revision, is_snapshot: true, entries })
     }
 
     fn take_update(&mut self, update: &StoreUpdate) {
@@ -426,7 +426,7 @@
                     self.changed_at = Some(Instant::now());
                     self.note_pace();
                 }
-                let known_to = StoreRevision::new(era, page.at).max(at);
+                let known_to = StoreRevision::new(era, page.revision).max(at);
                 let entries = entries_of(&self.node, self.subject, page.items);
                 let number = known_to.number();
                 let update = StoreUpdate { era, known_to: number, is_snapshot: false, entries };
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -307,7 +307,7 @@
 
 #[test]
 fn a_stream_passes_whole() {
-    let runner = desk(|request| Reaction::Stream(EventStream::whole(request, 20)));
+    let runner = desk(|request| Reaction::Stream(EventStream::for_request(request, 20)));
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
     let mut client = node.client();
     client.request("POST", "/draft/1", "id-1", "", b"x");
@@ -320,7 +320,7 @@
 #[test]
 fn a_stream_that_breaks_off_is_seen_to_break_off() {
     let runner = desk(|request| {
-        let whole = EventStream::whole(request, 20);
+        let whole = EventStream::for_request(request, 20);
         Reaction::Stream(EventStream { cut_after_event: Some(4), ..whole })
     });
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
@@ -338,7 +338,7 @@
 #[test]
 fn a_stream_that_may_be_resumed_goes_on_at_another_runner() {
     let breaking = |request: &ReceivedRequest| {
-        let whole = EventStream::whole(request, 9);
+        let whole = EventStream::for_request(request, 9);
         let cut_after_event =
             if request.header("last-event-id").is_none() { Some(4) } else { None };
         Reaction::Stream(EventStream { cut_after_event, ..whole })
@@ -373,7 +373,7 @@
     })
     .unwrap();
     let decode = RunnerStandIn::start("i-decode", |request| {
-        Reaction::Stream(EventStream::whole(request, 3))
+        Reaction::Stream(EventStream::for_request(request, 3))
     })
     .unwrap();
     let runners = [(&prefill, "llm", Some("prefill")), (&decode, "llm", Some("decode"))];
@@ -420,7 +420,7 @@
 #[test]
 fn events_are_forwarded_as_they_come() {
     let runner = desk(|request| {
-        let whole = EventStream::whole(request, 1_000);
+        let whole = EventStream::for_request(request, 1_000);
         Reaction::Stream(EventStream { pause: Duration::from_millis(20), ..whole })
     });
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
@@ -464,7 +464,7 @@
 fn a_silent_stream_is_not_left_while_nobody_else_can_go_on() {
     let pause = Duration::from_millis(1_600);
     let slow = RunnerStandIn::start("i-slow", move |request| {
-        Reaction::Stream(EventStream { pause, ..EventStream::whole(request, 1) })
+        Reaction::Stream(EventStream { pause, ..EventStream::for_request(request, 1) })
     })
     .unwrap();
     let node = Fixture::with_runners(&[(&slow, "llm", Some("decode"))]);
--- a/crates/gateway/tests/regions.rs
+++ b/crates/gateway/tests/regions.rs
@@ -16,7 +16,8 @@
 const REGIONS: &str = "[node.regions]\nnorth = \"up\"\ncoast = \"up\"\nsouth = \"down\"\n";
 
 fn writer(id: &str) -> RunnerStandIn {
-    RunnerStandIn::start(id, |request| Reaction::Stream(EventStream::whole(request, 3))).unwrap()
+    RunnerStandIn::start(id, |request| Reaction::Stream(EventStream::for_request(request, 3)))
+        .unwrap()
 }
 
 fn metric(node: &Fixture, name: &str) -> Option<u64> {
--- a/crates/gateway/tests/runner_limits.rs
+++ b/crates/gateway/tests/runner_limits.rs
@@ -62,7 +62,7 @@
             return engine_script(3)(request);
         }
         noted.lock().unwrap().push(Instant::now());
-        let stream = Reaction::Stream(EventStream::whole(request, 3));
+        let stream = Reaction::Stream(EventStream::for_request(request, 3));
         Reaction::WithNotice(LIMITED, Box::new(stream))
     };
     RunnerStandIn::start("w-1", script).unwrap()
--- a/crates/gateway/tests/runner_notices.rs
+++ b/crates/gateway/tests/runner_notices.rs
@@ -123,7 +123,7 @@
     });
     let stream = |request: &ReceivedRequest| {
         let pause = Duration::from_millis(50);
-        Reaction::Stream(EventStream { pause, ..EventStream::whole(request, 3) })
+        Reaction::Stream(EventStream { pause, ..EventStream::for_request(request, 3) })
     };
     let other = RunnerStandIn::start("w-2", stream).unwrap();
     let node = Fixture::with_runners(&[
@@ -242,7 +242,7 @@
 #[test]
 fn what_a_scheduler_chooses_is_not_sent_to_a_runner_that_wants_none() {
     let resting = resting_writer();
-    let stream = |request: &ReceivedRequest| Reaction::Stream(EventStream::whole(request, 3));
+    let stream = |request: &ReceivedRequest| Reaction::Stream(EventStream::for_request(request, 3));
     let other = RunnerStandIn::start("w-2", stream).unwrap();
     let first = Fixture::with_runners(&[
         (&resting, "llm", Some("decode")),
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -12,7 +12,8 @@
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
 
 fn writer(id: &str) -> RunnerStandIn {
-    RunnerStandIn::start(id, |request| Reaction::Stream(EventStream::whole(request, 3))).unwrap()
+    RunnerStandIn::start(id, |request| Reaction::Stream(EventStream::for_request(request, 3)))
+        .unwrap()
 }
 
 /// Nodes of one zone before the same store, with two runners of a language model.
