--- a/crates/cli/tests/check.rs
+++ b/crates/cli/tests/check.rs
@@ -1,4 +1,4 @@
-//! `pitchstall check`: what is wrong is told with its place, and the exit code says so.
+//! `pitchstall check` reports errors with their location, and by its exit code.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::path::Path;
@@ -40,15 +40,15 @@
     assert!(text.contains("zone brest-hall (this node): region finistere"), "{text}");
     assert!(text.contains("zone quimper-hall: region finistere"), "{text}");
     let unnamed = example.replace("brest-hall = \"finistere\"", "");
-    let (_, text) = check_contents("untold.toml", &unnamed);
+    let (_, text) = check_contents("unnamed.toml", &unnamed);
     assert!(text.contains("brest-hall (this node): not named, a region of its own"), "{text}");
 }
 
-#[test_case("a.toml", "[node]\nname = 7\n", "line 2"; "a value of another type")]
-#[test_case("b.toml", "[node]\nname = \"n\"\nzone = \"z\"\n", "listen"; "a section that is missing")]
-#[test_case("c.toml", "[nodes]\n", "nodes"; "a section that nobody knows")]
-#[test_case("d.rhai", "#{ zone", "parse"; "a program that does not parse")]
-#[test_case("e.rhai", "loop { }", "operations"; "a program that loops")]
+#[test_case("a.toml", "[node]\nname = 7\n", "line 2"; "a value of the wrong type")]
+#[test_case("b.toml", "[node]\nname = \"n\"\nzone = \"z\"\n", "listen"; "a missing section")]
+#[test_case("c.toml", "[nodes]\n", "nodes"; "an unknown section")]
+#[test_case("d.rhai", "#{ zone", "parse"; "a program with a syntax error")]
+#[test_case("e.rhai", "loop { }", "operations"; "a program that does not terminate")]
 fn errors_are_reported_with_their_location(name: &str, text: &str, expected: &str) {
     let (code, output) = check_contents(name, text);
     assert_eq!(code, Some(EXIT_USAGE), "{output}");
--- a/crates/cli/tests/dev.rs
+++ b/crates/cli/tests/dev.rs
@@ -1,9 +1,9 @@
-//! The README's first command.
+//! `pitchstall dev --once`, the first command of the README.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::process::Command;
 
-/// Runs `pitchstall dev --once` with more arguments; returns whether it succeeded, and its output.
+/// Runs `pitchstall dev --once` with additional arguments; returns whether it succeeded, and its output.
 fn dev_once(arguments: &[&str]) -> (bool, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_pitchstall"))
         .args(["dev", "--once"])
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,9 +1,11 @@
-//! The story of a request, from log lines alone.
+//! `pitchstall explain` reconstructs the history of a request from log lines alone.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::process::Command;
 
-/// Lines of two nodes, as collected: one runner left while the request was there.
+/// Collected log lines of two nodes. One runner leaves while it runs the request `r-1`; another one crashes
+/// under a request that later arrives as `r-3`. `explain` has to keep reading the lines of earlier builds, so the
+/// events here stay as they are when log events are reworded.
 const LINES: &str = r#"
    1.9000 node-2 {"event":"finished","kind":"request","outcome":"streamed","request":"other","time":"2026-01-01T00:00:01.900Z"}
    2.0000 node-1 {"event":"sent","kind":"attempt","request":"r-1","runner":"i-a","time":"2026-01-01T00:00:02.000Z","work":"run"}
--- a/crates/cli/tests/quota.rs
+++ b/crates/cli/tests/quota.rs
@@ -1,4 +1,4 @@
-//! What `pitchstall quota` prints of a node's answer.
+//! Output and exit code of `pitchstall quota` for a node's response.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use serde_json::{json, Value};
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Command, Output};
 
-/// A health address that answers one question with a report.
+/// Starts a health address that responds to one request with the given status and report.
 fn health_address(status: &'static str, report: Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -1,4 +1,5 @@
-//! Signals that come while a node is starting.
+//! Signals that arrive while a node is starting. A SIGHUP for a reload would terminate the process if its
+//! handler were registered only after the settings are read.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use nix::sys::stat::Mode;
@@ -6,13 +7,13 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// No test waits longer for something that should happen.
+/// Time within which the process has to register its signal handlers.
 const CATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bits of SIGHUP and SIGTERM in a mask of signals.
+/// Bits of SIGHUP and SIGTERM in a signal mask.
 const SIGHUP_BIT: u64 = 1;
 const SIGTERM_BIT: u64 = 1 << 14;
 
-/// The signals that a process catches, as a mask.
+/// The mask of the signals that a process catches.
 fn caught_signals(process: &Child) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.id())).unwrap();
     let mask = status.lines().find_map(|line| line.strip_prefix("SigCgt:")).unwrap();
@@ -24,7 +25,7 @@
     let name = format!("pitchstall-signals-{}", std::process::id());
     let settings = std::env::temp_dir().join(name);
     mkfifo(&settings, Mode::S_IRWXU).unwrap();
-    // Nobody writes into it: the process waits for its settings.
+    // Nothing is written to the pipe, so that the process blocks while it reads its settings.
     let mut process = Command::new(env!("CARGO_BIN_EXE_pitchstall"))
         .args(["serve", "--settings", settings.to_str().unwrap()])
         .stdout(Stdio::null())
