--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -1,4 +1,4 @@
-//! `pitchstall dev`: nodes, and stand-ins for the platform, in one process, to try it out.
+//! `pitchstall dev`: runs nodes and stand-ins for the platform in one process, for evaluation.
 
 use crate::runtime::{stop_flag, StopFlag};
 use crate::{CommandError, EXIT_FAILED};
@@ -24,75 +24,84 @@
 pub struct DevArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "send a small mixed load, print a report and stop")]
+    #[options(help = "send a small mixed load, print a report and exit")]
     once: bool,
     #[options(help = "log levels by module", default = "warn")]
     log: String,
-    #[options(help = "first of nine ports on the loopback interface", default = "17380")]
+    #[options(
+        help = "first of twelve consecutive ports on the loopback interface",
+        default = "17380"
+    )]
     port: u16,
-    #[options(help = "regions that the zones lie in, 1 or 2", default = "1")]
+    #[options(help = "number of regions that the zones belong to, 1 or 2", default = "1")]
     regions: usize,
     #[options(
-        help = "milliseconds, each way, from nodes to runners of the other region, and from the \
-                second region to the store",
+        help = "one-way delay in milliseconds from nodes to runners of the other region, and from \
+                the second region to the store",
         default = "30"
     )]
     region_delay_ms: u64,
 }
 
 const REGIONS: [&str; ZONES.len()] = ["region-1", "region-2"];
-const NODES_IN_ZONE: u16 = 2;
-const PORTS_A_NODE: u16 = 3;
+const NODES_PER_ZONE: u16 = 2;
+/// Ports of a node on consecutive numbers: for clients, for health checks and for peers.
+const PORTS_PER_NODE: u16 = 3;
 const REQUESTS: usize = 60;
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs everything in this process.
+/// Starts the fleet of stand-ins and the nodes, and runs until SIGTERM or SIGINT, or with `--once` until a
+/// small load is done.
 pub fn run(arguments: &DevArguments) -> Result<ExitCode, CommandError> {
     if !(1..=REGIONS.len()).contains(&arguments.regions) {
-        let most = REGIONS.len();
-        return Err(CommandError::Usage(format!("--regions: expected 1 to {most}")));
+        let max = REGIONS.len();
+        return Err(CommandError::Usage(format!("--regions: expected 1 to {max}")));
     }
     let _logger =
         logging::start(&arguments.log).map_err(|error| CommandError::Logging(error.to_string()))?;
     let stop = stop_flag()?;
     let fleet = StandInFleet::start()
-        .map_err(|error| CommandError::Fleet(format!("the stand-ins cannot start: {error}")))?;
-    let stores = stores(&fleet, arguments)
-        .map_err(|error| CommandError::Fleet(format!("the links cannot start: {error}")))?;
-    let nodes = start_nodes(&fleet, &stores, arguments);
-    wait_until_taking(&nodes)?;
+        .map_err(|error| CommandError::Fleet(format!("stand-ins cannot be started: {error}")))?;
+    let store_addresses = store_addresses(&fleet, arguments)
+        .map_err(|error| CommandError::Fleet(format!("links cannot be started: {error}")))?;
+    let nodes = start_nodes(&fleet, &store_addresses, arguments);
+    wait_until_ready(&nodes)?;
     for node in &nodes {
         println!("node on http://{node}");
     }
     println!("{}", example_request(nodes[0]));
-    println!("with the key {LIMITED_KEY}: the same for a tenant with a limit, 429 beyond it");
+    println!("the key {LIMITED_KEY} is of a tenant with a limit: status 429 above it");
     if arguments.once {
-        return Ok(send_once(&nodes));
+        return Ok(run_load(&nodes));
     }
     wait_for_stop(&stop);
     Ok(ExitCode::SUCCESS)
 }
 
-/// Where the nodes of each zone reach the store.
-fn stores(fleet: &StandInFleet, arguments: &DevArguments) -> std::io::Result<Vec<SocketAddr>> {
+/// Addresses at which the nodes of each zone reach the store, in order of [`ZONES`].
+fn store_addresses(
+    fleet: &StandInFleet,
+    arguments: &DevArguments,
+) -> std::io::Result<Vec<SocketAddr>> {
     if arguments.regions == 1 {
         return Ok(vec![fleet.store.address(); ZONES.len()]);
     }
     let delay = Duration::from_millis(arguments.region_delay_ms);
-    ZONES.iter().map(|zone| fleet.view_from(zone, delay)).collect()
+    ZONES.iter().map(|zone| fleet.store_view_from(zone, delay)).collect()
 }
 
 fn start_nodes(
     fleet: &StandInFleet,
-    stores: &[SocketAddr],
+    store_addresses: &[SocketAddr],
     arguments: &DevArguments,
 ) -> Vec<SocketAddr> {
     let mut nodes = Vec::new();
-    let places = ZONES.iter().zip(stores).zip((0..).step_by(usize::from(NODES_IN_ZONE)));
-    for ((zone, store), first) in places {
-        for number in first..first + NODES_IN_ZONE {
-            let port = arguments.port + number * PORTS_A_NODE;
+    let placements =
+        ZONES.iter().zip(store_addresses).zip((0..).step_by(usize::from(NODES_PER_ZONE)));
+    for ((zone, store), first) in placements {
+        for number in first..first + NODES_PER_ZONE {
+            let port = arguments.port + number * PORTS_PER_NODE;
             let mut settings = settings(zone, number, port, fleet);
             settings.store.address = *store;
             settings.node.regions = regions(arguments.regions);
@@ -103,7 +112,7 @@
     nodes
 }
 
-/// The region of each zone, if there are several.
+/// The region of each zone; empty if there is only one region.
 fn regions(count: usize) -> BTreeMap<String, String> {
     let pairs = ZONES.iter().zip(REGIONS).filter(|_| count > 1);
     pairs.map(|(zone, region)| ((*zone).to_owned(), region.to_owned())).collect()
@@ -151,26 +160,26 @@
     }
 }
 
-/// Waits until each node answers a request.
-fn wait_until_taking(nodes: &[SocketAddr]) -> Result<(), CommandError> {
-    let end = Instant::now() + READY_WITHIN;
-    let takes = |node: &SocketAddr| {
-        TcpStream::connect(node).is_ok() && send_load(&[*node], 2).faults.is_empty()
+/// Waits until each node has served a stream and a booking. Fails after [`READY_TIMEOUT`].
+fn wait_until_ready(nodes: &[SocketAddr]) -> Result<(), CommandError> {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    let is_ready = |node: &SocketAddr| {
+        TcpStream::connect(node).is_ok() && send_load(&[*node], 2).failures.is_empty()
     };
-    while !nodes.iter().all(takes) {
-        if Instant::now() >= end {
-            return Err(CommandError::Fleet("the nodes did not become ready".to_owned()));
+    while !nodes.iter().all(is_ready) {
+        if Instant::now() >= deadline {
+            return Err(CommandError::Fleet("nodes did not become ready in time".to_owned()));
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-fn send_once(nodes: &[SocketAddr]) -> ExitCode {
+fn run_load(nodes: &[SocketAddr]) -> ExitCode {
     let report = send_load(nodes, REQUESTS);
-    println!("{} of {REQUESTS} answers were whole", report.whole);
-    report.faults.iter().for_each(|fault| println!("{fault}"));
-    if report.faults.is_empty() {
+    println!("{} of {REQUESTS} answers were whole", report.complete);
+    report.failures.iter().for_each(|failure| println!("{failure}"));
+    if report.failures.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(EXIT_FAILED)
@@ -179,6 +188,6 @@
 
 fn wait_for_stop(stop: &StopFlag) {
     while !stop.load(Ordering::Acquire) {
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,9 +1,11 @@
-//! The story of a request, from log lines alone.
+//! `pitchstall explain` reconstructs the history of a request from log lines alone.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::process::Command;
 
-/// Lines of two nodes, as collected: one runner left while the request was there.
+/// Collected log lines of two nodes. One runner leaves while it runs the request `r-1`; another one crashes
+/// under a request that later arrives as `r-3`. `explain` has to keep reading the lines of earlier builds, so the
+/// events here stay as they are when log events are reworded.
 const LINES: &str = r#"
    1.9000 node-2 {"event":"finished","kind":"request","outcome":"streamed","request":"other","time":"2026-01-01T00:00:01.900Z"}
    2.0000 node-1 {"event":"sent","kind":"attempt","request":"r-1","runner":"i-a","time":"2026-01-01T00:00:02.000Z","work":"run"}
@@ -31,7 +33,7 @@
 }
 
 #[test]
-fn the_story_leads_from_the_id_to_the_cause() {
+fn output_leads_from_the_request_id_to_the_cause() {
     let (found, text) = explain("r-1");
     assert!(found);
     let events: Vec<&str> = text
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn a_request_that_is_held_back_leads_to_the_crashes_under_it() {
+fn a_quarantined_request_leads_to_the_earlier_crashes() {
     let (found, text) = explain("r-3");
     assert!(found);
     let events = ["broken attempt", "runner ended", "held back"];
@@ -54,7 +56,7 @@
 }
 
 #[test]
-fn an_unknown_request_is_told() {
+fn an_unknown_request_is_reported() {
     let (found, text) = explain("nobody");
     assert!(!found);
     assert!(text.contains("no line names the request nobody"));
--- a/crates/cli/tests/quota.rs
+++ b/crates/cli/tests/quota.rs
@@ -1,4 +1,4 @@
-//! What `pitchstall quota` prints of a node's answer.
+//! Output and exit code of `pitchstall quota` for a node's response.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use serde_json::{json, Value};
@@ -6,15 +6,15 @@
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Command, Output};
 
-/// A health address that answers one question with a report.
+/// Starts a health address that responds to one request with the given status and report.
 fn health_address(status: &'static str, report: Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let mut question = [0; 512];
-        let length = stream.read(&mut question).unwrap();
-        assert!(question[..length].starts_with(b"GET /quota HTTP/1.1\r\n"));
+        let mut request = [0; 512];
+        let length = stream.read(&mut request).unwrap();
+        assert!(request[..length].starts_with(b"GET /quota HTTP/1.1\r\n"));
         let body = report.to_string();
         let head = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n", body.len());
         stream.write_all((head + &body).as_bytes()).unwrap();
@@ -22,7 +22,7 @@
     address
 }
 
-fn ask(arguments: &[&str]) -> Output {
+fn run_quota(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_pitchstall")).arg("quota").args(arguments).output().unwrap()
 }
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn who_keeps_what_and_what_is_left_is_printed() {
+fn keepers_and_remaining_quotas_are_printed() {
     let report = json!({
         "has_limits": true,
         "held": [{ "keeper": "east/0", "revision": 7, "left_ms": 9_240, "tenants": [
@@ -42,7 +42,7 @@
             { "keeper": "west/1", "node": "node-2", "address": "127.0.0.1:8", "heard_ms": 2_400, "asked": false },
         ],
     });
-    let output = ask(&[&health_address("200 OK", report).to_string()]);
+    let output = run_quota(&[&health_address("200 OK", report).to_string()]);
     assert!(output.status.success());
     assert_eq!(
         text(&output),
@@ -54,26 +54,26 @@
 }
 
 #[test]
-fn it_fails_where_there_are_limits_and_no_keeper_is_known() {
+fn limits_without_a_known_keeper_are_a_failure() {
     let report = json!({ "has_limits": true, "held": [], "keepers": [] });
-    let output = ask(&[&health_address("200 OK", report).to_string()]);
+    let output = run_quota(&[&health_address("200 OK", report).to_string()]);
     assert_eq!(output.status.code(), Some(1));
     assert!(text(&output).starts_with("no keeper is known"));
 }
 
 #[test]
-fn without_limits_it_says_so() {
+fn missing_limits_are_reported() {
     let report = json!({ "has_limits": false, "held": [], "keepers": [] });
-    let output = ask(&[&health_address("200 OK", report).to_string()]);
+    let output = run_quota(&[&health_address("200 OK", report).to_string()]);
     assert!(output.status.success());
     assert_eq!(text(&output), "no tenant has a limit\n");
 }
 
 #[test]
-fn an_address_that_is_none_or_answers_something_else_is_an_error() {
+fn an_invalid_address_or_an_unexpected_response_is_an_error() {
     let other = health_address("404 Not Found", json!({})).to_string();
     for arguments in [&[][..], &["here"][..], &["127.0.0.1:1"][..], &[other.as_str()][..]] {
-        let output = ask(arguments);
+        let output = run_quota(arguments);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
         assert!(!output.stderr.is_empty());
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -9,7 +9,7 @@
 };
 use crate::node::Node;
 use crate::runner_probe::{probe_while_silent, wait_until_suspected, RUNNER_CONNECT_TIMEOUT};
-use pitchstall_platform_adapter::headers::{self, LeftOut};
+use pitchstall_platform_adapter::headers::{self, OmittedHeaders};
 use pitchstall_serving::ids::{RunnerId, TenantName};
 use pitchstall_serving::placement::RunnerChoice;
 use pitchstall_serving::request::{AttemptInstructions, ResponseMetadata, Work};
@@ -258,9 +258,12 @@
         fetch_from: params.fetch_from,
         tenant: params.tenant.clone(),
     };
-    let left_out =
-        LeftOut { last_event: params.after_event.is_some(), authorization: params.has_tenants };
-    let is_forwarded = |(name, value): &&Header| headers::is_forwarded(name, value, left_out);
+    let left_out = OmittedHeaders {
+        last_event_id: params.after_event.is_some(),
+        authorization: params.has_tenants,
+    };
+    let is_forwarded =
+        |(name, value): &&Header| headers::is_forwarded_to_runner(name, value, left_out);
     let forwarded_headers = request.headers.iter().filter(is_forwarded);
     let mut headers_to_send: Vec<Header> = forwarded_headers.cloned().collect();
     let attempt_headers = headers::attempt_headers(&instructions).into_iter();
@@ -409,7 +412,7 @@
     pub fn client_headers(&self) -> Vec<Header> {
         let named = crate::http::connection_options(&self.head.headers);
         let passes = |header: &&Header| {
-            headers::is_for_client(&header.0)
+            headers::is_forwarded_to_client(&header.0)
                 && !crate::http::is_hop_by_hop_header(&header.0, &named)
         };
         self.head.headers.iter().filter(passes).cloned().collect()
--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -173,7 +173,7 @@
         let node = self.node.settings().node.name.clone();
         // If this call gets no response, the key may have been written without this node knowing.
         // It is deleted when the lease expires.
-        let acquire = store::take_authority(&self.subject, &node, lease.number);
+        let acquire = store::acquire_authority(&self.subject, &node, lease.number);
         let Some(acquired) = self.call(&acquire).await.filter(StoreAnswer::is_done) else { return };
         let Some(revision) = readable("authority", store::parse_transaction(&acquired.body)) else {
             return;
@@ -196,14 +196,14 @@
     /// restored from an older copy in between, and the key is attached to whichever lease has that
     /// number now.
     async fn undo_acquisition(&mut self, acquired_at: StoreRevision) {
-        let remove = store::remove_authority(&self.subject, acquired_at.number());
+        let remove = store::release_authority(&self.subject, acquired_at.number());
         let status = self.call(&remove).await.map(|response| response.status);
         log::warn!(target: "authority", subject = self.name.as_str(), status:?; "removal of an authority key that was written in another era of the store");
     }
 
     async fn renew(&mut self, lease: StoreLease) {
         let sent_at_us = self.node.now_us();
-        let response = self.call(&store::keep_lease(lease.number)).await;
+        let response = self.call(&store::renew_lease(lease.number)).await;
         if response.as_ref().is_some_and(|response| response.era != lease.era) {
             // The response is about another lease with the same number.
             return self.on_lost("the lease is of another era of the store");
@@ -250,7 +250,7 @@
     /// may belong to another holder's lease by now. Without a response the lease expires by itself.
     async fn end_lease(&mut self, lease: StoreLease) {
         let is_own = lease.era == self.node.store_era();
-        if !is_own || self.call(&store::end_lease(lease.number)).await.is_none() {
+        if !is_own || self.call(&store::revoke_lease(lease.number)).await.is_none() {
             let (subject, lease) = (self.name.as_str(), lease.number);
             log::info!(target: "authority", subject, lease; "lease not revoked: it expires by itself");
         }
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::shard_scheduler::own_shards;
 use crate::transfer::{read_body, Transfer};
-use pitchstall_platform_adapter::paths::{self, Told};
+use pitchstall_platform_adapter::paths::{self, RunnerResponse};
 use pitchstall_serving::fleet::Fleet;
 use pitchstall_serving::ids::RunnerId;
 use pitchstall_serving::prefix::PromptPart;
@@ -40,11 +40,13 @@
             continue;
         }
         let reply = fetch_cache_list(address).await;
-        if let Some(other) = reply.as_ref().filter(|reply| !runner.matches_start(reply.born_ms)) {
-            node.on_other_life(&runner, other.born_ms);
+        if let Some(other) =
+            reply.as_ref().filter(|reply| !runner.matches_start(reply.started_at_ms))
+        {
+            node.on_other_life(&runner, other.started_at_ms);
             continue;
         }
-        let prefixes = reply.map(|reply| reply.what);
+        let prefixes = reply.map(|reply| reply.value);
         let listed = prefixes.as_ref().map_or(0, Vec::len);
         let answered = prefixes.is_some();
         log::info!(target: "scheduling", runner = runner.as_str(), answered, listed; "cache listed");
@@ -62,11 +64,11 @@
     listed.map(|runner| (runner.record.id.clone(), runner.record.address)).collect()
 }
 
-async fn fetch_cache_list(address: SocketAddr) -> Option<Told<Vec<PromptPart>>> {
+async fn fetch_cache_list(address: SocketAddr) -> Option<RunnerResponse<Vec<PromptPart>>> {
     const OK: u16 = 200;
     let connection = Upstream::open(address, RESPONSE_HEAD_TIMEOUT).await.ok()?;
     let headers = [("host".to_owned(), address.to_string().into_bytes())];
-    connection.send(encode_request("GET", paths::LIST_CACHE, &headers, &[])).ok()?;
+    connection.send(encode_request("GET", paths::CACHE_LIST, &headers, &[])).ok()?;
     let head = timeout(RESPONSE_HEAD_TIMEOUT, connection.read_head()).await.ok()?.ok()?;
     let decoder = BodyDecoder::new(head.framing);
     let transfer = Transfer::default();
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -326,13 +326,13 @@
                     .await;
             }
             let sent_at_us = self.node.now_us();
-            match self.call(client, &store::keep_lease(lease.number)).await {
+            match self.call(client, &store::renew_lease(lease.number)).await {
                 Ok(_) => self.node.quotas.on_renewed(sent_at_us),
                 Err(CallFailure::Absent) => return self.node.quotas.on_lease_expired(),
                 Err(CallFailure::Other) => {}
             }
             if renewal % RENEWALS_PER_LISTING == 0 {
-                self.list_nodes(client, store::read_nodes_cheaply).await;
+                self.list_nodes(client, store::read_nodes_stale).await;
             }
         }
     }
@@ -366,7 +366,7 @@
 
     /// The node that a store entry names; `None` if the entry is invalid.
     fn read_node(&self, item: &Item) -> Option<(NodeId, Member)> {
-        let node = store::node_of(item);
+        let node = store::parse_node(item);
         if node.is_none() {
             let fault = EntryFault::Document("the entry names no node".to_owned());
             self.node.on_refused_entry("nodes", &item.key, item.revision, &fault);
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -52,7 +52,7 @@
     let exchange = async {
         let connection = Upstream::open(address, RELEASE_TIMEOUT).await.ok()?;
         let headers = [("host".to_owned(), address.to_string().into_bytes())];
-        let target = paths::free_handle(&name);
+        let target = paths::kv_handle_path(&name);
         connection.send(encode_request("DELETE", &target, &headers, &[])).ok()?;
         connection.read_head().await.ok()
     };
@@ -111,15 +111,15 @@
         Err(_) => return PrefillOutcome::Failed,
     };
     let prefill_result =
-        if response.status == 200 { paths::parse_prompt_read(&response.body) } else { None };
+        if response.status == 200 { paths::parse_prefill_response(&response.body) } else { None };
     let Some(prefill_result) = prefill_result else { return PrefillOutcome::Failed };
     // The handle is valid whichever incarnation of the runner returned it. If it is not the known incarnation, the
     // state recorded for that one no longer applies.
-    match runner.matches_start(prefill_result.born_ms) {
+    match runner.matches_start(prefill_result.started_at_ms) {
         true => node.on_parts_held(&runner, prefill.prompt.shared_prefix()),
-        false => node.on_other_life(&runner, prefill_result.born_ms),
+        false => node.on_other_life(&runner, prefill_result.started_at_ms),
     }
-    let name = prefill_result.what;
+    let name = prefill_result.value;
     let elapsed_ms = started_at.elapsed().as_secs_f64() * 1_000.0;
     let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
     node.on_read_in(prefill.service, &runner, sample);
--- a/crates/gateway/src/quota/candidate.rs
+++ b/crates/gateway/src/quota/candidate.rs
@@ -96,7 +96,7 @@
 
     /// Records the holder of a keeper from a store item that was read in the given era.
     fn learn(&self, item: &Item, era: StoreEra) {
-        let Some((keeper, holder, revision)) = quota_slots::keeper_of(item) else {
+        let Some((keeper, holder, revision)) = quota_slots::parse_keeper(item) else {
             let fault = EntryFault::Document("the entry names no keeper".to_owned());
             self.node.on_refused_entry("keepers", &item.key, item.revision, &fault);
             return;
@@ -142,7 +142,7 @@
     ) {
         let address = own_address(&self.node);
         let holder = KeeperHolder { node: own_name(&self.node), address };
-        let call = quota_slots::take_keeper(keeper, &holder, lease.id.number, revision);
+        let call = quota_slots::acquire_keeper(keeper, &holder, lease.id.number, revision);
         let response = self.node.call_store(&mut self.client, &call, STORE_TIMEOUT).await;
         match response.map(|response| (response.status, response.era, response.body)) {
             Some((StoreStatus::Done, era, body)) => {
@@ -208,7 +208,7 @@
                 // The key at that revision may be another holder's now.
                 continue;
             }
-            let call = quota_slots::remove_keeper(&keeper, revision.number());
+            let call = quota_slots::release_keeper(&keeper, revision.number());
             let response = self.node.call_store(&mut self.client, &call, STORE_TIMEOUT).await;
             let status = response.map(|response| response.status);
             let (keeper, revision) = (keeper.to_string(), revision.to_string());
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -14,7 +14,7 @@
 use crate::refused_entries::EntryFault;
 use crate::settings::{Duty, UsageSection};
 use crate::store_answers::{readable, StoreAnswer};
-use pitchstall_platform_adapter::cloud::{self, DutyAnswer, DutyHolder};
+use pitchstall_platform_adapter::cloud::{self, DutyHolder, DutyResponse};
 use pitchstall_platform_adapter::store::{self, StoreStatus};
 use pitchstall_serving::authority::FencingToken;
 use pitchstall_serving::ids::{NodeId, TenantName};
@@ -287,7 +287,7 @@
         let now_ms = self.node.wall_ms();
         for item in page.items {
             let (key, revision) = (item.key.clone(), item.revision);
-            let Some((window, body)) = store::usage_report_of(item) else {
+            let Some((window, body)) = store::parse_stored_usage_report(item) else {
                 let fault = EntryFault::Document("the entry names no usage window".to_owned());
                 self.node.on_refused_entry("usage", &key, revision, &fault);
                 continue;
@@ -329,7 +329,7 @@
             window.saturating_sub(2 + schedule.due_ms / schedule.windows.length_ms.max(1));
         let older: Vec<u64> =
             self.finalized_windows.iter().copied().filter(|it| *it < first_retained).collect();
-        let call = store::fix_usage_report(window, &report, fence, &older);
+        let call = store::persist_usage_report(window, &report, fence, &older);
         let response = self.node.call_store(&mut self.store, &call, CALL_TIMEOUT).await;
         let finalized = match response.map(|response| (response.status, response.body)) {
             Some((StoreStatus::Done, _)) => Some(report),
@@ -367,7 +367,7 @@
         body: &[u8],
     ) -> Option<Vec<u8>> {
         let items = readable("usage report", store::parse_conflict(body))?;
-        let reports = items.into_iter().filter_map(store::usage_report_of);
+        let reports = items.into_iter().filter_map(store::parse_stored_usage_report);
         let found = reports.into_iter().find(|(of, _)| *of == window);
         if found.is_none() {
             log::warn!(target: "usage", window, fence = fence.number(); "usage report not finalized: another node has the authority");
@@ -412,9 +412,9 @@
         };
         log::info!(target: "usage", window, fence = fence.number(), answer = outcome_text; "reported");
         match outcome {
-            Ok(DutyAnswer::Done) => drop(self.pending.remove(&window)),
-            Ok(DutyAnswer::Conflict) => self.node.authority.on_refused(fence),
-            Ok(DutyAnswer::Later) | Err(_) => self.postpone(window),
+            Ok(DutyResponse::Done) => drop(self.pending.remove(&window)),
+            Ok(DutyResponse::Conflict) => self.node.authority.on_refused(fence),
+            Ok(DutyResponse::Later) | Err(_) => self.postpone(window),
         }
     }
 
--- a/crates/gateway/tests/connection_pool.rs
+++ b/crates/gateway/tests/connection_pool.rs
@@ -5,7 +5,7 @@
 
 use pitchstall_gateway::clock::Instant;
 use pitchstall_gateway::http::LearnedIdleLimit;
-use pitchstall_platform_standins::runner::{signed_answer, Reaction, RunnerStandIn};
+use pitchstall_platform_standins::runner::{signed_response, Reaction, RunnerStandIn};
 use std::collections::HashSet;
 use std::sync::Mutex;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     let known = Mutex::new(HashSet::new());
     let runner = RunnerStandIn::start("i-desk", move |request| {
         if known.lock().unwrap().insert(request.connection) {
-            return Reaction::Raw(signed_answer(request, 200, b"booked"));
+            return Reaction::Raw(signed_response(request, 200, b"booked"));
         }
         Reaction::RawThenReset(Vec::new())
     });
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -3,9 +3,9 @@
 
 mod support;
 
-use pitchstall_platform_standins::http::{answer_bytes, ReceivedRequest};
+use pitchstall_platform_standins::http::{response_bytes, ReceivedRequest};
 use pitchstall_platform_standins::runner::{
-    event_text, signed_answer, stream_head, EventStream, Reaction, RunnerStandIn,
+    event_text, signed_response, stream_head, EventStream, Reaction, RunnerStandIn,
 };
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use test_case::test_case;
 
 fn ok(body: &str) -> Reaction {
-    Reaction::Answer { status: 200, body: body.as_bytes().to_vec() }
+    Reaction::Respond { status: 200, body: body.as_bytes().to_vec() }
 }
 
 fn desk(script: impl Fn(&ReceivedRequest) -> Reaction + Send + Sync + 'static) -> RunnerStandIn {
@@ -146,8 +146,8 @@
 #[test_case(Reaction::RawThenReset(Vec::new()); "reset without a response")]
 #[test_case(Reaction::Raw(b"what is this\r\n\r\n".to_vec()); "no HTTP response")]
 #[test_case(Reaction::RawThenClose(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhal".to_vec()); "unsigned and truncated")]
-#[test_case(Reaction::Raw(answer_bytes(200, &[], b"whose?")); "a success without a signature")]
-#[test_case(Reaction::Raw(answer_bytes(503, &[], b"")); "a refusal without a promise that it has not run")]
+#[test_case(Reaction::Raw(response_bytes(200, &[], b"whose?")); "a success without a signature")]
+#[test_case(Reaction::Raw(response_bytes(503, &[], b"")); "a refusal without a promise that it has not run")]
 fn a_request_that_may_have_run_is_neither_retried_nor_reported_as_refused(reaction: Reaction) {
     let runs = std::sync::Arc::new(AtomicUsize::new(0));
     let counted = runs.clone();
@@ -167,7 +167,7 @@
 #[test]
 fn a_truncated_response_is_not_forwarded() {
     let runner = desk(|request| {
-        let whole = signed_answer(request, 200, b"a whole answer");
+        let whole = signed_response(request, 200, b"a whole answer");
         Reaction::RawThenReset(whole[..whole.len() - 5].to_vec())
     });
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
@@ -198,8 +198,8 @@
 #[test]
 fn a_surplus_response_never_reaches_another_request() {
     let runner = desk(|request| {
-        let own = signed_answer(request, 200, b"own");
-        let surplus = signed_answer(request, 200, b"surplus");
+        let own = signed_response(request, 200, b"own");
+        let surplus = signed_response(request, 200, b"surplus");
         Reaction::Raw([own, surplus].concat())
     });
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
@@ -218,7 +218,7 @@
 fn a_late_surplus_response_is_skipped() {
     let runner = desk(|request| {
         if request.path() == "/lookup/second" {
-            let late = signed_answer(
+            let late = signed_response(
                 &ReceivedRequest {
                     headers: vec![("x-pitchstall-request-id".into(), "id-1".into())],
                     ..request.clone()
@@ -226,7 +226,7 @@
                 200,
                 b"late",
             );
-            return Reaction::Raw([late, signed_answer(request, 200, b"own")].concat());
+            return Reaction::Raw([late, signed_response(request, 200, b"own")].concat());
         }
         ok("first")
     });
@@ -255,7 +255,7 @@
 #[test]
 fn a_runner_that_closes_after_a_response_gets_the_next_request_on_a_new_connection() {
     let runner = desk(|request| {
-        let signed = signed_answer(request, 200, b"booked");
+        let signed = signed_response(request, 200, b"booked");
         let text = String::from_utf8(signed).unwrap();
         let closing = text.replacen("\r\n", "\r\nconnection: close\r\n", 1);
         Reaction::RawThenClose(closing.into_bytes())
@@ -307,7 +307,7 @@
 
 #[test]
 fn a_stream_is_forwarded_completely() {
-    let runner = desk(|request| Reaction::Stream(EventStream::whole(request, 20)));
+    let runner = desk(|request| Reaction::Stream(EventStream::for_request(request, 20)));
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
     let mut client = node.client();
     client.request("POST", "/draft/1", "id-1", "", b"x");
@@ -320,8 +320,8 @@
 #[test]
 fn a_broken_stream_is_visibly_truncated() {
     let runner = desk(|request| {
-        let whole = EventStream::whole(request, 20);
-        Reaction::Stream(EventStream { breaks_after: Some(4), ..whole })
+        let whole = EventStream::for_request(request, 20);
+        Reaction::Stream(EventStream { cut_after_event: Some(4), ..whole })
     });
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
     let mut client = node.client();
@@ -338,9 +338,10 @@
 #[test]
 fn a_resumable_stream_continues_on_another_runner() {
     let breaking = |request: &ReceivedRequest| {
-        let whole = EventStream::whole(request, 9);
-        let breaks_after = if request.header("last-event-id").is_none() { Some(4) } else { None };
-        Reaction::Stream(EventStream { breaks_after, ..whole })
+        let whole = EventStream::for_request(request, 9);
+        let cut_after_event =
+            if request.header("last-event-id").is_none() { Some(4) } else { None };
+        Reaction::Stream(EventStream { cut_after_event, ..whole })
     };
     let one = RunnerStandIn::start("i-1", breaking).unwrap();
     let two = RunnerStandIn::start("i-2", breaking).unwrap();
@@ -374,7 +375,7 @@
     })
     .unwrap();
     let decode = RunnerStandIn::start("i-decode", |request| {
-        Reaction::Stream(EventStream::whole(request, 3))
+        Reaction::Stream(EventStream::for_request(request, 3))
     })
     .unwrap();
     let runners = [(&prefill, "llm", Some("prefill")), (&decode, "llm", Some("decode"))];
@@ -421,7 +422,7 @@
 #[test]
 fn events_are_forwarded_as_they_arrive() {
     let runner = desk(|request| {
-        let whole = EventStream::whole(request, 1_000);
+        let whole = EventStream::for_request(request, 1_000);
         Reaction::Stream(EventStream { pause: Duration::from_millis(20), ..whole })
     });
     let node = Fixture::with_runners(&[(&runner, "llm", Some("decode"))]);
@@ -465,7 +466,7 @@
 fn a_stalled_stream_is_kept_while_no_other_runner_can_resume_it() {
     let pause = Duration::from_millis(1_600);
     let slow = RunnerStandIn::start("i-slow", move |request| {
-        Reaction::Stream(EventStream { pause, ..EventStream::whole(request, 1) })
+        Reaction::Stream(EventStream { pause, ..EventStream::for_request(request, 1) })
     })
     .unwrap();
     let node = Fixture::with_runners(&[(&slow, "llm", Some("decode"))]);
--- a/crates/gateway/tests/message_compatibility.rs
+++ b/crates/gateway/tests/message_compatibility.rs
@@ -44,7 +44,7 @@
 #[test]
 fn unreadable_datagrams_are_counted_and_otherwise_ignored() {
     let runner =
-        RunnerStandIn::start("i-1", |_| Reaction::Answer { status: 200, body: b"done".to_vec() })
+        RunnerStandIn::start("i-1", |_| Reaction::Respond { status: 200, body: b"done".to_vec() })
             .unwrap();
     let node = Fixture::with_runners(&[(&runner, "desk", None)]);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/crates/gateway/tests/policy.rs
+++ b/crates/gateway/tests/policy.rs
@@ -21,7 +21,7 @@
 }
 
 fn response_with_program(name: &str, program: &str) -> (u16, usize) {
-    let response = Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let response = Reaction::Respond { status: 200, body: b"booked".to_vec() };
     let runner = RunnerStandIn::start("i-desk", move |_| response.clone()).unwrap();
     let (node, file) = node_with_program(name, program, &runner);
     let mut client = node.client();
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -26,10 +26,10 @@
 
 fn engine(request: &ReceivedRequest, head: CrashHead) -> Reaction {
     if request.body == CRASHING_BODY {
-        return Reaction::Crash { head, runs_for: Duration::from_millis(20) };
+        return Reaction::Crash { head, crash_after: Duration::from_millis(20) };
     }
     if request.path().starts_with("/lookup/") {
-        return Reaction::Answer { status: 200, body: b"found".to_vec() };
+        return Reaction::Respond { status: 200, body: b"found".to_vec() };
     }
     engine_script(4)(request)
 }
@@ -67,7 +67,7 @@
 
 /// Number of runners that have crashed.
 fn crashed_count(runners: &[RunnerStandIn]) -> usize {
-    runners.iter().filter(|runner| runner.has_ended()).count()
+    runners.iter().filter(|runner| runner.is_terminated()).count()
 }
 
 /// Number of times that the crashing request has reached a runner.
@@ -211,7 +211,7 @@
         // One runner rejects the request without executing it, which shows nothing about its effect
         // on other runners.
         match arrivals.fetch_add(1, Ordering::SeqCst) {
-            FAILED_ARRIVAL => Reaction::Answer { status: 500, body: b"failed".to_vec() },
+            FAILED_ARRIVAL => Reaction::Respond { status: 500, body: b"failed".to_vec() },
             _ => engine(request, CrashHead::None),
         }
     };
--- a/crates/gateway/tests/runner_incarnations.rs
+++ b/crates/gateway/tests/runner_incarnations.rs
@@ -17,7 +17,7 @@
 const KEY: &str = "servers/i-1";
 
 fn answering(text: &'static str) -> impl Fn(&ReceivedRequest) -> Reaction + Send + Sync {
-    move |_| Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
+    move |_| Reaction::Respond { status: 200, body: text.as_bytes().to_vec() }
 }
 
 fn entry(runner: &RunnerStandIn, born: &Value, state: &str) -> Value {
@@ -64,7 +64,7 @@
     let node = node_with(&first);
     assert_eq!(send(&node, "POST", "/booking/1", "id-1").text(), "first");
     first.crash();
-    let second = first.start_again(answering("second")).unwrap();
+    let second = first.restart(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
     wait_for("the restarted runner", || send(&node, "GET", "/lookup/1", "id-2").text() == "second");
     for number in 0..4 {
@@ -81,7 +81,7 @@
     node.store.put(KEY, &entry(&first, &json!(1_000), "draining"));
     wait_for("the drain to begin", || send(&node, "GET", "/lookup/1", "id-1").status == 503);
     first.crash();
-    let second = first.start_again(answering("second")).unwrap();
+    let second = first.restart(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
     wait_for("the restarted runner", || send(&node, "GET", "/lookup/1", "id-2").text() == "second");
 }
@@ -95,7 +95,7 @@
     let node = node_with(&first);
     let waiting = start_pending_request(&node, &first, "POST", "/booking/1");
     first.crash();
-    let second = first.start_again(answering("second")).unwrap();
+    let second = first.restart(answering("second")).unwrap();
     node.store.put(KEY, &entry(&second, &json!(2_000), "ready"));
     let answer = waiting.join().unwrap();
     assert_eq!(answer.status, 502, "a request that may have run must not be refused");
@@ -111,7 +111,7 @@
     let has_restarted_now = has_restarted.clone();
     let runner = RunnerStandIn::start(NAME, move |_: &ReceivedRequest| {
         if has_restarted_now.load(Ordering::SeqCst) {
-            return Reaction::Answer { status: 200, body: b"second".to_vec() };
+            return Reaction::Respond { status: 200, body: b"second".to_vec() };
         }
         while !has_restarted_now.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(1));
@@ -158,8 +158,8 @@
     let prefill = format!("{{\"kv_handle\":\"h1\",\"tokens\":100,\"version\":1,\"born\":{NEXT}}}");
     let prefill_runner = RunnerStandIn::start("i-reader", move |request: &ReceivedRequest| {
         match request.header("x-pitchstall-stage") {
-            Some(_) => Reaction::Answer { status: 200, body: prefill.clone().into_bytes() },
-            None => Reaction::Answer { status: 200, body: Vec::new() },
+            Some(_) => Reaction::Respond { status: 200, body: prefill.clone().into_bytes() },
+            None => Reaction::Respond { status: 200, body: Vec::new() },
         }
     })
     .unwrap();
--- a/crates/gateway/tests/runner_limits.rs
+++ b/crates/gateway/tests/runner_limits.rs
@@ -6,7 +6,7 @@
 
 use pitchstall_platform_standins::http::ReceivedRequest;
 use pitchstall_platform_standins::runner::{
-    engine_script, signed_answer_saying, EventStream, Reaction, RunnerStandIn, SelfReport,
+    engine_script, signed_response_with_notice, EventStream, NoticeHeaders, Reaction, RunnerStandIn,
 };
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,7 +16,8 @@
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
 /// Two requests per second.
-const LIMITED: SelfReport = SelfReport { leaving: false, retry_after: None, limit: Some("2") };
+const LIMITED: NoticeHeaders =
+    NoticeHeaders { leaving: false, retry_after: None, limit: Some("2") };
 /// Maximum number of requests in any 4 s at a limit of two per second, from nodes that know the
 /// limit: one and a half times the limit, plus five.
 const ALLOWED: usize = 17;
@@ -46,9 +47,9 @@
     let recorded = arrivals.clone();
     let limited = RunnerStandIn::start("i-1", move |request: &ReceivedRequest| {
         recorded.lock().unwrap().push(Instant::now());
-        Reaction::Raw(signed_answer_saying(request, 200, LIMITED, b"limited"))
+        Reaction::Raw(signed_response_with_notice(request, 200, LIMITED, b"limited"))
     });
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"other".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"other".to_vec() };
     let runners = [limited.unwrap(), RunnerStandIn::start("i-2", answer).unwrap()];
     let first = Fixture::with_runners(&[(&runners[0], "desk", None), (&runners[1], "desk", None)]);
     (three_nodes(first), runners)
@@ -62,8 +63,8 @@
             return engine_script(3)(request);
         }
         recorded.lock().unwrap().push(Instant::now());
-        let stream = Reaction::Stream(EventStream::whole(request, 3));
-        Reaction::Saying(LIMITED, Box::new(stream))
+        let stream = Reaction::Stream(EventStream::for_request(request, 3));
+        Reaction::WithNotice(LIMITED, Box::new(stream))
     };
     RunnerStandIn::start("w-1", script).unwrap()
 }
@@ -177,10 +178,10 @@
     let limited = RunnerStandIn::start("i-1", move |request: &ReceivedRequest| {
         recorded.lock().unwrap().push(Instant::now());
         let limit = limited_now.load(Ordering::SeqCst).then_some("0.5");
-        let report = SelfReport { limit, ..SelfReport::default() };
-        Reaction::Raw(signed_answer_saying(request, 200, report, b"limited"))
+        let report = NoticeHeaders { limit, ..NoticeHeaders::default() };
+        Reaction::Raw(signed_response_with_notice(request, 200, report, b"limited"))
     });
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"other".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"other".to_vec() };
     let other = RunnerStandIn::start("i-2", answer).unwrap();
     let first = Fixture::with_runners(&[(&limited.unwrap(), "desk", None), (&other, "desk", None)]);
     let nodes = three_nodes(first);
@@ -198,9 +199,9 @@
 /// one is allowed.
 #[test]
 fn requests_beyond_the_limit_are_refused_at_once_with_retry_after() {
-    let report = SelfReport { limit: Some("0.5"), ..SelfReport::default() };
+    let report = NoticeHeaders { limit: Some("0.5"), ..NoticeHeaders::default() };
     let limited = RunnerStandIn::start("i-1", move |request: &ReceivedRequest| {
-        Reaction::Raw(signed_answer_saying(request, 200, report, b"limited"))
+        Reaction::Raw(signed_response_with_notice(request, 200, report, b"limited"))
     });
     let node = Fixture::with_runners(&[(&limited.unwrap(), "desk", None)]);
     let send = |number: usize| {
--- a/crates/gateway/tests/runner_notices.rs
+++ b/crates/gateway/tests/runner_notices.rs
@@ -5,8 +5,8 @@
 
 use pitchstall_platform_standins::http::ReceivedRequest;
 use pitchstall_platform_standins::runner::{
-    engine_script, refusal_saying, signed_answer_saying, EventStream, Reaction, RunnerStandIn,
-    SelfReport,
+    engine_script, refusal_with_notice, signed_response_with_notice, EventStream, NoticeHeaders,
+    Reaction, RunnerStandIn,
 };
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -16,12 +16,13 @@
 const PROMPT: &str =
     "X-Pitchstall-Token-Count: 1460,80\r\nX-Pitchstall-Prefix-Hash: 5c1e07a2:800,91bd3f06:660\r\n";
 
-const LEAVING: SelfReport = SelfReport { leaving: true, retry_after: None, limit: None };
+const LEAVING: NoticeHeaders = NoticeHeaders { leaving: true, retry_after: None, limit: None };
 /// Longer than any of these tests.
-const LONG_REST: SelfReport = SelfReport { leaving: false, retry_after: Some("120"), limit: None };
+const LONG_REST: NoticeHeaders =
+    NoticeHeaders { leaving: false, retry_after: Some("120"), limit: None };
 
 fn answering(text: &'static str) -> impl Fn(&ReceivedRequest) -> Reaction + Send + Sync {
-    move |_| Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
+    move |_| Reaction::Respond { status: 200, body: text.as_bytes().to_vec() }
 }
 
 fn send(node: &Fixture, path: &str, id: &str) -> RawResponse {
@@ -40,7 +41,7 @@
 /// A decode runner that declines each decode and asks for a rest period.
 fn resting_decode_runner() -> RunnerStandIn {
     let script = |request: &ReceivedRequest| match request.method.as_str() {
-        "POST" => Reaction::Raw(refusal_saying(request, LONG_REST)),
+        "POST" => Reaction::Raw(refusal_with_notice(request, LONG_REST)),
         _ => engine_script(3)(request),
     };
     RunnerStandIn::start("w-1", script).unwrap()
@@ -61,18 +62,18 @@
 #[test]
 fn a_runner_that_reports_leaving_gets_no_more_requests() {
     let whole = |request: &ReceivedRequest| {
-        Reaction::Raw(signed_answer_saying(request, 200, LEAVING, b"whole"))
+        Reaction::Raw(signed_response_with_notice(request, 200, LEAVING, b"whole"))
     };
     let failure = |request: &ReceivedRequest| {
-        Reaction::Raw(signed_answer_saying(request, 500, LEAVING, b"failure"))
+        Reaction::Raw(signed_response_with_notice(request, 500, LEAVING, b"failure"))
     };
-    let declined = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LEAVING));
+    let declined = |request: &ReceivedRequest| Reaction::Raw(refusal_with_notice(request, LEAVING));
     let broken_off = |request: &ReceivedRequest| {
-        let bytes = signed_answer_saying(request, 200, LEAVING, b"broken off");
+        let bytes = signed_response_with_notice(request, 200, LEAVING, b"broken off");
         Reaction::RawThenReset(bytes[..bytes.len() - 1].to_vec())
     };
     let unsigned = |request: &ReceivedRequest| {
-        let bytes = signed_answer_saying(request, 200, LEAVING, b"unsigned");
+        let bytes = signed_response_with_notice(request, 200, LEAVING, b"unsigned");
         let text = String::from_utf8(bytes).unwrap();
         Reaction::Raw(text.replace("x-pitchstall-server-stamp", "x-other").into_bytes())
     };
@@ -94,7 +95,7 @@
 /// The runner declines one request and reports how long it accepts none.
 #[test]
 fn a_resting_runner_gets_no_request_before_its_rest_ends() {
-    let script = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LONG_REST));
+    let script = |request: &ReceivedRequest| Reaction::Raw(refusal_with_notice(request, LONG_REST));
     let (node, resting) = node_with_scripted_runner(script);
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(600) {
@@ -123,7 +124,7 @@
     });
     let stream = |request: &ReceivedRequest| {
         let pause = Duration::from_millis(50);
-        Reaction::Stream(EventStream { pause, ..EventStream::whole(request, 3) })
+        Reaction::Stream(EventStream { pause, ..EventStream::for_request(request, 3) })
     };
     let other = RunnerStandIn::start("w-2", stream).unwrap();
     let node = Fixture::with_runners(&[
@@ -154,7 +155,7 @@
 #[test]
 fn a_ready_entry_does_not_revoke_a_reported_leave() {
     let script = |request: &ReceivedRequest| {
-        Reaction::Raw(signed_answer_saying(request, 200, LEAVING, b"leaving"))
+        Reaction::Raw(signed_response_with_notice(request, 200, LEAVING, b"leaving"))
     };
     let (node, leaving) = node_with_scripted_runner(script);
     send_many(&node, "/lookup/1");
@@ -176,7 +177,7 @@
 /// runner.
 #[test]
 fn a_request_is_refused_at_once_while_all_runners_rest() {
-    let rest = |request: &ReceivedRequest| Reaction::Raw(refusal_saying(request, LONG_REST));
+    let rest = |request: &ReceivedRequest| Reaction::Raw(refusal_with_notice(request, LONG_REST));
     let one = RunnerStandIn::start("i-1", rest).unwrap();
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
     assert_eq!(send(&node, "/booking/1", "id-first").status, 503);
@@ -196,10 +197,10 @@
 #[test]
 fn a_request_waits_for_the_end_of_a_short_rest() {
     let has_declined = AtomicBool::new(false);
-    let short = SelfReport { leaving: false, retry_after: Some("0.2"), limit: None };
+    let short = NoticeHeaders { leaving: false, retry_after: Some("0.2"), limit: None };
     let script = move |request: &ReceivedRequest| match has_declined.swap(true, Ordering::SeqCst) {
-        false => Reaction::Raw(refusal_saying(request, short)),
-        true => Reaction::Answer { status: 200, body: b"served".to_vec() },
+        false => Reaction::Raw(refusal_with_notice(request, short)),
+        true => Reaction::Respond { status: 200, body: b"served".to_vec() },
     };
     let one = RunnerStandIn::start("i-1", script).unwrap();
     let node = Fixture::with_runners(&[(&one, "desk", None)]);
@@ -223,7 +224,7 @@
     let other = is_other.clone();
     let script = move |request: &ReceivedRequest| {
         if !other.load(Ordering::SeqCst) {
-            return Reaction::Answer { status: 200, body: b"meant".to_vec() };
+            return Reaction::Respond { status: 200, body: b"meant".to_vec() };
         }
         let id = request.header("x-pitchstall-request-id").unwrap_or_default();
         let head = format!(
@@ -246,7 +247,7 @@
 #[test]
 fn a_scheduler_choice_is_not_sent_to_a_resting_runner() {
     let resting = resting_decode_runner();
-    let stream = |request: &ReceivedRequest| Reaction::Stream(EventStream::whole(request, 3));
+    let stream = |request: &ReceivedRequest| Reaction::Stream(EventStream::for_request(request, 3));
     let other = RunnerStandIn::start("w-2", stream).unwrap();
     let first = Fixture::with_runners(&[
         (&resting, "llm", Some("decode")),
--- a/crates/gateway/tests/scaling.rs
+++ b/crates/gateway/tests/scaling.rs
@@ -58,7 +58,7 @@
 #[test]
 fn an_order_for_an_exhausted_zone_is_retried_within_the_same_term() {
     let cloud = CloudStandIn::start().unwrap();
-    cloud.answer_next_with(409);
+    cloud.respond_next_with(409);
     let _node = start(&cloud, "");
     let refused = || orders(&cloud).into_iter().find(|order| order.status == 409);
     wait_for("a refused order", || refused().is_some());
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -120,7 +120,7 @@
 
 /// A complete JSON response with status 200.
 pub fn json_response(text: &str) -> Reaction {
-    Reaction::Answer { status: 200, body: text.as_bytes().to_vec() }
+    Reaction::Respond { status: 200, body: text.as_bytes().to_vec() }
 }
 
 /// A prefill runner that accepts orders, reports that it has accepted three before, and stays in the prefill stage.
@@ -128,7 +128,7 @@
     RunnerStandIn::start(id, |request| match request.target.as_str() {
         "/v1/report" => json_response(r#"{"stage":"prefill","busy":false,"seq":3,"queued":0}"#),
         "/v1/kv-list" => json_response(r#"{"epoch":"e","next_token":0,"held":[]}"#),
-        _ => Reaction::Answer { status: 202, body: Vec::new() },
+        _ => Reaction::Respond { status: 202, body: Vec::new() },
     })
     .unwrap()
 }
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -40,7 +40,7 @@
 #[test]
 fn a_key_is_not_rejected_from_a_replica_that_became_outdated_in_a_suspension() {
     let _guard = SUSPENSION_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"booked".to_vec() };
     let runner = RunnerStandIn::start("i-desk", answer).unwrap();
     let node = Fixture::start();
     let mut configuration = configuration(3);
@@ -62,7 +62,7 @@
 #[test]
 fn a_keeper_suspended_beyond_its_term_grants_nothing() {
     let _guard = SUSPENSION_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    let answer = |_: &ReceivedRequest| Reaction::Respond { status: 200, body: b"booked".to_vec() };
     let runner = RunnerStandIn::start("i-desk", answer).unwrap();
     let node = Fixture::start();
     let mut configuration = configuration(3);
