--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -8,7 +8,7 @@
 
 use crate::node::Node;
 use crate::platform_client::PlatformClient;
-use crate::store_answers::{readable, StoreAnswer};
+use crate::store_responses::{readable, StoreAnswer};
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store::{self, StoreStatus};
 use pitchstall_serving::authority::{
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -23,7 +23,7 @@
 //! Beside them: [`entries`] takes in what lies in the store, and [`refused_entries`] says what of it cannot be
 //! used; [`authority`] holds what [`roles`], [`scaling`] and [`usage`] need before they order or
 //! report something for all nodes, [`peers`] exchanges digests with other nodes over [`json_lines`], [`watcher`] follows the store with
-//! [`platform_client`] ([`store_answers`], [`store_pages`]) or another node with [`mirror`] ([`compression`]), as old as [`copy_limits`] allows and
+//! [`platform_client`] ([`store_responses`], [`store_pages`]) or another node with [`replication`] ([`compression`]), as old as [`replica_limits`] allows and
 //! judged by its progress ([`transfer`]), [`quarantine`] keeps
 //! the requests that end runners there, [`node`] holds what the node believes, [`clock`] says how long ago
 //! something was, [`http`] speaks HTTP to runners and to the store.
@@ -36,7 +36,6 @@
 pub mod clock;
 pub mod compression;
 pub mod connection;
-pub mod copy_limits;
 pub mod daemon;
 pub mod dispatch;
 pub mod entries;
@@ -48,7 +47,6 @@
 pub mod listener;
 pub mod logging;
 pub mod metrics;
-pub mod mirror;
 pub mod missed_answers;
 pub mod node;
 pub mod peer_words;
@@ -60,14 +58,16 @@
 pub mod reading;
 pub mod refused_entries;
 pub mod relay;
+pub mod replica_limits;
+pub mod replication;
 pub mod roles;
 pub mod runner_limits;
 pub mod scaling;
 pub mod scheduling;
 pub mod settings;
 pub mod shard_scheduler;
-pub mod store_answers;
 pub mod store_pages;
+pub mod store_responses;
 pub mod transfer;
 pub mod unknown_words;
 pub mod usage;
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -3,11 +3,11 @@
 mod configuration;
 mod crashes;
 mod eras;
-mod places;
+mod locations;
+mod open_work;
 mod runners;
-mod work;
 
-pub use work::{BodyReservation, OpenConnection, OpenRequest};
+pub use open_work::{BodyReservation, OpenConnection, OpenRequest};
 
 use crate::authority::Holding;
 use crate::clock::Instant;
@@ -22,7 +22,7 @@
 use crate::scheduling::Scheduling;
 use crate::settings::Settings;
 use crate::shard_scheduler;
-use crate::store_answers::StoreAnswer;
+use crate::store_responses::StoreAnswer;
 use crate::unknown_words::UnknownWords;
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store;
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::platform_client::PlatformClient;
 use crate::settings::Duty;
-use crate::store_answers::readable;
+use crate::store_responses::readable;
 use pitchstall_platform_adapter::cloud::{self, DutyAnswer, DutyHolder, ScaleOrder};
 use pitchstall_platform_adapter::store::{self, StoreStatus};
 use pitchstall_serving::authority::FencingToken;
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -11,7 +11,7 @@
 use crate::platform_client::PlatformClient;
 use crate::refused_entries::EntryFault;
 use crate::settings::{Duty, UsageSection};
-use crate::store_answers::{readable, StoreAnswer};
+use crate::store_responses::{readable, StoreAnswer};
 use pitchstall_platform_adapter::cloud::{self, DutyAnswer, DutyHolder};
 use pitchstall_platform_adapter::store::{self, StoreStatus};
 use pitchstall_serving::authority::FencingToken;
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -2,24 +2,24 @@
 //! which runners have ended.
 //!
 //! A few nodes of each zone read the store and watch it from the revision of the read; the
-//! others follow one of these ([`crate::mirror`]), another one as soon as that one does not
+//! others follow one of these ([`crate::replication`]), another one as soon as that one does not
 //! answer or has not heard of the store lately. Only when no node's copy is confirmed do they
 //! ask the store themselves, and seldom. A watch that ends for any reason goes on from its last
 //! revision; if that history is gone, or the store has come back from an older copy, everything is read anew. A watch may go silent in a fault
 //! without a word. It is relied on while the copy is known to be fresh
 //! ([`pitchstall_serving::freshness`]); otherwise the store is asked.
 
-mod other_nodes;
+mod peer_source;
 
 use crate::clock::Instant;
-use crate::copy_limits::draw_confirmation;
 use crate::entries::{entries_of, take_update};
-use crate::mirror::MirrorClient;
 use crate::node::Node;
 use crate::platform_client::{PlatformClient, PlatformFailure};
+use crate::replica_limits::draw_confirmation;
+use crate::replication::MirrorClient;
 use crate::store_pages::read_pages;
 use crate::transfer::Transfer;
-use other_nodes::hedged_copy;
+use peer_source::hedged_copy;
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store::{
     self, Page, StoreAnswerError, StoreStatus, CONFIGURATION_KEY, CRASHES_PREFIX, RUNNERS_PREFIX,
--- a/crates/gateway/src/watcher/other_nodes.rs
+++ b/crates/gateway/src/watcher/peer_source.rs
@@ -2,9 +2,9 @@
 
 use super::{Follower, BETWEEN_CHANGES, SOURCE_PAUSE};
 use crate::clock::Instant;
-use crate::copy_limits::{longest_question, part_of_contact, stale_after};
-use crate::mirror::MirrorClient;
 use crate::node::Node;
+use crate::replica_limits::{longest_question, part_of_contact, stale_after};
+use crate::replication::MirrorClient;
 use crate::transfer::Transfer;
 use pitchstall_serving::freshness::{Freshness, ReplicaFreshness};
 use pitchstall_serving::store_replica::{StoreUpdateQuery, StoreUpdateReply, Subject};
