--- a/crates/gateway/src/node/configuration.rs
+++ b/crates/gateway/src/node/configuration.rs
@@ -1,4 +1,5 @@
-//! The operators' configuration at a node: which is in force, and how far it can be relied on.
+//! The operators' configuration at a node: which version is in force, and whether it is fresh
+//! enough to be relied on.
 
 use super::Node;
 use pitchstall_serving::configuration::{Configuration, EngineSpec};
@@ -8,12 +9,12 @@
 use std::time::Duration;
 
 impl Node {
-    /// The configuration in force here.
+    /// The configuration in force at this node; `None` until the first one has been received.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// How far this node's copy of the configuration can be relied on.
+    /// How up to date this node's replica of the configuration is.
     pub fn configuration_age(&self) -> ReplicaAge {
         let now_us = self.now_us();
         let freshness = self.freshness.borrow();
@@ -23,15 +24,16 @@
         }
     }
 
-    /// For how long other nodes have told of a configuration that this one has not got.
+    /// How long other nodes have reported a configuration that this node has not received; zero if
+    /// there is no such report.
     pub fn configuration_lag(&self) -> Duration {
         let behind_us = self.freshness.borrow().configuration.behind_for_us(self.now_us());
         Duration::from_micros(behind_us.unwrap_or_default())
     }
 
-    /// Whether a later configuration has been in force elsewhere for so long that this node may not go by
-    /// its own any more: it is to be in force everywhere within `config_apply_ms` of its acknowledgement,
-    /// and words of it take up to a second and more to come.
+    /// Whether other nodes have had a later configuration for so long that this node must no longer
+    /// apply its own. A configuration has to be in force everywhere within `config_apply_ms` of its
+    /// acknowledgement, and reports of it take a second or more to arrive.
     pub fn has_outdated_configuration(&self) -> bool {
         const TOTAL_PARTS: u64 = 3;
         const ALLOWED_PARTS: u64 = 2;
@@ -39,7 +41,7 @@
         self.configuration_lag() > Duration::from_millis(max_lag_ms)
     }
 
-    /// For how long keys are believed without word from the store.
+    /// How long API keys are accepted without a confirmation by the store.
     pub fn key_policy(&self) -> KeyPolicy {
         let settings = self.settings();
         let bounds = &settings.bounds;
@@ -49,11 +51,12 @@
         }
     }
 
-    /// Takes a configuration into force, unless one as new is already.
+    /// Puts a configuration into force, unless the same or a later version already is.
     pub fn adopt_configuration(&self, configuration: Configuration) {
         let version = configuration.version;
         let before = self.configuration().map(|known| known.version);
-        // Never backwards: a stale read or a late answer must not bring an old version back.
+        // The version never decreases: a stale read or a delayed response must not restore an old
+        // one.
         if before.is_some_and(|before| before >= version) {
             return;
         }
@@ -66,19 +69,21 @@
         log::info!(target: "configuration", version, before, routes, tenants, behind_ms; "adopted");
     }
 
-    /// Services of language models, with what their runners are.
+    /// The services that serve language models, each with its engine specification.
     pub fn engine_services(&self) -> Vec<(ServiceName, EngineSpec)> {
         let Some(configuration) = self.configuration() else { return Vec::new() };
         let services = configuration.services.iter();
         services.filter_map(|(name, it)| Some((name.clone(), it.engine.clone()?))).collect()
     }
 
-    /// Prompt tokens that the KV cache of a service's runner holds.
+    /// Capacity of the KV cache of one runner of a service, in prompt tokens; 0 if the service is
+    /// unknown or serves no language model.
     pub fn kv_cache_tokens(&self, service: &ServiceName) -> u64 {
         self.with_engine(service, |engine| engine.kv_tokens).unwrap_or_default()
     }
 
-    /// Time that a move of KV cache between regions takes, milliseconds a token; `None`: not told.
+    /// Time to transfer KV cache between regions, in milliseconds per token; `None` if it is not
+    /// configured.
     pub fn cross_region_kv_ms_per_token(&self, service: &ServiceName) -> Option<f64> {
         self.with_engine(service, EngineSpec::cross_region_ms_per_token).flatten()
     }
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -1,4 +1,5 @@
-//! What a node takes in of runners that ended under requests, and which requests it sends to none.
+//! Crashes of runners at a node: requests that were open when a runner crashed may have caused the
+//! crash, and are quarantined, that is, no longer sent to any runner.
 
 use super::Node;
 use crate::peer_words::PeerWord;
@@ -7,20 +8,22 @@
 use pitchstall_serving::request_identity::RequestIdentity;
 use rand::RngExt;
 
-/// Requests that the line on the crash of a runner names: some 1,100 bytes.
+/// Maximum number of requests that the log line on a crash names: about 1,100 bytes.
 const MAX_LOGGED_IDENTITIES: usize = 32;
-/// Requests in one word to other nodes: as many as a runner of the users' deployments runs at a time, some
-/// 2,300 bytes, worked out.
+/// Maximum number of requests in one message to other nodes: as many as one runner in the users'
+/// deployments runs at a time, about 2,300 bytes by calculation.
 const MAX_REQUESTS_PER_MESSAGE: usize = 64;
 
-/// When a node writes again what the store has lost, milliseconds after it has seen so: nodes that read the store for
-/// others first, spread over many times what a write takes to be seen.
+/// Delay with which a node rewrites the crashes that a restored store has lost, in milliseconds
+/// after it detects the restore. Store readers go first. The delays are spread over many times the
+/// latency after which a write is visible to the others.
 const STORE_READER_WRITE_DELAY_MS: std::ops::Range<u64> = 0..800;
 const FOLLOWER_WRITE_DELAY_MS: std::ops::Range<u64> = 2_000..6_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 
 impl Node {
-    /// An attempt broke, or was left without an answer.
+    /// Records an attempt that broke or received no response. It counts as a crash if the runner is
+    /// known to have terminated.
     pub fn on_broken_attempt(&self, runner: &RunnerId, request: &str, identity: RequestIdentity) {
         let now_us = self.now_us();
         let has_ended =
@@ -32,7 +35,7 @@
         }
     }
 
-    /// A runner has ended: what was under way there may have caused it.
+    /// Records the termination of a runner. Any request that was open there may have caused it.
     pub(super) fn on_runner_terminated(&self, runner: &RunnerId) {
         let open_requests = self.crash_evidence.borrow_mut().on_terminated(runner, self.now_us());
         if !open_requests.is_empty() {
@@ -40,7 +43,7 @@
         }
     }
 
-    /// A runner that had said so has left.
+    /// Records the departure of a runner that had announced it.
     pub(super) fn on_planned_departure(&self, runner: &RunnerId) {
         let now_us = self.now_us();
         let open_requests = self.crash_evidence.borrow_mut().on_planned_departure(runner, now_us);
@@ -49,8 +52,8 @@
         }
     }
 
-    /// Counts the crash of a runner under requests, and tells the other nodes at once: the requests may
-    /// come again at any of them a few milliseconds later.
+    /// Counts a runner's crash with open requests, and notifies the other nodes immediately: a
+    /// client may send the same requests to any of them again a few milliseconds later.
     fn record_crash(&self, runner: &RunnerId, open_requests: &[RequestIdentity]) {
         let requests = open_requests.len();
         self.metrics.requests_under_ended_runners.inc_by(requests as u64);
@@ -70,8 +73,9 @@
         }
     }
 
-    /// These are all crashes in a store that has come back from an older copy: one node soon writes again what it has
-    /// lost, and the others see that it has.
+    /// Handles the complete list of crashes in a store that was restored from a backup. Each node
+    /// schedules a rewrite of the crashes that the store has lost, after a random delay; the first
+    /// one performs it and the others observe that it has.
     pub fn on_crashes_restored(&self, stored: &[(Crash, CrashRecord)]) {
         let delay_ms = match self.members.borrow().is_store_reader() {
             true => rand::rng().random_range(STORE_READER_WRITE_DELAY_MS),
@@ -87,7 +91,7 @@
         self.scheduling.socket.send(&PeerWord::Crash(message), &others);
     }
 
-    /// Logs that a request goes into quarantine.
+    /// Logs and counts a crash that moved its request into quarantine; other changes are ignored.
     pub fn log_crash(&self, crash: &Crash, change: CrashChange, source: &str) {
         if change == CrashChange::Quarantined {
             self.metrics.quarantines.inc();
@@ -96,8 +100,8 @@
         }
     }
 
-    /// Whether a request reaches no runner any more. `identity` is asked for only if any runner has
-    /// ended under any request lately: most requests need none.
+    /// Whether a request must not be sent to any runner. `identity` is evaluated only if a runner
+    /// has crashed recently, since most requests do not need it.
     pub fn is_quarantined(&self, identity: impl FnOnce() -> RequestIdentity) -> bool {
         let evidence = self.crash_evidence.borrow();
         let quarantine = self.quarantine.borrow();
@@ -108,7 +112,7 @@
         quarantine.is_quarantined(identity, evidence.runners_in_doubt(identity, self.now_us()))
     }
 
-    /// A runner has answered a request whole and with success: it does not crash runners.
+    /// Records a complete and successful response: the request does not crash runners.
     pub fn on_request_succeeded(&self, identity: impl FnOnce() -> RequestIdentity) {
         if self.crash_evidence.borrow().is_empty() && self.quarantine.borrow().is_empty() {
             return;
@@ -118,7 +122,7 @@
         self.clear_quarantine(identity, "answered");
     }
 
-    /// A request is cleared of the runners that ended under it, here and everywhere. Returns whether
+    /// Removes the crashes recorded for a request, at this node and at all others. Returns whether
     /// there were any.
     pub fn clear_quarantine(&self, identity: RequestIdentity, reason: &str) -> bool {
         let is_known = self.quarantine.borrow_mut().clear(identity);
--- a/crates/gateway/src/node/eras.rs
+++ b/crates/gateway/src/node/eras.rs
@@ -1,5 +1,5 @@
-//! The store's era at a node, learnt from whichever answer of the store, or copy of it, tells it first, and what a node
-//! does when a later one has begun.
+//! The store's era at a node: it is learned from the first store response or peer's update that
+//! reports it, and a later era invalidates state that depends on store revisions.
 
 use super::Node;
 use pitchstall_platform_adapter::store::EraError;
@@ -7,8 +7,9 @@
 use std::net::SocketAddr;
 
 impl Node {
-    /// An answer of the store at an address has come; returns the era that it is of. One that does not tell it, or not in
-    /// a way that can be read, is taken to be of the era that is known. `None`: the settings name another store by now.
+    /// Processes the era reported in a response of the store at `address`, and returns the era of
+    /// the response. A response that reports no era, or an invalid one, is attributed to the
+    /// current era. Returns `None` if the settings name another store by now.
     pub fn on_era_reported(
         &self,
         address: SocketAddr,
@@ -20,7 +21,7 @@
         let reported = reported.unwrap_or_else(|error| {
             if !self.has_logged_unreadable_era.replace(true) {
                 let error = error.to_string();
-                log::warn!(target: "store", error; "era not read");
+                log::warn!(target: "store", error; "store reported an invalid era");
             }
             StoreEra::UNKNOWN
         });
@@ -28,7 +29,7 @@
         Some(reported.or(self.store_era()))
     }
 
-    /// The store, or a copy of it that another node hands on, is of an era.
+    /// Processes the era of the store, or of a store replica received from another node.
     pub fn on_store_era(&self, era: StoreEra) {
         let change = self.store_eras.borrow_mut().on_response(era, self.now_us());
         let era_text = era.to_string();
@@ -36,16 +37,16 @@
             EraChange::First => log::info!(target: "store", era = era_text; "era"),
             EraChange::Later { before } => {
                 let before = before.to_string();
-                log::warn!(target: "store", era = era_text, before; "the store came back older");
+                log::warn!(target: "store", era = era_text, before; "store was restored from a backup");
                 self.on_later_era();
             }
             EraChange::Replaced { before } => {
                 let before = before.to_string();
-                log::warn!(target: "store", era = era_text, before; "another store is there");
+                log::warn!(target: "store", era = era_text, before; "store was replaced by another one");
                 self.on_store_replaced();
             }
             EraChange::Superseded => {
-                log::info!(target: "store", era = era_text; "answer of an era that is over")
+                log::info!(target: "store", era = era_text; "response of a superseded era")
             }
             EraChange::Unchanged => {}
         }
@@ -54,14 +55,16 @@
         }
     }
 
-    /// Another store is there, by the settings or by its answers: what is known by revisions orders nothing there.
+    /// Handles the replacement of the store by another one, detected from the settings or from its
+    /// responses. Revisions of the former store have no order relative to those of the new one.
     pub(super) fn on_store_replaced(&self) {
         self.store_generation.set(self.store_generation.get() + 1);
         self.fleet.borrow_mut().on_store_replaced();
         self.on_later_era();
     }
 
-    /// What is believed by a revision of the store is read again; what callers are served by holds meanwhile.
+    /// Discards what depends on store revisions, to be read again. Clients are served from the
+    /// existing replicas meanwhile.
     fn on_later_era(&self) {
         self.freshness.borrow_mut().on_later_era(self.now_us());
         self.authority.on_later_era();
@@ -72,12 +75,13 @@
         self.later_era_began.notify_waiters();
     }
 
-    /// When this node first heard of the era that the store is in, microseconds; `None`: the store tells no eras.
+    /// When this node first observed the store's current era, in microseconds of [`Node::now_us`];
+    /// `None` if the store reports no eras.
     pub fn store_era_observed_us(&self) -> Option<u64> {
         self.store_eras.borrow().since_us()
     }
 
-    /// The era that the store is in, as far as this node knows.
+    /// The latest era of the store that this node has observed.
     pub fn store_era(&self) -> StoreEra {
         self.store_eras.borrow().current()
     }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! What the node believes and counts; shared by all tasks of its one thread.
+//! State of a node, shared by all tasks of its single thread.
 
 mod configuration;
 mod crashes;
@@ -52,71 +52,74 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// The node.
+/// State of a node.
 pub struct Node {
     /// The node's zone.
     pub zone: ZoneId,
-    /// Runners.
+    /// The runners that this node knows, and its estimate of their state.
     pub fleet: RefCell<Fleet>,
     /// Idle connections to runners.
     pub pool: ConnectionPool,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Told when a runner has become suspect.
+    /// Notified when the suspicion of a runner may have changed.
     pub suspicion_changed: Notify,
-    /// Told when this node has ordered a runner to change its role.
+    /// Notified when this node has ordered a runner to change its role.
     pub role_change_ordered: Notify,
-    /// Told when a runner joins or can be tried again.
+    /// Notified when a runner's registry entry is added or updated.
     pub fleet_changed: Notify,
-    /// Asks for and gives placements.
+    /// Requests placements from schedulers and answers placement queries.
     pub scheduling: Scheduling,
-    /// All nodes that are known.
+    /// All known nodes.
     pub members: RefCell<Membership>,
-    /// The store's entries, as they are handed on to other nodes.
+    /// Replicas of the store's entries, which followers receive as snapshots and updates.
     pub store_replicas: RefCell<StoreReplicas>,
-    /// Told when one of them has changed.
+    /// Notified when a replica has changed.
     pub store_replica_changed: Notify,
-    /// The store's eras.
+    /// Eras of the store that this node has observed.
     pub store_eras: RefCell<StoreEras>,
-    /// Counts the stores that have been there: the settings may name another one.
+    /// Number of times the store has been replaced by another one, by the settings or as detected
+    /// from its responses.
     pub store_generation: Cell<u64>,
-    /// Whether an era was told in a way that cannot be read, which is logged once.
+    /// Whether an invalid era in a response has been logged; it is logged only once.
     pub has_logged_unreadable_era: Cell<bool>,
-    /// Told when the store has come back from an older copy.
+    /// Notified when a later era of the store begins, or the store is replaced.
     pub later_era_began: Notify,
-    /// How fresh the copies of the store are.
+    /// How fresh the replicas of the store are.
     pub freshness: RefCell<StoreFreshness>,
-    /// Told when the store has confirmed a copy: that spares the other nodes that read it a call.
+    /// Notified when the store has confirmed a replica. Reporting it spares the other store readers
+    /// a call.
     pub replica_confirmed: Notify,
-    /// Told when a call to the store has failed: what waits for its answers may wait in vain.
+    /// Notified when a call to the store has failed: pending watches may wait in vain.
     pub store_suspected: Notify,
-    /// Told when connections that rest are to be closed.
+    /// Notified when idle client connections are to be closed.
     pub closing_started: Notify,
-    /// This node's authority over what one node does for all.
+    /// Lease on the duties that one node performs for the whole fleet.
     pub authority: Holding,
-    /// This node's authority over the roles in its region, where there are several regions.
+    /// Lease on assigning roles in this node's region, used if there are several regions.
     pub roles_authority: Holding,
     /// Requests of tenants that began to run, here and at other nodes.
     pub usage: RefCell<UsageLedger>,
-    /// Attempts that broke, until it is known whether their runners ended.
+    /// Broken attempts that are kept until it is known whether their runners terminated.
     pub crash_evidence: RefCell<CrashEvidence>,
-    /// Requests under which runners have ended.
+    /// Requests that were open when a runner crashed.
     pub quarantine: RefCell<Quarantine>,
-    /// Told when the store is to be told of such requests.
+    /// Notified when there are crashes to write to the store or to remove from it.
     pub quarantine_changed: Notify,
-    /// Tenants' limits.
+    /// Limits of tenants.
     pub quotas: Quotas,
-    /// Runners' limits.
+    /// Limits of runners.
     pub runner_limits: RunnerLimits,
-    /// What the collector of usage knows, while this node is it.
+    /// State of the usage collector, used while this node has that duty.
     pub usage_collector: RefCell<UsageCollector>,
     /// Entries of the store that cannot be used.
     pub refused_entries: RefusedEntries,
-    /// What runners say in ways that are not known here.
+    /// Names of runners' response headers that this build does not support.
     pub unknown_words: RefCell<UnknownWords>,
-    /// Whether runners' entries tell when their runners started.
+    /// Whether any runner's entry in the registry has reported its start time; entries without one
+    /// are refused from then on.
     pub entries_have_start_times: Cell<bool>,
-    /// This start of the node, drawn at random: the time of day may jump back.
+    /// Identifies this start of the node. It is random because the wall clock may jump back.
     pub incarnation: u64,
     wall_clock: RefCell<WallClock>,
     settings: RefCell<Rc<Settings>>,
@@ -135,13 +138,13 @@
     reserved_body_bytes: Cell<usize>,
 }
 
-/// What this machine's clock says, milliseconds since 1970.
+/// This machine's wall clock, in milliseconds since the Unix epoch.
 pub fn system_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// What a node tells the others of itself.
+/// What a node reports to others about itself.
 fn own_member(settings: &Settings) -> Member {
     const THOUSANDTHS: f64 = 1_000.0;
     Member {
@@ -151,14 +154,14 @@
     }
 }
 
-/// The regions of the zones, as the settings tell them.
+/// The assignment of zones to regions in the settings.
 pub fn configured_topology(settings: &Settings) -> Topology {
     let regions = settings.node.regions.iter();
     Topology::new(regions.map(|(zone, region)| (ZoneId::new(zone), RegionId::new(region))))
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node that has received neither a configuration nor lists of runners and nodes.
     pub fn new(settings: Settings, socket: PeerSocket) -> Rc<Self> {
         let zone = ZoneId::new(&settings.node.zone);
         let topology = configured_topology(&settings);
@@ -221,7 +224,7 @@
         self.settings.borrow().clone()
     }
 
-    /// Takes changed settings into force.
+    /// Applies changed settings. Another store address counts as the replacement of the store.
     pub fn adopt_settings(&self, settings: Settings) {
         self.adopt_topology(configured_topology(&settings));
         let store_before = self.settings().store.address;
@@ -233,27 +236,28 @@
         }
     }
 
-    /// The operators' policy program in force.
+    /// The operators' policy program in force; `None` if there is none.
     pub fn policy_program(&self) -> Option<Rc<PolicyProgram>> {
         self.policy_program.borrow().clone()
     }
 
-    /// Takes a policy program into force, or none.
+    /// Puts a policy program into force, or removes the current one.
     pub fn adopt_policy_program(&self, program: Option<PolicyProgram>) {
         *self.policy_program.borrow_mut() = program.map(Rc::new);
     }
 
-    /// Microseconds of a steady clock since the start.
+    /// Time since the start of the node by the suspension-aware clock, in microseconds.
     pub fn now_us(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// The time of day that the nodes agree on, milliseconds since 1970.
+    /// Wall-clock time that is consistent across nodes, in milliseconds since the Unix epoch.
     pub fn wall_ms(&self) -> u64 {
         self.wall_clock.borrow_mut().now_ms(system_time_ms(), self.now_us())
     }
 
-    /// Makes a call to the store; `None`: there was no answer.
+    /// Makes a call to the store. Returns `None` if the call failed, the head of its response did
+    /// not arrive within `limit`, or the settings name another store by now.
     pub async fn call_store(
         &self,
         client: &mut PlatformClient,
@@ -280,7 +284,8 @@
         }
     }
 
-    /// A runner holds parts of prompts in its KV cache, for it has read them or taken them over.
+    /// Records that a runner holds prompt parts in its KV cache, after it has prefilled or fetched
+    /// them.
     pub fn on_prefix_cached(&self, runner: &RunnerId, parts: &[PromptPart]) {
         if parts.is_empty() {
             return;
@@ -291,7 +296,7 @@
         self.fleet.borrow_mut().on_prefix_cached(runner, parts, self.now_us(), capacity);
     }
 
-    /// Whether this node may plan to send requests to a runner, as far as it knows.
+    /// Whether this node may place requests on a runner, by its own view of the runner.
     pub fn accepts_placements(&self, runner: &RunnerId) -> bool {
         let now_us = self.now_us();
         let takes = |runner: &Runner| {
@@ -300,28 +305,29 @@
         self.fleet.borrow().get(runner).is_some_and(takes)
     }
 
-    /// The store has told who is there.
+    /// Records that the store's list of nodes has been received.
     pub fn on_nodes_listed(&self) {
         self.has_node_list.set(true);
     }
 
-    /// Whether the store has ever told who is there.
+    /// Whether the store's list of nodes has ever been received.
     pub fn has_listed_nodes(&self) -> bool {
         self.has_node_list.get()
     }
 
-    /// How many nodes there are, this one included, as far as it knows.
+    /// Number of known nodes, including this one.
     pub fn known_node_count(&self) -> usize {
         self.members.borrow().len()
     }
 
-    /// Takes an update into the copy that is handed on to other nodes.
+    /// Applies an update to the replica that is served to followers.
     pub fn update_replica(&self, subject: Subject, update: &StoreUpdate) {
         self.store_replicas.borrow_mut().get_mut(subject).apply(update);
         self.store_replica_changed.notify_waiters();
     }
 
-    /// An entry of the store cannot be used: another writer left it there.
+    /// Logs and counts an entry that another program wrote to the store and that cannot be used,
+    /// once per revision.
     pub fn on_refused_entry(
         &self,
         subject: &'static str,
@@ -334,9 +340,10 @@
         }
     }
 
-    /// Connections that this node may have to one runner of a service: its part of what a
-    /// runner takes from all callers. Beyond that a runner resets connections, and a request
-    /// sent on one would not be known to be unrun.
+    /// Maximum number of connections from this node to one runner of a service; `u32::MAX` if the
+    /// service has no limit. It is this node's share of the runner's limit over all clients: a
+    /// runner resets connections beyond that limit, and the node could not tell whether a request
+    /// sent on a reset connection was executed.
     pub fn max_connections_per_runner(&self, service: &ServiceName) -> u32 {
         const MIN_CONNECTIONS: u32 = 2;
         const MAX_USED_PERCENT: u32 = 80;
@@ -351,21 +358,22 @@
         }
     }
 
-    /// Whether another client's connection fits the file descriptors of the process; the rest
-    /// is for runners, other nodes and the store.
+    /// Whether another client connection fits within the process's file descriptors. The rest is
+    /// reserved for runners, other nodes and the store.
     pub fn can_accept_client(&self) -> bool {
         const MAX_CLIENT_PERCENT: u64 = 60;
         let max_connections = self.settings().machine.file_descriptors * MAX_CLIENT_PERCENT / 100;
         (self.open_connections() as u64) < max_connections
     }
 
-    /// This node has ordered a runner to change its role; the other nodes are to hear of it.
+    /// Records that this node has ordered a runner to change its role, and wakes the task that
+    /// reports this to the other nodes.
     pub fn on_role_change_ordered(&self, runner: &RunnerId, stage: Stage, until_us: u64) {
         self.fleet.borrow_mut().on_role_change_ordered(runner, stage, until_us);
         self.role_change_ordered.notify_one();
     }
 
-    /// Takes in another node's digest.
+    /// Processes another node's digest.
     pub fn on_peer_digest(&self, digest: &Digest) {
         let now_us = self.now_us();
         self.fleet.borrow_mut().on_role_changes_reported(&digest.changing, now_us);
@@ -374,18 +382,19 @@
         self.wall_clock.borrow_mut().on_peer_clock(&digest.node, digest.wall_ms, now_us);
     }
 
-    /// Takes in a scheduler's word on the loads of its runners.
+    /// Processes a scheduler's report on the loads of its runners.
     pub fn on_shard_loads(&self, report: &ShardLoads) {
         let now_us = self.now_us();
         self.fleet.borrow_mut().on_shard_loads(&report.shard, &report.loads, now_us);
     }
 
-    /// The service that gets the route's next request.
+    /// The service that receives the route's next request; `None` if no share of the route has a
+    /// positive weight.
     pub fn next_service(&self, route: &Route) -> Option<ServiceName> {
         self.splitter.borrow_mut().next_service(route)
     }
 
-    /// The retry budget of a service, handed to `use_budget`.
+    /// Calls `use_budget` with the retry budget of a service.
     pub fn with_retry_budget<R>(
         &self,
         service: &ServiceName,
@@ -404,7 +413,7 @@
         use_budget(budget)
     }
 
-    /// The measured pace of a service's prefill runners, handed to `use_pace`.
+    /// Calls `use_speed` with the measured prefill speed of a service's runners.
     pub fn with_prefill_speed<R>(
         &self,
         service: &ServiceName,
@@ -413,7 +422,7 @@
         use_speed(self.prefill_speeds.borrow_mut().entry(service.clone()).or_default())
     }
 
-    /// A runner of a service has read a prompt.
+    /// Records that a runner of a service has prefilled a prompt.
     pub fn on_prefill_measured(
         &self,
         service: &ServiceName,
@@ -431,7 +440,8 @@
         }
     }
 
-    /// Whether a runner is believed to read only what this node has just sent it.
+    /// Whether a runner is estimated to have nothing to prefill but the `sent_tokens` tokens that
+    /// this node has just sent, and no other requests.
     pub fn has_no_other_requests(&self, runner: &RunnerId, sent_tokens: u64) -> bool {
         let fleet = self.fleet.borrow();
         let Some(runner) = fleet.get(runner) else { return false };
@@ -439,7 +449,8 @@
         runner.prefill_tokens <= sent_tokens && runner.in_flight <= 1 && peer_requests < 1.0
     }
 
-    /// Whether the node takes new callers.
+    /// Whether the node accepts requests of clients: it has a configuration that is not outdated
+    /// and a list of runners, and is not stopping.
     pub fn is_ready(&self) -> bool {
         let is_configured =
             self.configuration.borrow().is_some() && !self.has_outdated_configuration();
@@ -456,13 +467,14 @@
         self.is_stopping.set(true);
     }
 
-    /// Begins to close connections that rest; the node takes no new ones any more.
+    /// Begins to close idle client connections; others are closed as soon as they are idle. The
+    /// node accepts no new ones by then.
     pub fn begin_closing(&self) {
         self.is_closing.set(true);
         self.closing_started.notify_waiters();
     }
 
-    /// Whether connections that rest are to be closed.
+    /// Whether idle client connections are to be closed.
     pub fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
--- a/crates/gateway/src/node/open_work.rs
+++ b/crates/gateway/src/node/open_work.rs
@@ -1,22 +1,22 @@
-//! Work that is open at a node, counted by guards: a planned stop waits for it, and memory for bodies
-//! is bounded by it.
+//! Guards that count open connections and requests, which a planned stop waits for, and reserve
+//! memory for request bodies.
 
 use super::Node;
 use std::rc::Rc;
 
 impl Node {
-    /// Connections of clients. One that is not at rest may be about to bring a request.
+    /// Number of open client connections. One that is not idle may be about to deliver a request.
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    /// Counts a client's connection as open until the guard is dropped.
+    /// Counts a client connection as open until the guard is dropped.
     pub fn open_connection(self: &Rc<Self>) -> OpenConnection {
         self.open_connections.set(self.open_connections.get() + 1);
         OpenConnection { node: self.clone() }
     }
 
-    /// Requests that have no final answer yet.
+    /// Number of requests without a final response.
     pub fn open_requests(&self) -> usize {
         self.open_requests.get()
     }
@@ -27,7 +27,7 @@
         OpenRequest { node: self.clone() }
     }
 
-    /// Sets memory for a body aside until the guard is dropped; `None` if there is too little.
+    /// Reserves memory for a request body until the guard is dropped; `None` if too little is left.
     pub fn reserve_body(self: &Rc<Self>, bytes: usize) -> Option<BodyReservation> {
         const BODY_MEMORY_DIVISOR: u64 = 4;
         const BYTES_PER_MEGABYTE: u64 = 1_000_000;
@@ -43,7 +43,7 @@
     }
 }
 
-/// A client's connection.
+/// Guard for an open client connection.
 pub struct OpenConnection {
     node: Rc<Node>,
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// A request without its final answer.
+/// Guard for a request without a final response.
 pub struct OpenRequest {
     node: Rc<Node>,
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Memory set aside for a body.
+/// Guard for memory that is reserved for a request body.
 pub struct BodyReservation {
     node: Rc<Node>,
     bytes: usize,
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -1,4 +1,4 @@
-//! What a node takes in of its runners: entries of the store, and signs of life.
+//! Updates to a node's view of its runners, from registry entries, responses and failures.
 
 use super::Node;
 use crate::http::AnswerHead;
@@ -15,7 +15,9 @@
 const MICROS_PER_MILLI: u64 = 1_000;
 
 impl Node {
-    /// Takes in a whole list of runners, read at a revision of the store.
+    /// Replaces the list of runners by one that was read from the store at `revision`. Entries that
+    /// are missing from it count as lapsed until `lapses_until_us`, and as removed if that is
+    /// `None`.
     pub fn replace_runners(
         self: &Rc<Self>,
         records: Vec<RunnerRecord>,
@@ -35,7 +37,7 @@
         self.fleet_changed.notify_waiters();
     }
 
-    /// Takes in a runner's entry.
+    /// Adds or updates a runner from its registry entry.
     pub fn put_runner(&self, record: RunnerRecord) {
         let runner = record.id.clone();
         let at = record.revision;
@@ -64,7 +66,8 @@
         self.fleet_changed.notify_waiters();
     }
 
-    /// A runner's entry has gone.
+    /// Handles the removal of a runner's registry entry. It counts as lapsed until
+    /// `lapses_until_us`, and as removed if that is `None`.
     pub fn remove_runner(
         self: &Rc<Self>,
         name: &RunnerName,
@@ -85,12 +88,13 @@
         }
     }
 
-    /// Until when an entry that is gone may only have lapsed while the store was away.
+    /// Time until which a missing entry may only have lapsed while the store was unavailable, in
+    /// microseconds; `None` if a missing entry was removed.
     pub fn lapses_until_us(&self) -> Option<u64> {
         self.freshness.borrow().runners.lapse_grace_until_us(self.now_us())
     }
 
-    /// Removes runners whose entries lapsed and are not back in time.
+    /// Schedules the removal of runners whose entries have lapsed and are not back by `until_us`.
     fn schedule_lapsed_removal(self: &Rc<Self>, until_us: Option<u64>) {
         let Some(until_us) = until_us else { return };
         let node = self.clone();
@@ -104,7 +108,8 @@
         });
     }
 
-    /// A runner is gone, by an entry or a list of the given revision, or because its entry has not come back.
+    /// Handles the departure of a runner, by an entry or list at the given revision, or, if that is
+    /// `None`, because its lapsed entry has not come back.
     fn on_runner_departed(&self, id: &RunnerId, revision: Option<StoreRevision>, is_planned: bool) {
         self.pool.forget(id);
         if is_planned {
@@ -116,18 +121,20 @@
         log::info!(target: "fleet", runner = id.as_str(), revision; "left");
     }
 
-    /// Another life of a runner has answered than the one that its entry tells of: that one is over. The runner
-    /// gets nothing until its entry tells of the new one.
+    /// Handles a response from another incarnation of a runner than the one in the registry, which
+    /// must have terminated. The runner receives no requests until its entry describes the new
+    /// incarnation.
     pub fn on_incarnation_mismatch(&self, runner: &RunnerId, born_ms: Option<u64>) {
         let born_ms = born_ms.unwrap_or_default();
-        log::info!(target: "fleet", runner = runner.as_str(), born_ms; "another life answered");
+        log::info!(target: "fleet", runner = runner.as_str(), born_ms; "another incarnation responded");
         self.pool.forget(runner);
         self.fleet.borrow_mut().on_misdirected(runner);
         self.on_runner_terminated(runner);
     }
 
-    /// Reads the head of a runner's answer, and takes in what the runner says of itself there. Whatever becomes of the
-    /// request, the word holds: the store may hear of it many seconds later, or never.
+    /// Parses the head of a runner's response and applies what the runner reports about itself in
+    /// it. The report holds whatever becomes of the request; the store may receive it many seconds
+    /// later, or never.
     pub fn on_response_head(&self, runner: &RunnerId, head: &AnswerHead) -> ResponseMetadata {
         let metadata = headers::parse_answer(head.status, head.header_pairs());
         self.on_unknown_headers(runner, &metadata.unknown_headers);
@@ -137,17 +144,18 @@
         metadata
     }
 
-    /// A runner says something of itself in a way that this program does not know: operators hear of each name once.
+    /// Counts headers in which a runner reports something that this build does not support, and
+    /// logs each name once.
     fn on_unknown_headers(&self, runner: &RunnerId, names: &[String]) {
         for name in names {
             if self.unknown_words.borrow_mut().note(name) {
-                log::warn!(target: "fleet", runner = runner.as_str(), header = name.as_str(); "unknown word of a runner");
+                log::warn!(target: "fleet", runner = runner.as_str(), header = name.as_str(); "unknown response header of a runner");
             }
             self.metrics.on_notice("unknown");
         }
     }
 
-    /// A runner has said something of itself to this node.
+    /// Applies what a runner has reported about itself in a response.
     pub fn on_notice(&self, runner: &RunnerId, notice: RunnerNotice) {
         if notice.is_empty() {
             return;
@@ -156,27 +164,29 @@
         let runner = runner.as_str();
         if changes.leaving {
             self.metrics.on_notice("leaving");
-            log::info!(target: "fleet", runner; "leaves by its own word");
+            log::info!(target: "fleet", runner; "runner reported that it is leaving");
         }
         if let Some(rest_us) = changes.rest_us {
             self.metrics.on_notice("rest");
             let rest_ms = rest_us / MICROS_PER_MILLI;
-            log::info!(target: "fleet", runner, rest_ms; "rests by its own word");
+            log::info!(target: "fleet", runner, rest_ms; "runner reported a rest period");
         }
         if notice.malformed {
             self.metrics.on_notice("malformed");
         }
     }
 
-    /// Whether this node may send a request to a runner now: asked last before each one is sent, since
-    /// much may have been learned while it was placed, read or paid for.
+    /// Whether this node may send a request to a runner now. This is the last check before each
+    /// attempt, since the view of the runner may have changed while the request was placed,
+    /// prefilled or charged to a quota.
     pub fn may_send_to(&self, runner: &RunnerId) -> bool {
         let now_us = self.now_us();
         let fleet = self.fleet.borrow();
         fleet.get(runner).is_some_and(|runner| runner.accepts_work_from_this_node(now_us))
     }
 
-    /// A connection to a runner could not be opened. `is_refused`: nobody listens there.
+    /// Handles a connection to a runner that could not be opened. `is_refused`: no process listens
+    /// at the address, so the runner has terminated.
     pub fn on_unreachable(&self, runner: &RunnerId, is_refused: bool) {
         if is_refused {
             self.on_runner_terminated(runner);
@@ -185,7 +195,7 @@
         self.suspicion_changed.notify_waiters();
     }
 
-    /// An attempt that was sent at `sent_at_us` has heard nothing in all its time.
+    /// Handles an attempt, sent at `sent_at_us`, that received no response within its time limit.
     pub fn on_attempt_timeout(&self, runner: &RunnerId, sent_at_us: u64) {
         let now_us = self.now_us();
         let mut fleet = self.fleet.borrow_mut();
@@ -195,15 +205,16 @@
         self.suspicion_changed.notify_waiters();
     }
 
-    /// Something came from a runner.
+    /// Records that data has arrived from a runner.
     pub fn on_progress(&self, runner: &RunnerId) {
         let now_us = self.now_us();
         let mut fleet = self.fleet.borrow_mut();
         fleet.update_suspicion(runner, |suspicion| suspicion.on_progress(now_us));
     }
 
-    /// A doubt about a runner is settled; `None`: the node itself stood still. `is_refused`: nobody
-    /// listens there.
+    /// Applies the result of a probe of a suspected runner; `None` if it is inconclusive because
+    /// this node itself was paused. `is_refused`: no process listens at the address, so the runner
+    /// has terminated.
     pub fn on_probe_result(&self, runner: &RunnerId, reachable: Option<bool>, is_refused: bool) {
         let now_us = self.now_us();
         if is_refused {
