--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,31 +1,32 @@
-//! The only clock by which the node judges how long ago something was.
+//! The only clock by which a node measures elapsed time.
 //!
-//! The steady clock of the standard library stands still while a machine is suspended: after it, a
-//! lease would seem to hold, a copy to be fresh and a key to be good for as long as the machine slept.
-//! This one counts that time (`CLOCK_BOOTTIME`). Timers go by the steady clock all the same, so one that
-//! slept through its end fires late; what is done then is judged by this clock.
+//! The standard library's monotonic clock stops while a machine is suspended: afterwards a lease
+//! would seem to hold, a replica to be fresh and a key to be valid for as long as the machine was
+//! suspended. This clock includes that time (`CLOCK_BOOTTIME`). Timers still use the monotonic
+//! clock, so a timer that expires during a suspension fires late; what is done then is decided by
+//! this clock.
 
 use nix::time::{clock_gettime, ClockId};
 use std::ops::Add;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Suspensions that tests have made up, microseconds.
+/// Total of the suspensions simulated by tests, in microseconds.
 static SIMULATED_SUSPENSION_US: AtomicU64 = AtomicU64::new(0);
 
-/// A point in time that suspensions do not stretch. It never goes back.
+/// A point in time that includes suspensions of the machine. It never goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant {
     since_boot: Duration,
 }
 
 impl Instant {
-    /// Now.
+    /// The current time.
     ///
     /// # Panics
     ///
-    /// If the system has no such clock. Linux has had it since 2.6.39, and a reading of another clock
-    /// in its place would let time jump.
+    /// Panics if the system does not have `CLOCK_BOOTTIME`. Linux has had it since 2.6.39, and
+    /// falling back to another clock would make time jump.
     #[allow(clippy::expect_used)]
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has CLOCK_BOOTTIME");
@@ -34,12 +35,12 @@
         Self { since_boot: since_boot + simulated }
     }
 
-    /// Time since then.
+    /// Time since this instant.
     pub fn elapsed(&self) -> Duration {
         Self::now().saturating_duration_since(*self)
     }
 
-    /// Time from `earlier` to this one; zero if that is not earlier.
+    /// Time from `earlier` to this instant; zero if `earlier` is later.
     pub fn saturating_duration_since(&self, earlier: Self) -> Duration {
         self.since_boot.saturating_sub(earlier.since_boot)
     }
@@ -53,7 +54,8 @@
     }
 }
 
-/// For tests: makes the whole process believe that its machine was suspended for so long just now.
+/// For tests: makes the whole process behave as if its machine had just been suspended for
+/// `duration`.
 #[doc(hidden)]
 pub fn simulate_suspension(duration: Duration) {
     let microseconds = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -1,4 +1,4 @@
-//! Takes the store's entries into what the node believes, and into the copy that it hands on.
+//! Applies the store's entries to the node's state, and to the replica that is sent to followers.
 
 use crate::node::Node;
 use crate::refused_entries::EntryError;
@@ -12,7 +12,7 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Takes in an update, from the store or from another node.
+/// Applies an update from the store or from another node.
 pub fn apply_update(node: &Rc<Node>, subject: Subject, update: &StoreUpdate) {
     let era_before = node.store_replicas.borrow().get(subject).known_to().unwrap_or_default().era();
     let is_restored = era_before.is_known() && era_before < update.era;
@@ -69,19 +69,21 @@
         return node.put_runner(record);
     }
     let Some(name) = documents::runner_of_key(&entry.key) else { return };
-    // An entry that cannot be used has not lapsed: somebody has written it.
+    // An entry that cannot be used has not lapsed, since some program has written it.
     let lapses_until_us = node.lapses_until_us().filter(|_| entry.is_tombstone());
     node.remove_runner(&name, revision, lapses_until_us);
 }
 
-/// All runners' entries. Those that cannot be used name no runner, and cost the others nothing.
+/// Applies the entries of all runners. Entries that cannot be used name no runner, and do not
+/// affect the others.
 fn apply_runner_snapshot(node: &Rc<Node>, update: &StoreUpdate) {
     let records: Vec<RunnerRecord> = update
         .entries
         .iter()
         .filter_map(|entry| parse_runner_record(node, entry, update.revision_of(entry)))
         .collect();
-    // Known now if any of them tells it, also one that comes after those that do not.
+    // All entries have been parsed by now, so this is set if any of them has a start time, also one
+    // that follows entries without.
     let entries_have_start_times = node.entries_have_start_times.get();
     let (used, refused): (Vec<_>, Vec<_>) = records
         .into_iter()
@@ -117,7 +119,7 @@
     }
 }
 
-/// The crash that an entry tells; `None` if it was removed or cannot be read.
+/// The crash that an entry describes; `None` if the entry was removed or cannot be parsed.
 fn parse_crash(node: &Node, entry: &StoreEntry) -> Option<(Crash, CrashRecord)> {
     let document = entry.document.as_deref()?;
     let fault = match (store::crash_of_key(&entry.key), serde_json::from_str(document)) {
@@ -129,7 +131,7 @@
     None
 }
 
-/// The runner that an entry names; `None` if it was removed or names none.
+/// The runner that an entry describes; `None` if the entry was removed or cannot be used.
 fn parse_runner_record(
     node: &Node,
     entry: &StoreEntry,
@@ -154,8 +156,9 @@
     Some(record)
 }
 
-/// The store's items as entries, in the form in which they are handed on to other nodes. A configuration
-/// that cannot be read is left out: the one before it stays in force, here and where it is handed on.
+/// Converts the store's items to entries, in the form in which they are sent to followers. An
+/// invalid configuration is left out: the version before it stays in force, at this node and at its
+/// followers.
 pub fn to_entries(node: &Node, subject: Subject, items: Vec<Item>) -> Vec<StoreEntry> {
     let entry = |item: Item| {
         let Item { key, value, revision } = item;
@@ -174,7 +177,7 @@
     items.into_iter().filter_map(entry).collect()
 }
 
-/// A value as a document; keys in a configuration are hidden from here on.
+/// Converts a value to a document. API keys in a configuration are hidden from here on.
 fn to_document(subject: Subject, value: Vec<u8>) -> Result<String, EntryError> {
     match subject {
         Subject::Configuration => documents::hide_keys(&value)
--- a/crates/gateway/src/json_lines.rs
+++ b/crates/gateway/src/json_lines.rs
@@ -1,4 +1,4 @@
-//! JSON lines over a connection between two nodes.
+//! JSON lines, and raw bytes after them, over a connection between two nodes.
 
 use ntex::codec::Decoder;
 use ntex::io::Io;
@@ -7,31 +7,33 @@
 use serde::Serialize;
 use std::cell::Cell;
 
-/// Longest line. What is larger than a few kilobytes follows its line compressed.
+/// Maximum length of a line. Updates of more than a few kilobytes are sent compressed after their
+/// line.
 const MAX_LINE_BYTES: usize = 1024 * 1024;
 
-/// A line could not be exchanged.
+/// Why a line, or the bytes after it, could not be exchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     /// The connection was closed or broke.
     #[error("the connection was closed or broke")]
     Closed,
-    /// The line is too long.
-    #[error("the line is too long")]
+    /// The line, or the data announced after it, exceeds its maximum size.
+    #[error("the line or the data after it is too long")]
     TooLong,
-    /// The line is not the JSON that is expected.
-    #[error("the line cannot be read: {0}")]
+    /// The line is not JSON of the expected type.
+    #[error("the line cannot be parsed: {0}")]
     Json(#[from] serde_json::Error),
-    /// What follows the line cannot be compressed, or decompressed within the largest size.
-    #[error("what follows the line cannot be compressed or decompressed: {0}")]
+    /// The data after the line cannot be compressed, or cannot be decompressed within the size
+    /// limit.
+    #[error("the data after the line cannot be compressed or decompressed: {0}")]
     Compression(std::io::Error),
     /// The line could not be written.
     #[error("the line could not be written: {0}")]
     Write(#[from] std::io::Error),
 }
 
-/// Splits what comes at line ends. What has been searched is not searched again: a long line comes in
-/// many pieces.
+/// Splits the input at line ends. Bytes that have been searched are not searched again, since a
+/// long line arrives in many pieces.
 #[derive(Default)]
 struct LineDecoder {
     searched: Cell<usize>,
@@ -51,7 +53,7 @@
     }
 }
 
-/// Takes what has come of so many bytes.
+/// Takes the available bytes, at most `max_bytes`.
 struct ChunkDecoder {
     max_bytes: usize,
 }
@@ -66,13 +68,13 @@
     }
 }
 
-/// Reads the next line.
+/// Reads and parses the next line.
 pub async fn read_line<T: DeserializeOwned>(io: &Io) -> Result<T, LineError> {
     let line = receive(io, &LineDecoder::default()).await?;
     Ok(serde_json::from_slice(&line)?)
 }
 
-/// Reads what has come of the `most` bytes that follow a line; at least one.
+/// Reads the available bytes of the `max_bytes` bytes that follow a line; at least one.
 pub async fn read_chunk(io: &Io, max_bytes: usize) -> Result<Bytes, LineError> {
     receive(io, &ChunkDecoder { max_bytes }).await
 }
@@ -88,14 +90,14 @@
     }
 }
 
-/// Hands a line over to be written; does not wait for the other side.
+/// Queues a line for sending, without waiting for the peer.
 pub fn write_line<T: Serialize>(io: &Io, value: &T) -> Result<(), LineError> {
     let mut line = serde_json::to_vec(value)?;
     line.push(b'\n');
     Ok(io.encode_bytes(Bytes::from(line))?)
 }
 
-/// Hands over bytes that follow a line.
+/// Queues bytes that follow a line for sending, without waiting for the peer.
 pub fn write_bytes(io: &Io, bytes: Bytes) -> Result<(), LineError> {
     Ok(io.encode_bytes(bytes)?)
 }
--- a/crates/gateway/src/platform_client.rs
+++ b/crates/gateway/src/platform_client.rs
@@ -1,7 +1,7 @@
 //! Calls to the platform's interfaces, one at a time over one kept connection.
 //!
-//! After a failure the connection is dropped: once an answer is lost on a connection, nothing
-//! more comes on it.
+//! The connection is dropped after a failure: once a response has been lost on a connection,
+//! nothing more arrives on it.
 
 use crate::http::request::request_bytes;
 use crate::http::{AnswerHead, BodyDecoder, ConnectFailure, ReadFailure, Upstream};
@@ -14,40 +14,41 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time to open a connection.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Largest answer that is read.
+/// Maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A call got no answer. Unless it never left, it may have been done.
+/// Why a call received no complete response. Unless no connection could be opened, the call may
+/// have been performed.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// No connection could be made.
-    #[error("the platform cannot be reached: {0}")]
+    /// No connection could be opened.
+    #[error("cannot connect to the platform: {0}")]
     Unreachable(#[from] ConnectFailure),
-    /// The connection failed.
-    #[error("the platform did not answer: {0}")]
+    /// The connection failed before the head of the response.
+    #[error("no response from the platform: {0}")]
     ReadFailed(#[from] ReadFailure),
-    /// Nothing came in time.
-    #[error("the platform did not answer in time")]
+    /// The head of the response did not arrive within the time limit.
+    #[error("the platform did not respond in time")]
     TimedOut,
-    /// The answer began to come, and did not come whole.
-    #[error("the platform's answer did not come whole: {0}")]
+    /// The response began to arrive and was not completed.
+    #[error("incomplete response from the platform: {0}")]
     Incomplete(#[from] TransferFailure),
 }
 
-/// An answer.
+/// A response of the platform.
 #[derive(Debug)]
 pub struct PlatformResponse {
     /// HTTP status.
     pub status: u16,
-    /// The era that the platform's store tells; another interface tells none.
+    /// Era that the platform's store reported; unknown for the other interfaces, which report none.
     pub era: Result<StoreEra, EraError>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// A client of one interface.
+/// Client of one of the platform's interfaces.
 #[derive(Default)]
 pub struct PlatformClient {
     connection: Option<(SocketAddr, Upstream)>,
@@ -55,13 +56,13 @@
 }
 
 impl PlatformClient {
-    /// A client that tells `transfer` of the progress of its answers.
+    /// Creates a client that records the progress of responses in `transfer`.
     pub fn with_transfer(transfer: Rc<Transfer>) -> Self {
         Self { connection: None, transfer }
     }
 
-    /// Makes a call to the interface at an address and waits at most `limit` for the head of its
-    /// answer; the body is waited for as long as it makes progress.
+    /// Makes a call to the interface at an address and waits at most `head_timeout` for the head of
+    /// the response; the body is limited by its progress.
     pub async fn call(
         &mut self,
         address: SocketAddr,
--- a/crates/gateway/src/refused_entries.rs
+++ b/crates/gateway/src/refused_entries.rs
@@ -1,44 +1,47 @@
-//! Entries of the store that another writer left there and that cannot be used: each is told once a revision.
+//! Entries that another program wrote to the store and that cannot be used. Each is logged once per
+//! revision.
 
 use pitchstall_serving::store_revision::RevisionNumber;
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// Entries that are remembered, to be told once only: some 0.2 MB with keys of 200 bytes, the store's longest
-/// (worked out). With more of them, some are told again when everything is read anew.
+/// Maximum number of entries that are remembered as logged: by calculation, about 0.2 MB with keys
+/// of 200 bytes, the longest that the store allows. Beyond it, the memory is cleared, and some
+/// entries are logged again when everything is read anew.
 const MAX_REMEMBERED_ENTRIES: usize = 1_024;
 
-/// Why an entry is not used.
+/// Why an entry cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// Its value is not the document that belongs under its key.
+    /// The value is not a valid document for the key.
     #[error("{0}")]
     InvalidDocument(String),
-    /// Its value is no text.
-    #[error("its value is no text in JSON")]
+    /// The value is not UTF-8 text.
+    #[error("the value is not UTF-8 text")]
     NotUtf8,
-    /// Its key is none that belongs under its prefix.
-    #[error("its key names nothing")]
+    /// The key does not have the format required under its prefix.
+    #[error("the key does not have the format required under its prefix")]
     InvalidKey,
-    /// Other runners tell when they started, and this entry does not.
-    #[error("it lacks the field born, which other runners' entries have")]
+    /// The entry has no start time, while entries of other runners have one.
+    #[error("the field born is missing, which other runners' entries have")]
     MissingStartTime,
 }
 
-/// The entries that were refused, and at which revision.
+/// The refused entries with their revisions.
 #[derive(Debug, Default)]
 pub struct RefusedEntries {
     logged: RefCell<HashMap<String, RevisionNumber>>,
 }
 
 impl RefusedEntries {
-    /// The store gives its revisions out again: each entry is told once more.
+    /// Handles a later era, in which the store assigns revisions again: each entry is logged once
+    /// more.
     pub fn on_later_era(&self) {
         self.logged.borrow_mut().clear();
     }
 
-    /// An entry is refused. Returns whether this revision of it had not been refused before; then a line
-    /// says why.
+    /// Records and logs a refused entry. Returns whether this revision of it had not been refused
+    /// before.
     pub fn on_refused(
         &self,
         subject: &str,
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -1,10 +1,11 @@
-//! Hands this node's copy of the store on to nodes that follow it, and follows another's.
+//! Sends this node's replica of the store to nodes that follow it, and queries other nodes for
+//! theirs.
 //!
-//! A node that follows asks with the revision that it knows; the answer waits until there is a
-//! later one, or for the time that the question names. A large update follows the line of its answer,
-//! and is waited for as long as it makes progress. Any node answers, whether or not it is
-//! one of those that read the store: so a node that starts while the store is away serves by
-//! what the others know.
+//! A follower sends a query with the revision that it knows. The reply is delayed until there is a
+//! later revision, or for the time that the query specifies. A large update is sent after the line
+//! of its reply, and the follower waits for it as long as it makes progress. Every node replies,
+//! whether or not it is a store reader, so that a node that starts while the store is unavailable
+//! can serve from the others' replicas.
 
 use crate::clock::Instant;
 use crate::compression::{decompress, CompressedUpdateCache};
@@ -23,36 +24,39 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// Longest wait for a change that a question may ask for.
+/// Maximum wait for a change that a query may request.
 const MAX_QUERY_WAIT: Duration = Duration::from_secs(5);
-/// Time for which a connection may rest between questions.
+/// Time after which a connection without a query is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time to open a connection to another node. Nodes are at most tens of milliseconds away; one that
-/// takes longer is cut off or has stopped, and another can be asked.
+/// Time limit for opening a connection to another node. Nodes are at most tens of milliseconds
+/// away; one that takes longer is cut off or has stopped, and another one can be queried.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time for the line of an answer beyond the wait that the question names. What follows it is judged by
-/// its progress.
+/// Time limit for the line of a reply, in addition to the wait that the query specifies. What
+/// follows the line is limited by its progress.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
-/// From here on an update follows the line of its answer compressed, bytes: 7 ms on a link of 10 Mbit/s.
+/// Size from which an update is sent compressed after the line of its reply. It takes 7 ms on a
+/// link of 10 Mbit/s.
 const MIN_COMPRESSED_UPDATE_BYTES: usize = 8 * 1024;
-/// Time for another node to compress a large update, once its answer has begun: many times what the largest entry takes
-/// on a small share of a slow processor.
+/// Time within which another node must compress a large update after it has sent the line of its
+/// reply. This is many times what the largest entry takes on a small share of a slow processor.
 const COMPRESSION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most bytes that may follow a line.
+/// Maximum number of compressed bytes after a line.
 const MAX_COMPRESSED_BYTES: usize = 4 * 1024 * 1024;
-/// Nodes that may follow this one at a time; more are turned away and ask another.
+/// Maximum number of simultaneous followers. Connections beyond that are closed, and the follower
+/// queries another node.
 const MAX_FOLLOWERS: usize = 512;
 
-/// Answers other nodes' questions until the task is dropped.
+/// Replies to other nodes' queries until the task is dropped.
 pub async fn accept_followers(listener: TcpListener, node: Rc<Node>) {
     let followers = Rc::new(());
     let caches = Rc::<CompressedUpdateCaches>::default();
-    // One for all connections: the buffers kept under a configuration are never let go.
+    // All connections share one configuration, since ntex never frees the buffers kept for a
+    // configuration.
     let config: ntex::SharedCfg = ntex::SharedCfg::new("mirror").into();
     loop {
         let Some(stream) = accept(&listener).await else { continue };
         if Rc::strong_count(&followers) > MAX_FOLLOWERS {
-            log::warn!(target: "mirror", most = MAX_FOLLOWERS; "no room for a follower");
+            log::warn!(target: "mirror", most = MAX_FOLLOWERS; "follower rejected: too many followers");
             continue;
         }
         let Some(io) = stream_of(stream, config.clone()) else { continue };
@@ -70,7 +74,7 @@
         let reply = reply_to(node, &query);
         if let Err(error) = write_reply(io, reply, caches.cache(query.subject)).await {
             let error = error.to_string();
-            log::info!(target: "mirror", error; "answer not written");
+            log::info!(target: "mirror", error; "reply not written");
             return;
         }
     }
@@ -96,8 +100,9 @@
     StoreUpdateReply { update, age_ms, is_compressed: false }
 }
 
-/// The line of the answer goes out before a large update is compressed: on a busy machine that may take longer
-/// than the line may, and the node that asks would leave.
+/// Sends a reply. The line is sent before a large update is compressed: on a busy machine the
+/// compression may take longer than the time limit for the line, and the follower would abandon
+/// this node.
 async fn write_reply(
     io: &Io,
     mut reply: StoreUpdateReply,
@@ -113,13 +118,13 @@
     write_bytes(io, compressed)
 }
 
-/// Stands before a compressed update.
+/// Line that precedes a compressed update.
 #[derive(Serialize, Deserialize)]
 struct CompressedHeader {
     bytes: usize,
 }
 
-/// The last update of each subject that was compressed, for all nodes that follow this one.
+/// The last compressed update of each subject, shared by all followers.
 #[derive(Default)]
 struct CompressedUpdateCaches {
     configuration: RefCell<CompressedUpdateCache>,
@@ -137,42 +142,42 @@
     }
 }
 
-/// Another node's copy could not be had.
+/// Why another node's replica could not be obtained.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicationError {
-    /// The node cannot be reached.
-    #[error("the node cannot be reached: {0}")]
+    /// No connection could be opened.
+    #[error("cannot connect to the node: {0}")]
     Unreachable(#[from] ConnectFailure),
-    /// The exchange failed.
+    /// A line could not be sent or received.
     #[error(transparent)]
     Line(#[from] LineError),
-    /// Nothing came in time.
-    #[error("the node did not answer in time")]
+    /// The reply did not begin within the time limit.
+    #[error("the node did not reply in time")]
     TimedOut,
-    /// The answer began to come and went no further.
-    #[error("the node's answer went no further after {received} of {bytes} bytes")]
+    /// The reply began to arrive and then made no progress, or took too long.
+    #[error("the node's reply stalled after {received} of {bytes} bytes")]
     Stalled {
-        /// Bytes that had come.
+        /// Bytes received.
         received: usize,
-        /// Bytes that were to come.
+        /// Bytes expected.
         bytes: usize,
     },
 }
 
-/// Asks other nodes for their copies, one question at a time over one kept connection.
+/// Queries other nodes for their replicas, one query at a time over one kept connection.
 pub struct ReplicationClient {
     connection: Option<(SocketAddr, Io)>,
     transfer: Rc<Transfer>,
 }
 
 impl ReplicationClient {
-    /// A client that tells `transfer` of the progress of its answers.
+    /// Creates a client that records the progress of replies in `transfer`.
     pub fn with_transfer(transfer: Rc<Transfer>) -> Self {
         Self { connection: None, transfer }
     }
 
-    /// Asks another node on behalf of `node` and waits for its answer: for a time until it begins to come, and then for as
-    /// long as it makes progress.
+    /// Sends a query on behalf of `node` and waits for the reply: for a limited time until it
+    /// begins to arrive, and then for as long as it makes progress.
     pub async fn query(
         &mut self,
         node: &Node,
--- a/crates/gateway/src/store_pages.rs
+++ b/crates/gateway/src/store_pages.rs
@@ -1,9 +1,9 @@
-//! Reads of all entries with a prefix: the store tells them in pages of some hundred.
+//! Reads of all entries with a prefix, which the store returns in pages of a few hundred.
 
 use pitchstall_platform_adapter::store::{Item, Page};
 
-/// Reads page after page until there is no more. `read` is given the key after which the page starts. What
-/// comes back counts as of the first page's revision: pages do not form a snapshot.
+/// Reads pages until there are no more. `read` receives the key after which the page starts. The
+/// result has the revision of the first page, since the pages do not form a snapshot.
 pub async fn read_pages<E>(
     mut read: impl AsyncFnMut(Option<String>) -> Result<Page, E>,
 ) -> Result<Page, E> {
--- a/crates/gateway/src/store_responses.rs
+++ b/crates/gateway/src/store_responses.rs
@@ -1,33 +1,33 @@
-//! Answers of the store to calls that are not its copies' ([`crate::watcher`]).
+//! Responses of the store to calls other than those of its replicas ([`crate::watcher`]).
 
 use pitchstall_platform_adapter::store::{StoreAnswerError, StoreStatus};
 use pitchstall_serving::store_revision::StoreEra;
 
-/// An answer.
+/// A response of the store.
 #[derive(Debug)]
 pub struct StoreResponse {
-    /// What it means.
+    /// Outcome of the call.
     pub status: StoreStatus,
-    /// The era that it is of.
+    /// Era of the store in which the response was given.
     pub era: StoreEra,
-    /// What it holds.
+    /// Body; its format depends on the call and the status.
     pub body: Vec<u8>,
 }
 
 impl StoreResponse {
-    /// Whether the call was done.
+    /// Whether the store performed the call.
     pub fn is_done(&self) -> bool {
         self.status == StoreStatus::Done
     }
 }
 
-/// What an answer says of `what`; one that cannot be read is logged, and is as good as none: whatever was granted by
-/// it lapses.
+/// The parsed content of a response about `what`. A response that cannot be parsed is logged and
+/// treated like a missing one: whatever it granted lapses.
 pub fn ok_or_log<T>(what: &str, parsed: Result<T, StoreAnswerError>) -> Option<T> {
     parsed
         .inspect_err(|error| {
             let error = error.to_string();
-            log::error!(target: "store", what, error; "an answer cannot be read");
+            log::error!(target: "store", what, error; "store response cannot be parsed");
         })
         .ok()
 }
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -1,10 +1,10 @@
-//! Progress of an answer whose size this node does not choose: a copy of the store's entries, or a
-//! part of one, on its way here.
+//! Progress of a response whose size the receiver does not choose, such as a snapshot of the
+//! store's entries or a part of one.
 //!
-//! How long such an answer takes follows from its size and from what else fills the link, so it is
-//! judged by its progress. One that is given up at a fixed time is begun again from the start at
-//! the next source, fills the link once more, and is later still: a livelock in which no node
-//! ever has it whole.
+//! The time that such a response takes depends on its size and on the other traffic of the link, so
+//! it is limited by its progress. A transfer that is aborted after a fixed time starts from the
+//! beginning at the next source, loads the link once more and takes even longer: a livelock in
+//! which no node ever receives the whole response.
 
 use crate::clock::Instant;
 use crate::http::{AnswerFault, BodyDecoder, ReadFailure, Upstream};
@@ -12,29 +12,29 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time without a byte after which an answer that has begun to come is given up: as long as bytes
-/// that are not acknowledged break a connection, and several times the pause in which a lost packet
-/// is sent again.
+/// Time without a received byte after which a response that has begun to arrive is aborted. It
+/// equals the time after which unacknowledged data breaks a connection, and is several times the
+/// retransmission timeout of a lost packet.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time of an answer that makes progress: the largest entry of the store, 1 MiB in base64,
-/// at 0.6 Mbit/s. Links are 10 Mbit/s and more.
+/// Maximum time of a response that makes progress: the largest entry of the store, 1 MiB in base64,
+/// at 0.6 Mbit/s. Links are 10 Mbit/s or more.
 pub const MAX_TRANSFER_TIME: Duration = Duration::from_secs(20);
 
-/// An answer did not come whole.
+/// Why a response is incomplete.
 #[derive(Debug, thiserror::Error)]
 pub enum TransferFailure {
     /// The connection failed.
     #[error(transparent)]
     Read(#[from] ReadFailure),
-    /// It went no further.
-    #[error("the answer went no further after {received} bytes")]
+    /// The response made no progress, or took too long.
+    #[error("the response stalled after {received} bytes")]
     Stalled {
-        /// Bytes that had come.
+        /// Bytes received.
         received: usize,
     },
 }
 
-/// The answer that a client waits for.
+/// Progress of the response that a client is waiting for.
 #[derive(Debug, Default)]
 pub struct Transfer {
     received: Cell<usize>,
@@ -42,35 +42,37 @@
 }
 
 impl Transfer {
-    /// A question is asked; nothing has come yet.
+    /// Resets the progress when a request is sent.
     pub fn reset(&self) {
         self.received.set(0);
         self.started_at.set(None);
     }
 
-    /// So many more bytes of the answer have come.
+    /// Records that `bytes` more bytes of the response have arrived.
     pub fn on_received(&self, bytes: usize) {
         self.received.set(self.received.get() + bytes);
         self.started_at.set(self.started_at.get().or_else(|| Some(Instant::now())));
     }
 
-    /// Time since the first bytes of the answer came, without what it waited for before.
+    /// Time since the first bytes of the response arrived, excluding the wait before them; zero if
+    /// none has arrived.
     pub fn elapsed(&self) -> Duration {
         self.started_at.get().map_or(Duration::ZERO, |started_at| started_at.elapsed())
     }
 
-    /// Bytes of the answer that have come, also if it never came whole.
+    /// Number of bytes of the response that have arrived, also if it was never completed.
     pub fn received(&self) -> usize {
         self.received.get()
     }
 
-    /// Whether the answer has begun to come.
+    /// Whether the response has begun to arrive.
     pub fn has_started(&self) -> bool {
         self.received() > 0
     }
 }
 
-/// Reads a whole body of at most so many bytes for as long as it makes progress, and tells `transfer` of it.
+/// Reads a whole body of at most `max_bytes` bytes for as long as it makes progress, and records
+/// the progress in `transfer`.
 pub async fn read_body(
     connection: &Upstream,
     decoder: &BodyDecoder,
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -1,13 +1,14 @@
-//! Follows the store: the operators' configuration, the runners' entries, and the requests under
-//! which runners have ended.
+//! Keeps replicas of the store's subjects up to date: the operators' configuration, the runners'
+//! registry entries, and the crashes of runners.
 //!
-//! A few nodes of each zone read the store and watch it from the revision of the read; the
-//! others follow one of these ([`crate::replication`]), another one as soon as that one does not
-//! answer or has not heard of the store lately. Only when no node's copy is confirmed do they
-//! ask the store themselves, and seldom. A watch that ends for any reason goes on from its last
-//! revision; if that history is gone, or the store has come back from an older copy, everything is read anew. A watch may go silent in a fault
-//! without a word. It is relied on while the copy is known to be fresh
-//! ([`pitchstall_serving::freshness`]); otherwise the store is asked.
+//! A few nodes of each zone, the store readers, read the store and watch it from the revision of
+//! that read. The others follow one of them ([`crate::replication`]), and switch to another one as
+//! soon as it does not respond or its replica has not been confirmed by the store recently. Only
+//! while no node's replica is confirmed do followers query the store themselves, and seldom. A
+//! watch that ends for any reason is resumed from its last revision; if that part of the history is
+//! gone, or the store was restored from a backup, everything is read again. A fault can make a
+//! watch go silent without an error. A watch is relied on while the replica is known to be fresh
+//! ([`pitchstall_serving::freshness`]); otherwise the store is queried.
 
 mod peer_source;
 
@@ -33,51 +34,54 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time for the head of the answer to a call that does not wait.
+/// Maximum time until the head of the response to a call that does not wait for changes.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A watch asks for no more than that, so that its revision stays in the store's history.
+/// Maximum wait that a watch requests. It is bounded so that the revision of the watch stays within
+/// the store's history.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(10);
 const WATCH_TIMEOUT: Duration = Duration::from_secs(12);
-/// What a call asks for that only confirms the copy.
+/// Wait requested by a call that only confirms the replica.
 const CONFIRMATION_WATCH_WAIT: Duration = Duration::from_millis(1);
-/// Shortest time between two answers with changes: for a node alone and for each other node
-/// that watches too, as each change costs each of them a call.
+/// Minimum time between two responses with changes: a fixed part, and a part for each store reader,
+/// since each change costs each of them a call.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 const MIN_CHANGE_INTERVAL_PER_READER: Duration = Duration::from_millis(8);
-/// Part of the time after which a node counts as in touch again that changes wait at most.
+/// A change is delayed by at most `bounds.contact_ms` divided by this.
 const MAX_CHANGE_INTERVAL_DIVISOR: u32 = 6;
-/// Time after the start for which a node waits to hear who is there before it reads the store
-/// itself: three calls to the store take some 20 ms, and several times that on a busy machine.
+/// Time after the start within which a node waits for the list of nodes before it reads the store
+/// itself. Receiving the list takes three calls to the store, about 20 ms, and several times that
+/// on a busy machine.
 const NODE_LIST_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause after another node had nothing confirmed to say.
+/// Pause after a peer that had no confirmed replica.
 const SOURCE_RETRY_PAUSE: Duration = Duration::from_millis(30);
-/// An answer that takes this long on its way may have been overtaken: changes come three a second at most
-/// on the users' deployments.
+/// A response whose transfer takes this long may be outdated when it is complete: in the users'
+/// deployments there are at most three changes per second.
 const MIN_SLOW_TRANSFER: Duration = Duration::from_millis(300);
-/// From here on an answer is logged: 13 ms on a link of 10 Mbit/s.
+/// Minimum size of a response that is logged. It takes 13 ms on a link of 10 Mbit/s.
 const MIN_LOGGED_RESPONSE_BYTES: usize = 16 * 1024;
-/// Between two looks whether a watch that waits is to be doubted.
+/// Time between two checks whether a waiting watch can still be relied on.
 const FRESHNESS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a failure, before it is multiplied and spread.
+/// Upper bound of the first pause after a failure. It doubles with each further failure, and the
+/// actual pause is random.
 const INITIAL_BACKOFF_MS: u64 = 50;
 const MAX_BACKOFF_MS: u64 = 400;
 
-/// Why the store could not be followed.
+/// Why an attempt to follow the store failed.
 #[derive(Debug, thiserror::Error)]
 enum FollowError {
     #[error(transparent)]
     Store(#[from] PlatformError),
     #[error(transparent)]
     Response(#[from] StoreAnswerError),
-    #[error("the store says {0:?}")]
+    #[error("the store responded with status {0:?}")]
     Status(StoreStatus),
-    #[error("the configuration cannot be read")]
+    #[error("the configuration in the store is invalid")]
     UnreadableConfiguration,
-    #[error("the answer is of the store's era {0}, which is over")]
+    #[error("the response is of the superseded store era {0}")]
     SupersededEra(StoreEra),
-    #[error("the settings name another store by now")]
+    #[error("the settings name another store since the call was made")]
     StoreReplaced,
-    #[error("the store came back older while it was read")]
+    #[error("a later era of the store began during a read of several pages")]
     EraChanged,
 }
 
@@ -89,7 +93,7 @@
     }
 }
 
-/// Follows one subject until the process ends.
+/// Keeps the replica of one subject up to date until the process ends.
 pub async fn follow(node: Rc<Node>, subject: Subject) {
     let address = node.settings().store.address;
     let confirmation_period = random_confirmation_period(&node, subject);
@@ -129,8 +133,9 @@
     freshness.replica(subject).assess(node.now_us(), confirmation_us)
 }
 
-/// Ends when a watch that waits should not be relied on any more. Once its answer has begun to come it is:
-/// words of a later change come before the change itself, and dropping it would prolong the doubt.
+/// Completes when a waiting watch should no longer be relied on. A watch whose response has begun
+/// to arrive is kept: reports of a later change arrive before the change itself, and dropping the
+/// response would delay it further.
 async fn until_not_fresh(
     node: Rc<Node>,
     subject: Subject,
@@ -157,32 +162,33 @@
     subject: Subject,
     client: PlatformClient,
     replication: ReplicationClient,
-    /// Progress of the answer of the node or the store that is asked.
+    /// Progress of the response from the peer or store that was queried last.
     transfer: Rc<Transfer>,
-    /// Which of the nodes that can be followed is followed.
+    /// Index of the followed node among the possible sources.
     source_index: usize,
-    /// When the store may next be asked though this node does not read it for others.
+    /// Earliest time of the next call to the store while no peer's replica is confirmed.
     next_own_call_at: Instant,
-    /// When it may be asked because another node has seen a later change.
+    /// Earliest time of the next call to the store while another node has reported a later change.
     next_behind_call_at: Instant,
-    /// Whether the node that is followed has given a sound answer.
+    /// Whether the last reply of the followed node was recent enough to rely on.
     is_source_reliable: bool,
-    /// When it was last asked.
+    /// Time of the last query or call.
     query_sent_at: Instant,
     started: Instant,
     address: SocketAddr,
-    /// Which of the stores that have been there is followed.
+    /// Value of [`Node::store_generation`] for the store that is followed.
     generation: u64,
-    /// The store's revision up to which everything is known.
+    /// Revision of the store up to which all changes are known; `None` before the first read.
     known_to: Option<StoreRevision>,
-    /// Whether the store has no history from there on: a watch can't go on, everything is read anew. What is known stays
-    /// known, so that a copy which is no later ends no such read.
+    /// Whether the store no longer has the history after `known_to`, so that a watch cannot continue
+    /// and everything has to be read again. The known entries stay valid; a peer's update that is
+    /// not later does not clear this flag.
     history_is_gone: bool,
-    /// When the last change came.
+    /// Time at which the last change arrived.
     last_change_at: Option<Instant>,
-    /// Whether the entry is read again before it is watched.
+    /// Whether to read the entry again before watching it.
     should_reread_entry: bool,
-    /// How long a confirmation of the copy holds.
+    /// How long the store's confirmation of the replica holds.
     confirmation_period: Duration,
     failures: u32,
 }
@@ -196,7 +202,7 @@
         let address = self.node.settings().store.address;
         let generation = self.node.store_generation.get();
         if generation != self.generation {
-            // Another store may count its revisions in another way.
+            // Another store may number its revisions in a different way.
             (self.address, self.generation) = (address, generation);
             self.known_to = None;
             self.node.store_replicas.borrow_mut().get_mut(self.subject).reset();
@@ -211,16 +217,17 @@
         tokio::select! {
             done = self.query_store() => done,
             reply = hedge => {
-                // What the store had sent is dropped with its connection, as it is all in here.
+                // The reply contains everything that the store was sending. The rest of the store's
+                // response is dropped with its connection.
                 self.apply_reply(&reply);
                 Ok(())
             }
         }
     }
 
-    /// Asks the store, and after it has failed any node that knows something: while nothing is known here a copy
-    /// that is old serves better than none, and a later change that others tell of has to be got from
-    /// them. The first answer of the store replaces it.
+    /// Queries the store, and from the second consecutive failure on also another node. While
+    /// nothing is known here, an old replica is better than none, and a later change that others
+    /// have reported must be obtained from them. The store's first response replaces such a replica.
     async fn query_store(&mut self) -> Result<(), FollowError> {
         let outcome = match self.known_to {
             None => self.read_all().await,
@@ -240,18 +247,20 @@
         outcome
     }
 
-    /// Whether the store has come back from an older copy since what is known here: its revisions are given out again, so
-    /// that a watch would pass over what is written under those that are known.
+    /// Whether the store was restored from a backup after the replica was read. The store then
+    /// assigns revisions again, and a watch would miss changes under revisions that are already
+    /// known.
     fn is_replica_of_earlier_era(&self) -> bool {
         self.known_to.is_some_and(|at| at.era() < self.node.store_era())
     }
 
-    /// Revision from which another node may tell what has changed; `None`: it has to tell everything.
+    /// Revision after which another node may reply with changes only; `None` if it has to send a
+    /// snapshot.
     fn known_to_in_current_era(&self) -> Option<StoreRevision> {
         self.known_to.filter(|_| !self.is_replica_of_earlier_era())
     }
 
-    /// Whether the node has just started and may soon know whom it can follow.
+    /// Whether the node has just started and may soon know which nodes it can follow.
     fn awaits_node_list(&self) -> bool {
         !self.node.has_listed_nodes() && self.started.elapsed() < NODE_LIST_TIMEOUT
     }
@@ -261,8 +270,9 @@
         self.transfer.reset();
     }
 
-    /// One line for each copy or change that is large enough to take some time on a slow link.
-    /// `waited_ms`: until its first bytes came, as long as there was no change; `transfer_ms`: from then on.
+    /// Logs a snapshot or change that is large enough to take some time on a slow link. `waited_ms`
+    /// is the time until its first bytes arrived, which includes waiting for a change, and
+    /// `transfer_ms` the time from then on.
     fn log_large_response(&self, source: &str, bytes: usize) {
         if bytes < MIN_LOGGED_RESPONSE_BYTES {
             return;
@@ -275,7 +285,7 @@
         log::info!(target: "store", subject, source, known_to, bytes, waited_ms, transfer_ms; "fetched");
     }
 
-    /// Whether another node has told of a change that this one has not got.
+    /// Whether another node has reported a change that this node has not received.
     fn is_behind(&self) -> bool {
         let freshness = self.node.freshness.borrow();
         freshness.replica(self.subject).behind_for_us(self.node.now_us()).is_some()
@@ -292,7 +302,7 @@
             Ok(reply) => drop(self.apply_reply(&reply)),
             Err(error) => {
                 let (other, error) = (other.to_string(), error.to_string());
-                log::info!(target: "store", subject = self.subject.name(), other, error; "no copy");
+                log::info!(target: "store", subject = self.subject.name(), other, error; "peer query failed");
             }
         }
     }
@@ -310,9 +320,10 @@
         Ok(())
     }
 
-    /// Reads the only entry of the subject again, until it has not changed meanwhile. A watch tells each version
-    /// that was written since, one after the other, so that those that come while one is on its way take
-    /// longer than it did. The entry is the latest alone.
+    /// Reads the only entry of the subject again until it did not change during the read. A watch
+    /// delivers every version written since its revision, one after the other, so versions written
+    /// during a slow transfer take even longer to transfer. A read delivers only the latest
+    /// version.
     async fn read_latest(&mut self) -> Result<(), FollowError> {
         let revision = |node: &Node| {
             node.store_replicas.borrow().get(Subject::Configuration).last_changed_at()
@@ -324,8 +335,8 @@
         Ok(())
     }
 
-    /// The answer of the store has told a change; one of the configuration may have been overtaken by the
-    /// time that it has come.
+    /// Checks after a response with changes whether its transfer was slow; a configuration may then
+    /// be outdated already and has to be read again.
     fn note_transfer_time(&mut self) {
         let has_one_entry = self.subject == Subject::Configuration;
         self.should_reread_entry = has_one_entry && self.transfer.elapsed() >= MIN_SLOW_TRANSFER;
@@ -340,7 +351,7 @@
         let (item, at) = store::parse_item(&body)?;
         let entries = to_entries(&self.node, self.subject, vec![item]);
         if entries.is_empty() {
-            // Another node may have the one before it.
+            // Another node may have the version before it.
             return Err(FollowError::UnreadableConfiguration);
         }
         Ok(StoreUpdate { era, known_to: at, is_snapshot: true, entries })
@@ -362,7 +373,7 @@
     }
 
     fn apply_update(&mut self, update: &StoreUpdate) {
-        // The history may reach back to a later copy of another node.
+        // The store's history may still reach back to a later replica received from another node.
         self.history_is_gone &= self.known_to.is_some_and(|at| update.known_to() <= at);
         self.known_to = Some(update.known_to());
         apply_update(&self.node, self.subject, update);
@@ -377,8 +388,8 @@
         Ok((store::parse_page(&body)?, era))
     }
 
-    /// Waits for changes. While the copy is not confirmed, the store is only asked: its answer
-    /// confirms the copy, here and at the other nodes.
+    /// Waits for changes. While the replica is not confirmed, the call returns at once: its
+    /// response confirms the replica, at this node and through its reports at the others.
     async fn watch(&mut self, at: StoreRevision) -> Result<(), FollowError> {
         let readers = self.node.members.borrow().store_reader_count();
         let readers = u32::try_from(readers).unwrap_or(u32::MAX);
@@ -391,7 +402,7 @@
             self.begin_query();
             tokio::select! {
                 done = self.watch_once(at, MAX_WATCH_WAIT, WATCH_TIMEOUT) => done,
-                // The connection is dropped with the call.
+                // Dropping the call closes its connection.
                 () = until_not_fresh(node, subject, period, transfer) => Ok(()),
             }
         } else {
@@ -400,7 +411,7 @@
         }
     }
 
-    /// Changes that come in quick succession are taken in together.
+    /// Delays the next query so that changes in quick succession are received together.
     async fn pause_between_changes(&self, interval: Duration) {
         let contact_time = Duration::from_millis(self.node.settings().bounds.contact_ms);
         let due = self
@@ -422,7 +433,8 @@
         let call = store::watch(key_prefix(self.subject), at.number(), wait_ms);
         let (status, body, era) = self.call(&call, timeout).await?;
         if era != at.era() {
-            // Whatever it says: it may have passed over what was written under revisions that are known.
+            // The response is of no use: it may omit changes under revisions that are already
+            // known.
             return Ok(());
         }
         match status {
@@ -448,7 +460,7 @@
             StoreStatus::HistoryGone => {
                 self.history_is_gone = true;
                 let at = at.to_string();
-                log::info!(target: "store", subject = self.subject.name(), at; "history gone");
+                log::info!(target: "store", subject = self.subject.name(), at; "store no longer has the history after this revision");
                 Ok(())
             }
             other => Err(FollowError::Status(other)),
@@ -498,7 +510,7 @@
         let max_pause_ms = INITIAL_BACKOFF_MS << self.failures.min(3);
         let max_pause_ms = max_pause_ms.min(MAX_BACKOFF_MS);
         self.failures = self.failures.saturating_add(1);
-        // Spread, so that nodes that lost the store together do not come back together.
+        // The pause is random, so that nodes that lost the store together do not return together.
         let pause = rand::rng().random_range(max_pause_ms / 2..=max_pause_ms);
         sleep(Duration::from_millis(pause)).await;
     }
--- a/crates/gateway/src/watcher/peer_source.rs
+++ b/crates/gateway/src/watcher/peer_source.rs
@@ -1,4 +1,4 @@
-//! Follows another node's copy instead of the store.
+//! Follows another node's replica instead of the store.
 
 use super::{Follower, MIN_CHANGE_INTERVAL, SOURCE_RETRY_PAUSE};
 use crate::clock::Instant;
@@ -16,22 +16,24 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two calls to the store while no other node's copy is confirmed, in hundredths of the
-/// same time: a node may alone be cut off from the others.
+/// Time between two calls to the store while no peer's replica is confirmed, in percent of
+/// `bounds.contact_ms`. Such calls are needed since this node alone may be cut off from the others.
 const OWN_CALL_PERCENT: std::ops::Range<u64> = 50..150;
-/// Between two calls to the store of a node that knows of a later change which no other node
-/// could hand it: the change has to be in force within some seconds.
+/// Minimum time between two calls to the store by a node that knows of a later change which no peer
+/// could provide. The change has to be in force within a few seconds.
 const MIN_BEHIND_CALL_INTERVAL: Duration = Duration::from_millis(500);
-/// From here on what a source has sent before it is left was part of a copy, not the answer that
-/// it knows nothing.
+/// Minimum size at which data received from an abandoned source was part of a snapshot, and not
+/// just a reply without an update.
 const MIN_PARTIAL_UPDATE_BYTES: usize = 1024;
-/// Time between two other nodes that are asked while a large answer of the store is on its way. By the first, a
-/// link of 10 Mbit/s has brought 0.6 MB, and a wide one the whole of the largest entry, so that nobody is asked.
+/// Time between two queries to peers while a large response of the store is arriving. Before the
+/// first query, a link of 10 Mbit/s has transferred 0.6 MB, and a fast link the whole of the
+/// largest entry, so that no peer is queried.
 const HEDGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Another node's copy that is newer than what is known, while the store's answer is slow to come.
-/// The same from a node is a tenth of the bytes, and the store's answer would hold this node for as
-/// long as its link takes; it goes on until the copy has come whole.
+/// Queries peers for an update newer than `known_to` while the store's response is slow to arrive,
+/// and completes with the first complete one. The same content from a peer is a tenth of the size,
+/// and the store's response would block this node for as long as the transfer takes. The store's
+/// response continues until a peer's update is complete.
 pub(super) fn hedge_with_peers(
     node: Rc<Node>,
     subject: Subject,
@@ -58,13 +60,13 @@
                 Ok(reply) if is_newer(&reply) => {
                     let source = source.to_string();
                     let received = store_transfer.received();
-                    log::info!(target: "store", subject = subject.name(), source, received; "hedge won");
+                    log::info!(target: "store", subject = subject.name(), source, received; "peer update overtook the store response");
                     return reply;
                 }
                 Ok(_) => {}
                 Err(error) => {
                     let (source, error) = (source.to_string(), error.to_string());
-                    log::debug!(target: "store", subject = subject.name(), source, error; "no copy");
+                    log::debug!(target: "store", subject = subject.name(), source, error; "peer query failed");
                 }
             }
         }
@@ -73,7 +75,7 @@
 }
 
 impl Follower {
-    /// The node to follow; `None`: the store itself.
+    /// The node to follow; `None` if the store itself is to be queried.
     pub(super) fn source(&mut self) -> Option<SocketAddr> {
         let members = self.node.members.borrow();
         if members.is_store_reader() {
@@ -83,7 +85,7 @@
         if let Some(source) = sources.get(self.source_index) {
             return Some(*source);
         }
-        // All have been tried in vain.
+        // All sources have been tried without success.
         self.source_index = 0;
         let now = Instant::now();
         let is_behind =
@@ -97,11 +99,11 @@
         None
     }
 
-    /// Asks another node for what has changed since the last answer.
+    /// Queries another node for the changes since `known_to`.
     pub(super) async fn follow_peer(&mut self, source: SocketAddr) {
         self.pause_between_changes(MIN_CHANGE_INTERVAL).await;
-        // A source that is new may lag too: it is only asked what it knows, so that the next one
-        // follows at once.
+        // A new source may be outdated too. It is queried without a wait, so that the next one can
+        // be tried at once.
         let wait = match self.is_source_reliable {
             true => max_query_wait(&self.node),
             false => Duration::ZERO,
@@ -109,8 +111,9 @@
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let query = StoreUpdateQuery::new(self.subject, self.known_to_in_current_era(), wait_ms);
         self.begin_query();
-        // Not dropped when another node tells of a later change: words are small and come at once, while
-        // the change itself takes its time. A source that has nothing to say answers soon.
+        // The query is not dropped when another node reports a later change: reports are small and
+        // arrive at once, while the change itself takes time. A source without changes replies
+        // soon.
         let reply = self.replication.query(&self.node, source, &query).await;
         self.is_source_reliable = match reply {
             Ok(reply) => self.handle_reply(source, &reply).await,
@@ -131,7 +134,7 @@
         is_reliable
     }
 
-    /// Takes in another node's answer; returns whether its copy can be relied on.
+    /// Applies another node's reply; returns whether its replica can be relied on.
     pub(super) fn apply_reply(&mut self, reply: &StoreUpdateReply) -> bool {
         let Some(update) = &reply.update else { return false };
         let known_to = update.known_to();
@@ -149,24 +152,25 @@
         self.with_freshness(|replica, now_us| replica.on_peer_update(update, age_ms, now_us));
         let max_age = stale_after(&self.node, self.subject);
         let is_confirmed = age_ms.is_some_and(|age_ms| Duration::from_millis(age_ms) < max_age);
-        // Another node has told of a later change than this one knows of.
+        // The replica is not reliable if a third node has reported a later change.
         is_confirmed && self.assess_freshness() != Freshness::Behind
     }
 
     fn log_older_update_ignored(&self, known_to: StoreRevision) {
         let (subject, known_to) = (self.subject.name(), known_to.to_string());
         let at = self.known_to.unwrap_or_default().to_string();
-        log::info!(target: "store", subject, known_to, at; "older copy passed over");
+        log::info!(target: "store", subject, known_to, at; "older update ignored");
     }
 
     async fn abandon_source(&mut self, source: SocketAddr, reason: &str) {
         let source = source.to_string();
         let (subject, received) = (self.subject.name(), self.transfer.received());
         let took_ms = self.query_sent_at.elapsed().as_millis();
-        // Sources that know nothing are left many times a second while the store is away.
+        // Sources without an update are abandoned many times per second while the store is
+        // unavailable.
         let had_partial_update = received >= MIN_PARTIAL_UPDATE_BYTES;
         let level = if had_partial_update { log::Level::Info } else { log::Level::Debug };
-        log::log!(target: "store", level, subject, source, reason, received, took_ms; "source left");
+        log::log!(target: "store", level, subject, source, reason, received, took_ms; "source abandoned");
         self.with_freshness(ReplicaFreshness::on_store_queried);
         self.source_index += 1;
         sleep(SOURCE_RETRY_PAUSE).await;
