--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -267,12 +267,12 @@
         self.metrics.store_calls.inc();
         let address = self.settings().store.address;
         match client.call(address, call, limit).await {
-            Ok(answer) => {
-                let era = self.on_era_reported(address, answer.era)?;
+            Ok(response) => {
+                let era = self.on_era_reported(address, response.era)?;
                 Some(StoreResponse {
-                    status: store::parse_status(answer.status),
+                    status: store::parse_status(response.status),
                     era,
-                    body: answer.body,
+                    body: response.body,
                 })
             }
             Err(error) => {
@@ -299,10 +299,10 @@
     /// Whether this node may place requests on a runner, by its own view of the runner.
     pub fn accepts_placements(&self, runner: &RunnerId) -> bool {
         let now_us = self.now_us();
-        let takes = |runner: &Runner| {
+        let is_available = |runner: &Runner| {
             runner.is_available_for_placement(now_us) && !runner.is_changing_role(now_us)
         };
-        self.fleet.borrow().get(runner).is_some_and(takes)
+        self.fleet.borrow().get(runner).is_some_and(is_available)
     }
 
     /// Records that the store's list of nodes has been received.
--- a/crates/gateway/tests/invalid_entries.rs
+++ b/crates/gateway/tests/invalid_entries.rs
@@ -20,8 +20,8 @@
 fn send_lookup(node: &Fixture) -> (u16, String) {
     let mut client = node.client();
     client.request("GET", "/lookup/1", "id", "", b"");
-    let answer = client.read_answer();
-    (answer.status, answer.text())
+    let response = client.read_answer();
+    (response.status, response.text())
 }
 
 fn refused_entries(node: &Fixture, subject: &str) -> u64 {
--- a/crates/gateway/tests/leases_after_store_restore.rs
+++ b/crates/gateway/tests/leases_after_store_restore.rs
@@ -167,9 +167,9 @@
         }
     };
     let windows = || -> Vec<(u64, u64)> {
-        let taken = cloud.calls().into_iter().filter(|call| call.status == 200);
+        let accepted = cloud.calls().into_iter().filter(|call| call.status == 200);
         let count = |call: &CloudCall| call.body["counts"]["taxis"].as_u64().unwrap_or(0);
-        taken.map(|call| (call.body["window_id"].as_u64().unwrap(), count(&call))).collect()
+        accepted.map(|call| (call.body["window_id"].as_u64().unwrap(), count(&call))).collect()
     };
     let reported = || windows().into_iter().collect::<BTreeMap<u64, u64>>().values().sum::<u64>();
     let backup = first.store.back_up();
@@ -189,6 +189,6 @@
 }
 
 fn desk() -> RunnerStandIn {
-    let answer = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
-    RunnerStandIn::start("i-desk", answer).unwrap()
+    let respond = |_: &ReceivedRequest| Reaction::Answer { status: 200, body: b"booked".to_vec() };
+    RunnerStandIn::start("i-desk", respond).unwrap()
 }
--- a/crates/gateway/tests/outdated_configuration.rs
+++ b/crates/gateway/tests/outdated_configuration.rs
@@ -44,8 +44,8 @@
 
 #[test]
 fn a_node_with_an_outdated_configuration_rejects_requests_until_it_has_caught_up() {
-    let answer = |_: &_| Reaction::Answer { status: 200, body: b"done".to_vec() };
-    let runner = RunnerStandIn::start("i-1", answer).unwrap();
+    let respond = |_: &_| Reaction::Answer { status: 200, body: b"done".to_vec() };
+    let runner = RunnerStandIn::start("i-1", respond).unwrap();
     let node = Fixture::start_with(BOUNDS);
     node.store.put("op/config", &configuration(3));
     node.add_runner(&runner, "desk", None);
@@ -60,8 +60,8 @@
     });
     wait_for("the node to refuse a request whose route may have changed", || {
         peer.send_digest(&node, 1_000);
-        let answer = send_request(&node, "lookup");
-        answer.status == 503 && answer.header("retry-after").is_some()
+        let response = send_request(&node, "lookup");
+        response.status == 503 && response.header("retry-after").is_some()
     });
     assert!(!node.is_ready());
     let mut later = configuration(4);
@@ -75,8 +75,8 @@
 /// A store reader that has lost the store obtains a change from a node that has read it.
 #[test]
 fn a_node_without_the_store_gets_a_later_configuration_from_a_peer() {
-    let answer = |_: &_| Reaction::Answer { status: 200, body: b"done".to_vec() };
-    let runner = RunnerStandIn::start("i-1", answer).unwrap();
+    let respond = |_: &_| Reaction::Answer { status: 200, body: b"done".to_vec() };
+    let runner = RunnerStandIn::start("i-1", respond).unwrap();
     let first = Fixture::start();
     first.store.put("op/config", &configuration(3));
     first.add_runner(&runner, "desk", None);
