--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -119,7 +119,8 @@
     choice: &RunnerChoice,
 ) -> Result<PreparedConnection, PrepareError> {
     let record = record_accepting_work(node, &choice.runner)?;
-    if attempts_in_flight(node, &choice.runner) >= node.connection_share(&record.service) {
+    if attempts_in_flight(node, &choice.runner) >= node.max_connections_per_runner(&record.service)
+    {
         log::info!(target: "attempt", runner = choice.runner.as_str(); "connection limit reached");
         return Err(PrepareError::Unreachable);
     }
@@ -228,7 +229,7 @@
             let limit_ms = u64::try_from(params.head_timeout.as_millis()).unwrap_or(u64::MAX);
             let id = request.metadata.id.as_str();
             log::info!(target: "attempt", request = id, runner = runner.as_str(), limit_ms; "silent");
-            node.on_silence(&runner, sent_at_us);
+            node.on_attempt_timeout(&runner, sent_at_us);
             record_unfinished_attempt(node, attempt);
             AttemptEnd::Unanswered
         }
@@ -282,7 +283,7 @@
 ) -> Result<(ResponseHead, ResponseMetadata), ReadError> {
     for _ in 0..MAX_SURPLUS_RESPONSES {
         let head = prepared.connection.read_head().await?;
-        let metadata = node.on_answer_head(&prepared.record.id, &head);
+        let metadata = node.on_response_head(&prepared.record.id, &head);
         let is_other = metadata.request_id.as_deref().is_some_and(|id| id != request.metadata.id);
         // The time at which the earlier request was sent is not known here.
         let sent_at_us = if is_other { 0 } else { sent_at_us };
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -43,14 +43,14 @@
         if let Some(other) =
             reply.as_ref().filter(|reply| !runner.matches_start(reply.started_at_ms))
         {
-            node.on_other_life(&runner, other.started_at_ms);
+            node.on_incarnation_mismatch(&runner, other.started_at_ms);
             continue;
         }
         let prefixes = reply.map(|reply| reply.value);
         let listed = prefixes.as_ref().map_or(0, Vec::len);
         let answered = prefixes.is_some();
         log::info!(target: "scheduling", runner = runner.as_str(), answered, listed; "cache listed");
-        node.on_parts_held(&runner, &prefixes.unwrap_or_default());
+        node.on_prefix_cached(&runner, &prefixes.unwrap_or_default());
     }
 }
 
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -194,7 +194,7 @@
                 Ok(None) | Err(_) if has_bytes() => Ok(()),
                 Ok(None) | Err(_) => Err(RequestReadError::ConnectionEnded),
             },
-            () = self.node.stopping.notified() => Err(RequestReadError::ConnectionEnded),
+            () = self.node.closing_started.notified() => Err(RequestReadError::ConnectionEnded),
             () = sleep(idle) => Err(RequestReadError::ConnectionEnded),
         }
     }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -288,7 +288,7 @@
     }
 
     fn has_retry_budget(&self) -> bool {
-        self.node.with_budget(&self.service, |budget| budget.has_attempt())
+        self.node.with_retry_budget(&self.service, |budget| budget.has_attempt())
     }
 
     fn on_unreachable(&mut self, runner: RunnerId) -> Step {
@@ -315,7 +315,7 @@
 
     async fn deliver(&mut self, mut response: AttemptResponse, client: &ClientConnection) -> Step {
         response.in_flight.on_prefilled();
-        self.node.on_parts_held(&response.record.id, self.prompt.shared_prefix());
+        self.node.on_prefix_cached(&response.record.id, self.prompt.shared_prefix());
         let first_byte = self.request.received_at.elapsed().as_secs_f64();
         self.node.metrics.first_byte.observe(first_byte);
         let success = (200..300).contains(&response.head.status);
@@ -363,7 +363,7 @@
     /// connection, the runner may have crashed instead, so it is checked.
     fn on_success(&self, runner: &RunnerId, is_framed: bool) {
         if is_framed {
-            self.node.on_success(|| self.identity());
+            self.node.on_request_succeeded(|| self.identity());
         } else {
             verify_runner(self.node, self.interrupted_attempt(runner));
         }
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -175,8 +175,9 @@
         if prefilled.is_some() {
             progress_reporter.report(Progress::Prefilled(elapsed_ms(sent_at)));
         }
-        let is_usable =
-            |choice: &RunnerChoice| prefilled.is_some() && self.node.accepts_work(&choice.runner);
+        let is_usable = |choice: &RunnerChoice| {
+            prefilled.is_some() && self.node.accepts_placements(&choice.runner)
+        };
         let decode_runner = decode_runner.filter(is_usable);
         let zone = prefilled.as_ref().map(|prefilled| prefilled.zone.clone());
         let (choice, permit) =
@@ -270,7 +271,7 @@
         match prefill::run_prefill(self.node, &demand, prepared, &params).await {
             PrefillOutcome::Prefilled(prompt) => {
                 if cost == ArrivalCost::Deposit {
-                    self.node.with_budget(&self.service, SharedRetryBudget::refund);
+                    self.node.with_retry_budget(&self.service, SharedRetryBudget::refund);
                 }
                 Some(prompt)
             }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -143,7 +143,7 @@
     let Some(configuration) = node.configuration() else {
         return finish(node, request, None, RequestOutcome::Local(LocalResponse::Unconfigured));
     };
-    if node.is_outdated() {
+    if node.has_outdated_configuration() {
         // The route may have been moved or removed by a newer version that other nodes have.
         return finish(node, request, None, RequestOutcome::Local(LocalResponse::Outdated));
     }
@@ -173,7 +173,7 @@
         }
     };
     let deadline = request.received_at + time_limit(request, &route);
-    node.with_budget(&service, SharedRetryBudget::on_request);
+    node.with_retry_budget(&service, SharedRetryBudget::on_request);
     let dispatch = Dispatch::new(node, request, &route, service, rules, &configuration, deadline);
     let dispatch = dispatch.for_tenant(tenant);
     let end = dispatch.run(client).await;
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -41,7 +41,7 @@
 pub async fn accept_clients(listener: TcpListener, node: Rc<Node>) {
     loop {
         let Some(stream) = accept(&listener).await else { continue };
-        if !node.has_room_for_client() {
+        if !node.can_accept_client() {
             // The connection is closed without reading from it, so the client can safely try another node.
             log::warn!(target: "listener", open = node.open_connections(); "connection limit reached");
             continue;
@@ -114,7 +114,7 @@
             let (mut response, _) = text_response(StatusCode::OK, "");
             let content_type = HeaderValue::from_static(metrics::CONTENT_TYPE);
             response.headers_mut().insert(CONTENT_TYPE, content_type);
-            node.metrics.configuration_lag.set(node.configuration_behind().as_secs_f64());
+            node.metrics.configuration_lag.set(node.configuration_lag().as_secs_f64());
             (response, node.metrics.render())
         }
         QUARANTINE_PATH => {
@@ -136,7 +136,7 @@
             let error: InvalidIdentity = error;
             text_response(StatusCode::BAD_REQUEST, &format!("{error}\n"))
         }
-        Ok(identity) if node.clear(identity, "lifted by an operator") => {
+        Ok(identity) if node.clear_quarantine(identity, "lifted by an operator") => {
             text_response(StatusCode::OK, "lifted\n")
         }
         Ok(_) => text_response(StatusCode::NOT_FOUND, "no runner has ended under it\n"),
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -1,13 +1,13 @@
-//! What the node believes and counts; shared by all tasks of its one thread.
+//! State of a node, shared by all tasks of its single thread.
 
 mod configuration;
 mod crashes;
 mod eras;
-mod places;
+mod locations;
+mod open_work;
 mod runners;
-mod work;
 
-pub use work::{BodyReservation, OpenConnection, OpenRequest};
+pub use open_work::{BodyReservation, OpenConnection, OpenRequest};
 
 use crate::authority::LocalAuthority;
 use crate::clock::Instant;
@@ -17,12 +17,12 @@
 use crate::platform_client::PlatformClient;
 use crate::policy::PolicyProgram;
 use crate::quota::Quotas;
-use crate::refused_entries::{EntryFault, RefusedEntries};
+use crate::refused_entries::{EntryError, RefusedEntries};
 use crate::runner_limits::RunnerLimits;
 use crate::scheduling::Scheduling;
 use crate::settings::Settings;
 use crate::shard_scheduler;
-use crate::store_answers::StoreAnswer;
+use crate::store_responses::StoreResponse;
 use crate::unknown_headers::UnknownHeaders;
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store;
@@ -52,97 +52,100 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// The node.
+/// State of a node.
 pub struct Node {
     /// The node's zone.
     pub zone: ZoneId,
-    /// Runners.
+    /// The runners that this node knows, and its estimate of their state.
     pub fleet: RefCell<Fleet>,
     /// Idle connections to runners.
     pub pool: ConnectionPool,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Told when a runner has become suspect.
+    /// Notified when the suspicion of a runner may have changed.
     pub suspicion_changed: Notify,
-    /// Told when this node has ordered a runner to change its role.
-    pub role_ordered: Notify,
-    /// Told when a runner joins or can be tried again.
+    /// Notified when this node has ordered a runner to change its role.
+    pub role_change_ordered: Notify,
+    /// Notified when a runner's registry entry is added or updated.
     pub fleet_changed: Notify,
-    /// Asks for and gives placements.
+    /// Requests placements from schedulers and answers placement queries.
     pub scheduling: Scheduling,
-    /// All nodes that are known.
+    /// All known nodes.
     pub members: RefCell<Membership>,
-    /// The store's entries, as they are handed on to other nodes.
-    pub copies: RefCell<StoreReplicas>,
-    /// Told when one of them has changed.
-    pub copy_changed: Notify,
-    /// The store's eras.
-    pub eras: RefCell<StoreEras>,
-    /// Counts the stores that have been there: the settings may name another one.
+    /// Replicas of the store's entries, which followers receive as snapshots and updates.
+    pub store_replicas: RefCell<StoreReplicas>,
+    /// Notified when a replica has changed.
+    pub store_replica_changed: Notify,
+    /// Eras of the store that this node has observed.
+    pub store_eras: RefCell<StoreEras>,
+    /// Number of times the store has been replaced by another one, by the settings or as detected
+    /// from its responses.
     pub store_generation: Cell<u64>,
-    /// Whether an era was told in a way that cannot be read, which is logged once.
-    pub era_was_unread: Cell<bool>,
-    /// Told when the store has come back from an older copy.
-    pub era_began: Notify,
-    /// How fresh the copies of the store are.
+    /// Whether an invalid era in a response has been logged; it is logged only once.
+    pub has_logged_unreadable_era: Cell<bool>,
+    /// Notified when a later era of the store begins, or the store is replaced.
+    pub later_era_began: Notify,
+    /// How fresh the replicas of the store are.
     pub freshness: RefCell<StoreFreshness>,
-    /// Told when the store has confirmed a copy: that spares the other nodes that read it a call.
-    pub store_confirmed: Notify,
-    /// Told when a call to the store has failed: what waits for its answers may wait in vain.
+    /// Notified when the store has confirmed a replica. Reporting it spares the other store readers
+    /// a call.
+    pub replica_confirmed: Notify,
+    /// Notified when a call to the store has failed: pending watches may wait in vain.
     pub store_suspected: Notify,
-    /// Told when connections that rest are to be closed.
-    pub stopping: Notify,
-    /// This node's authority over what one node does for all.
+    /// Notified when idle client connections are to be closed.
+    pub closing_started: Notify,
+    /// Lease on the duties that one node performs for the whole fleet.
     pub authority: LocalAuthority,
-    /// This node's authority over the roles in its region, where there are several regions.
+    /// Lease on assigning roles in this node's region, used if there are several regions.
     pub roles_authority: LocalAuthority,
     /// Requests of tenants that began to run, here and at other nodes.
     pub usage: RefCell<UsageLedger>,
-    /// Attempts that broke, until it is known whether their runners ended.
+    /// Broken attempts that are kept until it is known whether their runners terminated.
     pub crash_evidence: RefCell<CrashEvidence>,
-    /// Requests under which runners have ended.
+    /// Requests that were open when a runner crashed.
     pub quarantine: RefCell<Quarantine>,
-    /// Told when the store is to be told of such requests.
+    /// Notified when there are crashes to write to the store or to remove from it.
     pub quarantine_changed: Notify,
-    /// Tenants' limits.
+    /// Limits of tenants.
     pub quotas: Quotas,
-    /// Runners' limits.
+    /// Limits of runners.
     pub runner_limits: RunnerLimits,
-    /// What the collector of usage knows, while this node is it.
+    /// State of the usage collector, used while this node has that duty.
     pub usage_collector: RefCell<UsageCollector>,
     /// Entries of the store that cannot be used.
     pub refused_entries: RefusedEntries,
-    /// What runners say in ways that are not known here.
+    /// Names of runners' response headers that this build does not support.
     pub unknown_words: RefCell<UnknownHeaders>,
-    /// Whether runners' entries tell when their runners started.
-    pub tells_starts: Cell<bool>,
-    /// This start of the node, drawn at random: the time of day may jump back.
+    /// Whether any runner's entry in the registry has reported its start time; entries without one
+    /// are refused from then on.
+    pub entries_have_start_times: Cell<bool>,
+    /// Identifies this start of the node. It is random because the wall clock may jump back.
     pub incarnation: u64,
     wall_clock: RefCell<WallClock>,
     settings: RefCell<Rc<Settings>>,
     policy_program: RefCell<Option<Rc<PolicyProgram>>>,
     started: Instant,
     configuration: RefCell<Option<Rc<Configuration>>>,
-    runners_known: Cell<bool>,
-    nodes_listed: Cell<bool>,
+    has_runner_list: Cell<bool>,
+    has_node_list: Cell<bool>,
     is_stopping: Cell<bool>,
     splitter: RefCell<TrafficSplitter>,
-    budgets: RefCell<HashMap<ServiceName, SharedRetryBudget>>,
-    paces: RefCell<HashMap<ServiceName, PrefillSpeed>>,
+    retry_budgets: RefCell<HashMap<ServiceName, SharedRetryBudget>>,
+    prefill_speeds: RefCell<HashMap<ServiceName, PrefillSpeed>>,
     open_requests: Cell<usize>,
     open_connections: Cell<usize>,
     is_closing: Cell<bool>,
-    body_bytes: Cell<usize>,
+    reserved_body_bytes: Cell<usize>,
 }
 
-/// What this machine's clock says, milliseconds since 1970.
-pub fn machine_wall_ms() -> u64 {
+/// This machine's wall clock, in milliseconds since the Unix epoch.
+pub fn system_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// What a node tells the others of itself.
-fn member_of(settings: &Settings) -> Member {
+/// What a node reports to others about itself.
+fn own_member(settings: &Settings) -> Member {
     const THOUSANDTHS: f64 = 1_000.0;
     Member {
         address: settings.listen.peers,
@@ -151,19 +154,19 @@
     }
 }
 
-/// The regions of the zones, as the settings tell them.
-pub fn topology_of(settings: &Settings) -> Topology {
+/// The assignment of zones to regions in the settings.
+pub fn configured_topology(settings: &Settings) -> Topology {
     let regions = settings.node.regions.iter();
     Topology::new(regions.map(|(zone, region)| (ZoneId::new(zone), RegionId::new(region))))
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node that has received neither a configuration nor lists of runners and nodes.
     pub fn new(settings: Settings, socket: PeerSocket) -> Rc<Self> {
         let zone = ZoneId::new(&settings.node.zone);
-        let topology = topology_of(&settings);
+        let topology = configured_topology(&settings);
         let name = NodeId::new(&settings.node.name);
-        let membership = Membership::new(name, member_of(&settings), topology.clone());
+        let membership = Membership::new(name, own_member(&settings), topology.clone());
         let fleet = Fleet::new(zone.clone(), topology);
         Rc::new(Self {
             settings: RefCell::new(Rc::new(settings)),
@@ -173,20 +176,20 @@
             pool: ConnectionPool::default(),
             metrics: Metrics::new(socket.cross_region_traffic()),
             suspicion_changed: Notify::new(),
-            role_ordered: Notify::new(),
+            role_change_ordered: Notify::new(),
             fleet_changed: Notify::new(),
             scheduling: Scheduling::new(socket),
             members: RefCell::new(membership),
-            copies: RefCell::default(),
-            copy_changed: Notify::new(),
-            eras: RefCell::default(),
+            store_replicas: RefCell::default(),
+            store_replica_changed: Notify::new(),
+            store_eras: RefCell::default(),
             store_generation: Cell::new(0),
-            era_was_unread: Cell::new(false),
-            era_began: Notify::new(),
+            has_logged_unreadable_era: Cell::new(false),
+            later_era_began: Notify::new(),
             freshness: RefCell::default(),
-            store_confirmed: Notify::new(),
+            replica_confirmed: Notify::new(),
             store_suspected: Notify::new(),
-            stopping: Notify::new(),
+            closing_started: Notify::new(),
             authority: LocalAuthority::default(),
             roles_authority: LocalAuthority::default(),
             usage: RefCell::default(),
@@ -198,21 +201,21 @@
             usage_collector: RefCell::default(),
             refused_entries: RefusedEntries::default(),
             unknown_words: RefCell::default(),
-            tells_starts: Cell::new(false),
+            entries_have_start_times: Cell::new(false),
             incarnation: rand::rng().random(),
             wall_clock: RefCell::default(),
             started: Instant::now(),
             configuration: RefCell::default(),
-            runners_known: Cell::new(false),
-            nodes_listed: Cell::new(false),
+            has_runner_list: Cell::new(false),
+            has_node_list: Cell::new(false),
             is_stopping: Cell::new(false),
             splitter: RefCell::default(),
-            budgets: RefCell::default(),
-            paces: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            prefill_speeds: RefCell::default(),
             open_requests: Cell::new(0),
             open_connections: Cell::new(0),
             is_closing: Cell::new(false),
-            body_bytes: Cell::new(0),
+            reserved_body_bytes: Cell::new(0),
         })
     }
 
@@ -221,54 +224,55 @@
         self.settings.borrow().clone()
     }
 
-    /// Takes changed settings into force.
+    /// Applies changed settings. Another store address counts as the replacement of the store.
     pub fn adopt_settings(&self, settings: Settings) {
-        self.adopt_topology(topology_of(&settings));
+        self.adopt_topology(configured_topology(&settings));
         let store_before = self.settings().store.address;
         let is_other_store = settings.store.address != store_before;
         *self.settings.borrow_mut() = Rc::new(settings);
         if is_other_store {
-            *self.eras.borrow_mut() = StoreEras::default();
-            self.on_other_store();
+            *self.store_eras.borrow_mut() = StoreEras::default();
+            self.on_store_replaced();
         }
     }
 
-    /// The operators' policy program in force.
+    /// The operators' policy program in force; `None` if there is none.
     pub fn policy_program(&self) -> Option<Rc<PolicyProgram>> {
         self.policy_program.borrow().clone()
     }
 
-    /// Takes a policy program into force, or none.
+    /// Puts a policy program into force, or removes the current one.
     pub fn adopt_policy_program(&self, program: Option<PolicyProgram>) {
         *self.policy_program.borrow_mut() = program.map(Rc::new);
     }
 
-    /// Microseconds of a steady clock since the start.
+    /// Time since the start of the node by the suspension-aware clock, in microseconds.
     pub fn now_us(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// The time of day that the nodes agree on, milliseconds since 1970.
+    /// Wall-clock time that is consistent across nodes, in milliseconds since the Unix epoch.
     pub fn wall_ms(&self) -> u64 {
-        self.wall_clock.borrow_mut().now_ms(machine_wall_ms(), self.now_us())
+        self.wall_clock.borrow_mut().now_ms(system_time_ms(), self.now_us())
     }
 
-    /// Makes a call to the store; `None`: there was no answer.
+    /// Makes a call to the store. Returns `None` if the call failed, the head of its response did
+    /// not arrive within `limit`, or the settings name another store by now.
     pub async fn call_store(
         &self,
         client: &mut PlatformClient,
         call: &PlatformCall,
         limit: Duration,
-    ) -> Option<StoreAnswer> {
+    ) -> Option<StoreResponse> {
         self.metrics.store_calls.inc();
         let address = self.settings().store.address;
         match client.call(address, call, limit).await {
-            Ok(answer) => {
-                let era = self.on_told_era(address, answer.era)?;
-                Some(StoreAnswer {
-                    status: store::parse_status(answer.status),
+            Ok(response) => {
+                let era = self.on_era_reported(address, response.era)?;
+                Some(StoreResponse {
+                    status: store::parse_status(response.status),
                     era,
-                    body: answer.body,
+                    body: response.body,
                 })
             }
             Err(error) => {
@@ -280,113 +284,118 @@
         }
     }
 
-    /// A runner holds parts of prompts in its KV cache, for it has read them or taken them over.
-    pub fn on_parts_held(&self, runner: &RunnerId, parts: &[PromptPart]) {
+    /// Records that a runner holds prompt parts in its KV cache, after it has prefilled or fetched
+    /// them.
+    pub fn on_prefix_cached(&self, runner: &RunnerId, parts: &[PromptPart]) {
         if parts.is_empty() {
             return;
         }
         let service = self.fleet.borrow().get(runner).map(|runner| runner.record.service.clone());
         let Some(service) = service else { return };
-        let capacity = self.cache_tokens(&service);
+        let capacity = self.kv_cache_tokens(&service);
         self.fleet.borrow_mut().on_prefix_cached(runner, parts, self.now_us(), capacity);
     }
 
-    /// Whether this node may plan to send requests to a runner, as far as it knows.
-    pub fn accepts_work(&self, runner: &RunnerId) -> bool {
+    /// Whether this node may place requests on a runner, by its own view of the runner.
+    pub fn accepts_placements(&self, runner: &RunnerId) -> bool {
         let now_us = self.now_us();
-        let takes = |runner: &Runner| {
+        let is_available = |runner: &Runner| {
             runner.is_available_for_placement(now_us) && !runner.is_changing_role(now_us)
         };
-        self.fleet.borrow().get(runner).is_some_and(takes)
+        self.fleet.borrow().get(runner).is_some_and(is_available)
     }
 
-    /// The store has told who is there.
+    /// Records that the store's list of nodes has been received.
     pub fn on_nodes_listed(&self) {
-        self.nodes_listed.set(true);
+        self.has_node_list.set(true);
     }
 
-    /// Whether the store has ever told who is there.
+    /// Whether the store's list of nodes has ever been received.
     pub fn has_listed_nodes(&self) -> bool {
-        self.nodes_listed.get()
+        self.has_node_list.get()
     }
 
-    /// How many nodes there are, this one included, as far as it knows.
-    pub fn known_nodes(&self) -> usize {
+    /// Number of known nodes, including this one.
+    pub fn known_node_count(&self) -> usize {
         self.members.borrow().len()
     }
 
-    /// Takes an update into the copy that is handed on to other nodes.
-    pub fn update_copy(&self, subject: Subject, update: &StoreUpdate) {
-        self.copies.borrow_mut().get_mut(subject).apply(update);
-        self.copy_changed.notify_waiters();
+    /// Applies an update to the replica that is served to followers.
+    pub fn update_replica(&self, subject: Subject, update: &StoreUpdate) {
+        self.store_replicas.borrow_mut().get_mut(subject).apply(update);
+        self.store_replica_changed.notify_waiters();
     }
 
-    /// An entry of the store cannot be used: another writer left it there.
+    /// Logs and counts an entry that another program wrote to the store and that cannot be used,
+    /// once per revision.
     pub fn on_refused_entry(
         &self,
         subject: &'static str,
         key: &str,
         revision: RevisionNumber,
-        fault: &EntryFault,
+        fault: &EntryError,
     ) {
         if self.refused_entries.on_refused(subject, key, revision, fault) {
             self.metrics.on_refused_entry(subject);
         }
     }
 
-    /// Connections that this node may have to one runner of a service: its part of what a
-    /// runner takes from all callers. Beyond that a runner resets connections, and a request
-    /// sent on one would not be known to be unrun.
-    pub fn connection_share(&self, service: &ServiceName) -> u32 {
-        const LEAST: u32 = 2;
-        const USED_PERCENT: u32 = 80;
+    /// Maximum number of connections from this node to one runner of a service; `u32::MAX` if the
+    /// service has no limit. It is this node's share of the runner's limit over all clients: a
+    /// runner resets connections beyond that limit, and the node could not tell whether a request
+    /// sent on a reset connection was executed.
+    pub fn max_connections_per_runner(&self, service: &ServiceName) -> u32 {
+        const MIN_CONNECTIONS: u32 = 2;
+        const MAX_USED_PERCENT: u32 = 80;
         let configuration = self.configuration();
         let limit = configuration.and_then(|it| Some(it.services.get(service)?.max_connections));
         match limit {
             None | Some(0) => u32::MAX,
             Some(limit) => {
-                let nodes = u32::try_from(self.known_nodes()).unwrap_or(u32::MAX).max(1);
-                (limit.saturating_mul(USED_PERCENT) / 100 / nodes).max(LEAST)
+                let nodes = u32::try_from(self.known_node_count()).unwrap_or(u32::MAX).max(1);
+                (limit.saturating_mul(MAX_USED_PERCENT) / 100 / nodes).max(MIN_CONNECTIONS)
             }
         }
     }
 
-    /// Whether another client's connection fits the file descriptors of the process; the rest
-    /// is for runners, other nodes and the store.
-    pub fn has_room_for_client(&self) -> bool {
-        const CLIENTS_PERCENT: u64 = 60;
-        let most = self.settings().machine.file_descriptors * CLIENTS_PERCENT / 100;
-        (self.open_connections() as u64) < most
+    /// Whether another client connection fits within the process's file descriptors. The rest is
+    /// reserved for runners, other nodes and the store.
+    pub fn can_accept_client(&self) -> bool {
+        const MAX_CLIENT_PERCENT: u64 = 60;
+        let max_connections = self.settings().machine.file_descriptors * MAX_CLIENT_PERCENT / 100;
+        (self.open_connections() as u64) < max_connections
     }
 
-    /// This node has ordered a runner to change its role; the other nodes are to hear of it.
-    pub fn on_role_ordered(&self, runner: &RunnerId, stage: Stage, until_us: u64) {
+    /// Records that this node has ordered a runner to change its role, and wakes the task that
+    /// reports this to the other nodes.
+    pub fn on_role_change_ordered(&self, runner: &RunnerId, stage: Stage, until_us: u64) {
         self.fleet.borrow_mut().on_role_change_ordered(runner, stage, until_us);
-        self.role_ordered.notify_one();
+        self.role_change_ordered.notify_one();
     }
 
-    /// Takes in another node's digest.
+    /// Processes another node's digest.
     pub fn on_peer_digest(&self, digest: &Digest) {
         let now_us = self.now_us();
         self.fleet.borrow_mut().on_role_changes_reported(&digest.changing, now_us);
-        digest.limits.iter().for_each(|word| self.on_limit_message(word));
-        self.freshness.borrow_mut().on_report(&digest.store, &self.eras.borrow(), now_us);
+        digest.limits.iter().for_each(|report| self.on_limit_message(report));
+        self.freshness.borrow_mut().on_report(&digest.store, &self.store_eras.borrow(), now_us);
         self.wall_clock.borrow_mut().on_peer_clock(&digest.node, digest.wall_ms, now_us);
     }
 
-    /// Takes in a scheduler's word on the loads of its runners.
-    pub fn on_shard_loads(&self, word: &ShardLoads) {
+    /// Processes a scheduler's report on the loads of its runners.
+    pub fn on_shard_loads(&self, report: &ShardLoads) {
         let now_us = self.now_us();
-        self.fleet.borrow_mut().on_shard_loads(&word.shard, &word.loads, now_us);
+        self.fleet.borrow_mut().on_shard_loads(&report.shard, &report.loads, now_us);
     }
 
-    /// The service that gets the route's next request.
+    /// The service that receives the route's next request; `None` if no share of the route has a
+    /// positive weight.
     pub fn next_service(&self, route: &Route) -> Option<ServiceName> {
         self.splitter.borrow_mut().next_service(route)
     }
 
-    /// The retry budget of a service, handed to `use_budget`.
-    pub fn with_budget<R>(
+    /// Calls `use_budget` with the retry budget of a service.
+    pub fn with_retry_budget<R>(
         &self,
         service: &ServiceName,
         use_budget: impl FnOnce(&mut SharedRetryBudget) -> R,
@@ -395,49 +404,57 @@
         let bounds = &settings.bounds;
         let policy = RetryPolicy {
             ratio: bounds.retry_ratio,
-            max_saved: RetryPolicy::node_slack(bounds.retry_slack, self.known_nodes()),
+            max_saved: RetryPolicy::node_slack(bounds.retry_slack, self.known_node_count()),
         };
-        let mut budgets = self.budgets.borrow_mut();
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
         let new_budget = || SharedRetryBudget::new(policy);
-        let budget = budgets.entry(service.clone()).or_insert_with(new_budget);
+        let budget = retry_budgets.entry(service.clone()).or_insert_with(new_budget);
         budget.set_policy(policy);
         use_budget(budget)
     }
 
-    /// The measured pace of a service's prefill runners, handed to `use_pace`.
-    pub fn with_pace<R>(
+    /// Calls `use_speed` with the measured prefill speed of a service's runners.
+    pub fn with_prefill_speed<R>(
         &self,
         service: &ServiceName,
-        use_pace: impl FnOnce(&mut PrefillSpeed) -> R,
+        use_speed: impl FnOnce(&mut PrefillSpeed) -> R,
     ) -> R {
-        use_pace(self.paces.borrow_mut().entry(service.clone()).or_default())
+        use_speed(self.prefill_speeds.borrow_mut().entry(service.clone()).or_default())
     }
 
-    /// A runner of a service has read a prompt.
-    pub fn on_read_in(&self, service: &ServiceName, runner: &RunnerId, sample: PrefillSample) {
+    /// Records that a runner of a service has prefilled a prompt.
+    pub fn on_prefill_measured(
+        &self,
+        service: &ServiceName,
+        runner: &RunnerId,
+        sample: PrefillSample,
+    ) {
         let observes_all_prefills = shard_scheduler::is_scheduler_of(self, runner);
-        let reading = self.with_pace(service, |speed| {
+        let timing = self.with_prefill_speed(service, |speed| {
             speed.on_prefilled(sample);
             speed.timing_of(&sample, observes_all_prefills)
         });
-        let spent = self.fleet.borrow_mut().on_prefill_measured(runner, reading, self.now_us());
-        if let Some(spent) = spent {
-            self.with_pace(service, |speed| speed.on_prefill_timed(spent));
+        let measured = self.fleet.borrow_mut().on_prefill_measured(runner, timing, self.now_us());
+        if let Some(measured) = measured {
+            self.with_prefill_speed(service, |speed| speed.on_prefill_timed(measured));
         }
     }
 
-    /// Whether a runner is believed to read only what this node has just sent it.
-    pub fn has_nothing_else_to_read(&self, runner: &RunnerId, just_sent: u64) -> bool {
+    /// Whether a runner is estimated to have nothing to prefill but the `sent_tokens` tokens that
+    /// this node has just sent, and no other requests.
+    pub fn has_no_other_requests(&self, runner: &RunnerId, sent_tokens: u64) -> bool {
         let fleet = self.fleet.borrow();
         let Some(runner) = fleet.get(runner) else { return false };
-        let others = runner.peer_requests(self.now_us());
-        runner.prefill_tokens <= just_sent && runner.in_flight <= 1 && others < 1.0
+        let peer_requests = runner.peer_requests(self.now_us());
+        runner.prefill_tokens <= sent_tokens && runner.in_flight <= 1 && peer_requests < 1.0
     }
 
-    /// Whether the node takes new callers.
+    /// Whether the node accepts requests of clients: it has a configuration that is not outdated
+    /// and a list of runners, and is not stopping.
     pub fn is_ready(&self) -> bool {
-        let is_configured = self.configuration.borrow().is_some() && !self.is_outdated();
-        !self.is_stopping() && is_configured && self.runners_known.get()
+        let is_configured =
+            self.configuration.borrow().is_some() && !self.has_outdated_configuration();
+        !self.is_stopping() && is_configured && self.has_runner_list.get()
     }
 
     /// Whether a planned stop has begun.
@@ -450,13 +467,14 @@
         self.is_stopping.set(true);
     }
 
-    /// Begins to close connections that rest; the node takes no new ones any more.
+    /// Begins to close idle client connections; others are closed as soon as they are idle. The
+    /// node accepts no new ones by then.
     pub fn begin_closing(&self) {
         self.is_closing.set(true);
-        self.stopping.notify_waiters();
+        self.closing_started.notify_waiters();
     }
 
-    /// Whether connections that rest are to be closed.
+    /// Whether idle client connections are to be closed.
     pub fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -1,4 +1,4 @@
-//! What a node takes in of its runners: entries of the store, and signs of life.
+//! Updates to a node's view of its runners, from registry entries, responses and failures.
 
 use super::Node;
 use crate::http::ResponseHead;
@@ -15,7 +15,9 @@
 const MICROS_PER_MILLI: u64 = 1_000;
 
 impl Node {
-    /// Takes in a whole list of runners, read at a revision of the store.
+    /// Replaces the list of runners by one that was read from the store at `revision`. Entries that
+    /// are missing from it count as lapsed until `lapses_until_us`, and as removed if that is
+    /// `None`.
     pub fn replace_runners(
         self: &Rc<Self>,
         records: Vec<RunnerRecord>,
@@ -24,18 +26,18 @@
     ) {
         let listed = records.len();
         let gone = self.fleet.borrow_mut().replace_all(records, revision, lapses_until_us);
-        self.wait_for_lapsed(lapses_until_us);
-        for life in &gone {
-            self.on_runner_left(&life.id, Some(revision), life.was_leaving);
+        self.schedule_lapsed_removal(lapses_until_us);
+        for incarnation in &gone {
+            self.on_runner_departed(&incarnation.id, Some(revision), incarnation.was_leaving);
         }
-        self.runners_known.set(true);
+        self.has_runner_list.set(true);
         let gone = gone.len();
         let revision = revision.to_string();
         log::info!(target: "fleet", listed, gone, revision; "list read");
         self.fleet_changed.notify_waiters();
     }
 
-    /// Takes in a runner's entry.
+    /// Adds or updates a runner from its registry entry.
     pub fn put_runner(&self, record: RunnerRecord) {
         let runner = record.id.clone();
         let at = record.revision;
@@ -51,7 +53,7 @@
             }
             FleetChange::Restarted { ended } => {
                 log::info!(target: "fleet", runner = runner.as_str(), ended = ended.id.as_str(), revision; "reborn");
-                self.on_runner_left(&ended.id, Some(at), ended.was_leaving);
+                self.on_runner_departed(&ended.id, Some(at), ended.was_leaving);
             }
             FleetChange::Draining => {
                 log::info!(target: "fleet", runner = runner.as_str(), leaves_ms, revision; "draining");
@@ -64,7 +66,8 @@
         self.fleet_changed.notify_waiters();
     }
 
-    /// A runner's entry has gone.
+    /// Handles the removal of a runner's registry entry. It counts as lapsed until
+    /// `lapses_until_us`, and as removed if that is `None`.
     pub fn remove_runner(
         self: &Rc<Self>,
         name: &RunnerName,
@@ -75,23 +78,24 @@
         let is_planned = self.fleet.borrow().get(&id).is_some_and(|it| it.is_leaving());
         let change = self.fleet.borrow_mut().remove(&id, revision, lapses_until_us);
         match change {
-            FleetChange::Removed => self.on_runner_left(&id, Some(revision), is_planned),
+            FleetChange::Removed => self.on_runner_departed(&id, Some(revision), is_planned),
             FleetChange::Lapsed => {
                 let revision = revision.to_string();
                 log::info!(target: "fleet", runner = id.as_str(), revision; "lapsed");
-                self.wait_for_lapsed(lapses_until_us);
+                self.schedule_lapsed_removal(lapses_until_us);
             }
             _ => {}
         }
     }
 
-    /// Until when an entry that is gone may only have lapsed while the store was away.
+    /// Time until which a missing entry may only have lapsed while the store was unavailable, in
+    /// microseconds; `None` if a missing entry was removed.
     pub fn lapses_until_us(&self) -> Option<u64> {
         self.freshness.borrow().runners.lapse_grace_until_us(self.now_us())
     }
 
-    /// Removes runners whose entries lapsed and are not back in time.
-    fn wait_for_lapsed(self: &Rc<Self>, until_us: Option<u64>) {
+    /// Schedules the removal of runners whose entries have lapsed and are not back by `until_us`.
+    fn schedule_lapsed_removal(self: &Rc<Self>, until_us: Option<u64>) {
         let Some(until_us) = until_us else { return };
         let node = self.clone();
         ntex::rt::spawn(async move {
@@ -99,94 +103,100 @@
             tokio::time::sleep(Duration::from_micros(left_us)).await;
             let gone = node.fleet.borrow_mut().remove_lapsed(node.now_us());
             for id in &gone {
-                node.on_runner_left(id, None, false);
+                node.on_runner_departed(id, None, false);
             }
         });
     }
 
-    /// A runner is gone, by an entry or a list of the given revision, or because its entry has not come back.
-    fn on_runner_left(&self, id: &RunnerId, revision: Option<StoreRevision>, is_planned: bool) {
+    /// Handles the departure of a runner, by an entry or list at the given revision, or, if that is
+    /// `None`, because its lapsed entry has not come back.
+    fn on_runner_departed(&self, id: &RunnerId, revision: Option<StoreRevision>, is_planned: bool) {
         self.pool.remove_runner(id);
         if is_planned {
-            self.on_runner_left_as_planned(id);
+            self.on_planned_departure(id);
         } else {
-            self.on_runner_ended(id);
+            self.on_runner_terminated(id);
         }
         let revision = revision.map_or_else(String::new, |revision| revision.to_string());
         log::info!(target: "fleet", runner = id.as_str(), revision; "left");
     }
 
-    /// Another life of a runner has answered than the one that its entry tells of: that one is over. The runner
-    /// gets nothing until its entry tells of the new one.
-    pub fn on_other_life(&self, runner: &RunnerId, born_ms: Option<u64>) {
+    /// Handles a response from another incarnation of a runner than the one in the registry, which
+    /// must have terminated. The runner receives no requests until its entry describes the new
+    /// incarnation.
+    pub fn on_incarnation_mismatch(&self, runner: &RunnerId, born_ms: Option<u64>) {
         let born_ms = born_ms.unwrap_or_default();
-        log::info!(target: "fleet", runner = runner.as_str(), born_ms; "another life answered");
+        log::info!(target: "fleet", runner = runner.as_str(), born_ms; "another incarnation responded");
         self.pool.remove_runner(runner);
         self.fleet.borrow_mut().on_misdirected(runner);
-        self.on_runner_ended(runner);
+        self.on_runner_terminated(runner);
     }
 
-    /// Reads the head of a runner's answer, and takes in what the runner says of itself there. Whatever becomes of the
-    /// request, the word holds: the store may hear of it many seconds later, or never.
-    pub fn on_answer_head(&self, runner: &RunnerId, head: &ResponseHead) -> ResponseMetadata {
-        let facts = headers::parse_response(head.status, head.header_pairs());
-        self.on_unknown_words(runner, &facts.unknown_headers);
-        if facts.is_about(runner) {
-            self.on_notice(runner, facts.notice);
+    /// Parses the head of a runner's response and applies what the runner reports about itself in
+    /// it. The report holds whatever becomes of the request; the store may receive it many seconds
+    /// later, or never.
+    pub fn on_response_head(&self, runner: &RunnerId, head: &ResponseHead) -> ResponseMetadata {
+        let metadata = headers::parse_response(head.status, head.header_pairs());
+        self.on_unknown_headers(runner, &metadata.unknown_headers);
+        if metadata.is_about(runner) {
+            self.on_notice(runner, metadata.notice);
         }
-        facts
+        metadata
     }
 
-    /// A runner says something of itself in a way that this program does not know: operators hear of each name once.
-    fn on_unknown_words(&self, runner: &RunnerId, names: &[String]) {
+    /// Counts headers in which a runner reports something that this build does not support, and
+    /// logs each name once.
+    fn on_unknown_headers(&self, runner: &RunnerId, names: &[String]) {
         for name in names {
             if self.unknown_words.borrow_mut().record(name) {
-                log::warn!(target: "fleet", runner = runner.as_str(), header = name.as_str(); "unknown word of a runner");
+                log::warn!(target: "fleet", runner = runner.as_str(), header = name.as_str(); "unknown response header of a runner");
             }
             self.metrics.on_runner_notice("unknown");
         }
     }
 
-    /// A runner has said something of itself to this node.
+    /// Applies what a runner has reported about itself in a response.
     pub fn on_notice(&self, runner: &RunnerId, notice: RunnerNotice) {
         if notice.is_empty() {
             return;
         }
-        let learned = self.fleet.borrow_mut().on_notice(runner, notice, self.now_us());
+        let changes = self.fleet.borrow_mut().on_notice(runner, notice, self.now_us());
         let runner = runner.as_str();
-        if learned.leaving {
+        if changes.leaving {
             self.metrics.on_runner_notice("leaving");
-            log::info!(target: "fleet", runner; "leaves by its own word");
+            log::info!(target: "fleet", runner; "runner reported that it is leaving");
         }
-        if let Some(rest_us) = learned.rest_us {
+        if let Some(rest_us) = changes.rest_us {
             self.metrics.on_runner_notice("rest");
             let rest_ms = rest_us / MICROS_PER_MILLI;
-            log::info!(target: "fleet", runner, rest_ms; "rests by its own word");
+            log::info!(target: "fleet", runner, rest_ms; "runner reported a rest period");
         }
         if notice.malformed {
             self.metrics.on_runner_notice("malformed");
         }
     }
 
-    /// Whether this node may send a request to a runner now: asked last before each one is sent, since
-    /// much may have been learned while it was placed, read or paid for.
+    /// Whether this node may send a request to a runner now. This is the last check before each
+    /// attempt, since the view of the runner may have changed while the request was placed,
+    /// prefilled or charged to a quota.
     pub fn may_send_to(&self, runner: &RunnerId) -> bool {
         let now_us = self.now_us();
         let fleet = self.fleet.borrow();
         fleet.get(runner).is_some_and(|runner| runner.accepts_work_from_this_node(now_us))
     }
 
-    /// A connection to a runner could not be opened. `is_refused`: nobody listens there.
+    /// Handles a connection to a runner that could not be opened. `is_refused`: no process listens
+    /// at the address, so the runner has terminated.
     pub fn on_unreachable(&self, runner: &RunnerId, is_refused: bool) {
         if is_refused {
-            self.on_runner_ended(runner);
+            self.on_runner_terminated(runner);
         }
         self.fleet.borrow_mut().on_unreachable(runner, self.now_us());
         self.suspicion_changed.notify_waiters();
     }
 
-    /// An attempt that was sent at `sent_at_us` has heard nothing in all its time.
-    pub fn on_silence(&self, runner: &RunnerId, sent_at_us: u64) {
+    /// Handles an attempt, sent at `sent_at_us`, that received no response within its time limit.
+    pub fn on_attempt_timeout(&self, runner: &RunnerId, sent_at_us: u64) {
         let now_us = self.now_us();
         let mut fleet = self.fleet.borrow_mut();
         fleet
@@ -195,19 +205,20 @@
         self.suspicion_changed.notify_waiters();
     }
 
-    /// Something came from a runner.
+    /// Records that data has arrived from a runner.
     pub fn on_progress(&self, runner: &RunnerId) {
         let now_us = self.now_us();
         let mut fleet = self.fleet.borrow_mut();
         fleet.update_suspicion(runner, |suspicion| suspicion.on_progress(now_us));
     }
 
-    /// A doubt about a runner is settled; `None`: the node itself stood still. `is_refused`: nobody
-    /// listens there.
-    pub fn on_verified(&self, runner: &RunnerId, reachable: Option<bool>, is_refused: bool) {
+    /// Applies the result of a probe of a suspected runner; `None` if it is inconclusive because
+    /// this node itself was paused. `is_refused`: no process listens at the address, so the runner
+    /// has terminated.
+    pub fn on_probe_result(&self, runner: &RunnerId, reachable: Option<bool>, is_refused: bool) {
         let now_us = self.now_us();
         if is_refused {
-            self.on_runner_ended(runner);
+            self.on_runner_terminated(runner);
         }
         if reachable == Some(true) {
             self.crash_evidence.borrow_mut().on_connection_accepted(runner);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -6,18 +6,18 @@
 //! it observes itself and what runners report.
 
 use crate::clock::Instant;
-use crate::node::{machine_wall_ms, Node};
+use crate::node::{system_time_ms, Node};
 use crate::peer_messages::{PeerMessage, PeerSocket, MAX_DATAGRAM_BYTES};
 use crate::platform_client::PlatformClient;
 use crate::prefix_announcements;
 use crate::quarantine;
 use crate::quota::{self, RegistrationLease};
-use crate::refused_entries::EntryFault;
+use crate::refused_entries::EntryError;
 use crate::runner_limits;
 use crate::scheduling;
 use crate::shard_scheduler;
-use crate::store_answers::readable;
 use crate::store_pages::read_pages;
+use crate::store_responses::ok_or_log;
 use crate::usage;
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store::{self, Item, StoreStatus};
@@ -188,7 +188,7 @@
 
     /// Asks the seed nodes in the settings for members, if no other node is known.
     fn send_hello(&self) {
-        if self.node.known_nodes() > 1 {
+        if self.node.known_node_count() > 1 {
             return;
         }
         let settings = self.node.settings();
@@ -222,7 +222,7 @@
             held_keepers: self.node.quotas.held_keepers(),
             limits: self.node.runner_limits.digest_messages(now_us),
             is_stopping: self.node.is_stopping(),
-            wall_ms: machine_wall_ms(),
+            wall_ms: system_time_ms(),
         }
     }
 
@@ -235,9 +235,9 @@
         loop {
             let to = tokio::select! {
                 // Runners decline requests during a role change, so all nodes should know of it.
-                () = self.node.role_ordered.notified() => self.all_addresses(),
+                () = self.node.role_change_ordered.notified() => self.all_addresses(),
                 () = self.node.quotas.keepers_changed.notified() => self.all_addresses(),
-                () = self.node.store_confirmed.notified() => self.node.members.borrow().other_store_readers(),
+                () = self.node.replica_confirmed.notified() => self.node.members.borrow().other_store_readers(),
                 () = sleep(DIGEST_INTERVAL) => self.next_addresses(),
             };
             self.send_digest(&to);
@@ -292,8 +292,8 @@
     async fn register_once(&self, client: &mut PlatformClient) -> Option<StoreLease> {
         let sent_at_us = self.node.now_us();
         let (body, era) = self.call(client, &store::grant_lease(REGISTRATION_TTL_MS)).await.ok()?;
-        let lease = StoreLease { era, number: readable("lease", store::parse_lease(&body))? };
-        let granted_ttl_ms = readable("lease", store::parse_lease_ttl(&body))?;
+        let lease = StoreLease { era, number: ok_or_log("lease", store::parse_lease(&body))? };
+        let granted_ttl_ms = ok_or_log("lease", store::parse_lease_ttl(&body))?;
         let granted_ttl_ms = granted_ttl_ms.unwrap_or(REGISTRATION_TTL_MS);
         let member = store::node_value(self.node.members.borrow().own());
         let key = store::node_key(self.name.as_str());
@@ -317,7 +317,7 @@
         for renewal in 1_u32.. {
             if lease.era == self.node.store_era() {
                 // The wait ends after the interval or when a new era begins.
-                let _ = timeout(RENEWAL_INTERVAL, self.node.era_began.notified()).await;
+                let _ = timeout(RENEWAL_INTERVAL, self.node.later_era_began.notified()).await;
             }
             if lease.era != self.node.store_era() {
                 // All nodes register again after a random delay. Nodes that do so soon stay known in the
@@ -345,7 +345,7 @@
     ) {
         let page = read_pages(async |after| {
             let (body, _) = self.call(client, &read(after.as_deref())).await?;
-            readable("nodes", store::parse_page(&body)).ok_or(CallFailure::Other)
+            ok_or_log("nodes", store::parse_page(&body)).ok_or(CallFailure::Other)
         });
         let Ok(page) = page.await else { return };
         let listed = page.items.iter().filter_map(|item| self.read_node(item));
@@ -368,7 +368,7 @@
     fn read_node(&self, item: &Item) -> Option<(NodeId, Member)> {
         let node = store::parse_node(item);
         if node.is_none() {
-            let fault = EntryFault::Document("the entry names no node".to_owned());
+            let fault = EntryError::InvalidDocument("the entry names no node".to_owned());
             self.node.on_refused_entry("nodes", &item.key, item.revision, &fault);
         }
         node
@@ -383,7 +383,7 @@
         let address = self.node.settings().store.address;
         let (outcome, failure) = match client.call(address, call, STORE_TIMEOUT).await {
             Ok(response) => {
-                let Some(era) = self.node.on_told_era(address, response.era) else {
+                let Some(era) = self.node.on_era_reported(address, response.era) else {
                     return Err(CallFailure::Other);
                 };
                 match store::parse_status(response.status) {
--- a/crates/gateway/src/platform_client.rs
+++ b/crates/gateway/src/platform_client.rs
@@ -1,7 +1,7 @@
 //! Calls to the platform's interfaces, one at a time over one kept connection.
 //!
-//! After a failure the connection is dropped: once an answer is lost on a connection, nothing
-//! more comes on it.
+//! The connection is dropped after a failure: once a response has been lost on a connection,
+//! nothing more arrives on it.
 
 use crate::http::request::encode_request;
 use crate::http::{BodyDecoder, ConnectError, ReadError, ResponseHead, Upstream};
@@ -14,87 +14,92 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time to open a connection.
-const CONNECT_LIMIT: Duration = Duration::from_millis(700);
-/// Largest answer that is read.
-const MOST_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A call got no answer. Unless it never left, it may have been done.
+/// Why a call received no complete response. Unless no connection could be opened, the call may
+/// have been performed.
 #[derive(Debug, thiserror::Error)]
-pub enum PlatformFailure {
-    /// No connection could be made.
-    #[error("the platform cannot be reached: {0}")]
+pub enum PlatformError {
+    /// No connection could be opened.
+    #[error("cannot connect to the platform: {0}")]
     Unreachable(#[from] ConnectError),
-    /// The connection failed.
-    #[error("the platform did not answer: {0}")]
-    Unanswered(#[from] ReadError),
-    /// Nothing came in time.
-    #[error("the platform did not answer in time")]
+    /// The connection failed before the head of the response.
+    #[error("no response from the platform: {0}")]
+    ReadFailed(#[from] ReadError),
+    /// The head of the response did not arrive within the time limit.
+    #[error("the platform did not respond in time")]
     TimedOut,
-    /// The answer began to come, and did not come whole.
-    #[error("the platform's answer did not come whole: {0}")]
-    Broken(#[from] TransferFailure),
+    /// The response began to arrive and was not completed.
+    #[error("incomplete response from the platform: {0}")]
+    Incomplete(#[from] TransferFailure),
 }
 
-/// An answer.
+/// A response of the platform.
 #[derive(Debug)]
-pub struct PlatformAnswer {
+pub struct PlatformResponse {
     /// HTTP status.
     pub status: u16,
-    /// The era that the platform's store tells; another interface tells none.
+    /// Era that the platform's store reported; unknown for the other interfaces, which report none.
     pub era: Result<StoreEra, EraError>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// A client of one interface.
+/// Client of one of the platform's interfaces.
 #[derive(Default)]
 pub struct PlatformClient {
-    kept: Option<(SocketAddr, Upstream)>,
+    connection: Option<(SocketAddr, Upstream)>,
     transfer: Rc<Transfer>,
 }
 
 impl PlatformClient {
-    /// A client that tells `transfer` of the progress of its answers.
+    /// Creates a client that records the progress of responses in `transfer`.
     pub fn with_transfer(transfer: Rc<Transfer>) -> Self {
-        Self { kept: None, transfer }
+        Self { connection: None, transfer }
     }
 
-    /// Makes a call to the interface at an address and waits at most `limit` for the head of its
-    /// answer; the body is waited for as long as it makes progress.
+    /// Makes a call to the interface at an address and waits at most `head_timeout` for the head of
+    /// the response; the body is limited by its progress.
     pub async fn call(
         &mut self,
         address: SocketAddr,
         call: &PlatformCall,
-        limit: Duration,
-    ) -> Result<PlatformAnswer, PlatformFailure> {
-        let kept = self.kept.take().filter(|(to, kept)| *to == address && kept.is_reusable());
-        let connection = match kept {
+        head_timeout: Duration,
+    ) -> Result<PlatformResponse, PlatformError> {
+        let connection = self
+            .connection
+            .take()
+            .filter(|(to, connection)| *to == address && connection.is_reusable());
+        let connection = match connection {
             Some((_, connection)) => connection,
-            None => Upstream::open(address, CONNECT_LIMIT).await?,
+            None => Upstream::open(address, CONNECT_TIMEOUT).await?,
         };
-        self.transfer.begin();
-        let head = timeout(limit, ask(&connection, address, call));
-        let head = head.await.map_err(|_| PlatformFailure::TimedOut)??;
+        self.transfer.reset();
+        let head = timeout(head_timeout, send_call(&connection, address, call));
+        let head = head.await.map_err(|_| PlatformError::TimedOut)??;
         let decoder = BodyDecoder::new(head.framing);
-        let body = read_body(&connection, &decoder, MOST_ANSWER_BYTES, &self.transfer).await?;
-        let (keep, era) = (head.keep_alive, parse_era(head.header_pairs()));
-        let answer = PlatformAnswer { status: head.status, era, body };
-        if keep && connection.is_reusable() {
-            self.kept = Some((address, connection));
+        let body = read_body(&connection, &decoder, MAX_RESPONSE_BYTES, &self.transfer).await?;
+        let (keep_alive, era) = (head.keep_alive, parse_era(head.header_pairs()));
+        let response = PlatformResponse { status: head.status, era, body };
+        if keep_alive && connection.is_reusable() {
+            self.connection = Some((address, connection));
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
-async fn ask(
+async fn send_call(
     connection: &Upstream,
     address: SocketAddr,
     call: &PlatformCall,
 ) -> Result<ResponseHead, ReadError> {
     let mut headers = vec![("host".to_owned(), address.to_string().into_bytes())];
-    let own = call.headers.iter();
-    headers.extend(own.map(|(name, value)| ((*name).to_owned(), value.clone().into_bytes())));
+    let call_headers = call.headers.iter();
+    headers
+        .extend(call_headers.map(|(name, value)| ((*name).to_owned(), value.clone().into_bytes())));
     if !call.body.is_empty() {
         headers.push(("content-type".to_owned(), b"application/json".to_vec()));
     }
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -92,7 +92,7 @@
     let started_at = Instant::now();
     let runner = prepared.record().id.clone();
     let tokens = prefill.choice.prefill_tokens();
-    let was_unqueued = node.has_nothing_else_to_read(&runner, tokens);
+    let was_unqueued = node.has_no_other_requests(&runner, tokens);
     let answering = match attempt::send(node, prefill.request, prepared, params).await {
         AttemptEnd::Responding(answering) => answering,
         AttemptEnd::Declined => return PrefillOutcome::Declined,
@@ -116,13 +116,13 @@
     // The handle is valid whichever incarnation of the runner returned it. If it is not the known incarnation, the
     // state recorded for that one no longer applies.
     match runner.matches_start(prefill_result.started_at_ms) {
-        true => node.on_parts_held(&runner, prefill.prompt.shared_prefix()),
-        false => node.on_other_life(&runner, prefill_result.started_at_ms),
+        true => node.on_prefix_cached(&runner, prefill.prompt.shared_prefix()),
+        false => node.on_incarnation_mismatch(&runner, prefill_result.started_at_ms),
     }
     let name = prefill_result.value;
     let elapsed_ms = started_at.elapsed().as_secs_f64() * 1_000.0;
     let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
-    node.on_read_in(prefill.service, &runner, sample);
+    node.on_prefill_measured(prefill.service, &runner, sample);
     let handle = KvHandle { address: answering.record.address, name };
     let zone = answering.record.zone.clone();
     answering.return_connection(node);
--- a/crates/gateway/src/prefix_announcements.rs
+++ b/crates/gateway/src/prefix_announcements.rs
@@ -46,6 +46,6 @@
 /// Records the prefixes announced by another region.
 pub fn apply(node: &Node, announcements: &[CachedPrefixMessage]) {
     for announcement in announcements {
-        node.on_parts_held(&announcement.runner, &announcement.parts());
+        node.on_prefix_cached(&announcement.runner, &announcement.parts());
     }
 }
--- a/crates/gateway/src/quota/candidate.rs
+++ b/crates/gateway/src/quota/candidate.rs
@@ -2,11 +2,11 @@
 //! registration lease, and releases them when the node stops or no tenant has a limit.
 
 use super::{bounds, has_limits, own_address, RegistrationLease};
-use crate::node::{topology_of, Node};
+use crate::node::{configured_topology, Node};
 use crate::platform_client::PlatformClient;
-use crate::refused_entries::EntryFault;
-use crate::store_answers::{readable, StoreAnswer};
+use crate::refused_entries::EntryError;
 use crate::store_pages::read_pages;
+use crate::store_responses::{ok_or_log, StoreResponse};
 use pitchstall_platform_adapter::quota_slots::{self, KeeperHolder};
 use pitchstall_platform_adapter::store::{self, Item, StoreStatus};
 use pitchstall_serving::ids::NodeId;
@@ -57,7 +57,7 @@
         if self.holders_read_under != Some(lease.id) && !self.read_holders(lease).await {
             return;
         }
-        let topology = topology_of(&self.node.settings());
+        let topology = configured_topology(&self.node.settings());
         for keeper in all_keepers(&topology) {
             if self.node.quotas.keepers.borrow().contains_key(&keeper) {
                 continue;
@@ -84,9 +84,9 @@
         let page = read_pages(async |after| {
             let read = quota_slots::read_keepers(after.as_deref());
             let response = self.node.call_store(&mut self.client, &read, STORE_TIMEOUT).await;
-            let Some(response) = response.filter(StoreAnswer::is_done) else { return Err(()) };
+            let Some(response) = response.filter(StoreResponse::is_done) else { return Err(()) };
             era = response.era;
-            readable("keepers", store::parse_page(&response.body)).ok_or(())
+            ok_or_log("keepers", store::parse_page(&response.body)).ok_or(())
         });
         let Ok(page) = page.await else { return false };
         page.items.iter().for_each(|item| self.learn(item, era));
@@ -97,7 +97,7 @@
     /// Records the holder of a keeper from a store item that was read in the given era.
     fn learn(&self, item: &Item, era: StoreEra) {
         let Some((keeper, holder, revision)) = quota_slots::parse_keeper(item) else {
-            let fault = EntryFault::Document("the entry names no keeper".to_owned());
+            let fault = EntryError::InvalidDocument("the entry names no keeper".to_owned());
             self.node.on_refused_entry("keepers", &item.key, item.revision, &fault);
             return;
         };
@@ -112,7 +112,7 @@
 
     fn decide(&mut self, keeper: &KeeperId) -> CandidacyAction {
         let node = &self.node;
-        let (now_us, nodes) = (node.now_us(), node.known_nodes());
+        let (now_us, nodes) = (node.now_us(), node.known_node_count());
         let own = own_name(node);
         let holders = node.quotas.holders.borrow();
         let key = holders.key(keeper, nodes, now_us);
@@ -146,7 +146,7 @@
         let response = self.node.call_store(&mut self.client, &call, STORE_TIMEOUT).await;
         match response.map(|response| (response.status, response.era, response.body)) {
             Some((StoreStatus::Done, era, body)) => {
-                if let Some(revision) = readable("keeper", store::parse_transaction(&body)) {
+                if let Some(revision) = ok_or_log("keeper", store::parse_transaction(&body)) {
                     let revision = StoreRevision::new(era, revision);
                     self.on_acquired(keeper, &holder, lease, revision);
                 }
@@ -175,7 +175,8 @@
         let term =
             KeeperTerm::new(revision, current_lease.renewed_us, now_us, current_lease.ttl_us);
         let settings = self.node.settings();
-        let held = Keeper::new(keeper.clone(), term, bounds(&settings), topology_of(&settings));
+        let held =
+            Keeper::new(keeper.clone(), term, bounds(&settings), configured_topology(&settings));
         let quotas = &self.node.quotas;
         quotas.keepers.borrow_mut().insert(keeper.clone(), held);
         let mut holders = quotas.holders.borrow_mut();
@@ -188,7 +189,7 @@
 
     /// Another node holds the keeper, or the key is at another revision than expected.
     fn on_conflict(&self, keeper: &KeeperId, era: StoreEra, body: &[u8]) {
-        let Some(items) = readable("keeper", store::parse_conflict(body)) else { return };
+        let Some(items) = ok_or_log("keeper", store::parse_conflict(body)) else { return };
         if items.is_empty() {
             self.node.quotas.holders.borrow_mut().remove(keeper);
         }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -133,7 +133,7 @@
     if !has_limits(node) {
         return;
     }
-    let eras = node.eras.borrow();
+    let eras = node.store_eras.borrow();
     node.quotas.holders.borrow_mut().on_digest(from, address, held_keepers, &eras, node.now_us());
 }
 
--- a/crates/gateway/src/quota/requester.rs
+++ b/crates/gateway/src/quota/requester.rs
@@ -2,7 +2,7 @@
 
 use super::keeper;
 use super::{bounds, own_address};
-use crate::node::{topology_of, Node};
+use crate::node::{configured_topology, Node};
 use crate::peer_messages::PeerMessage;
 use pitchstall_serving::quota::{QuotaQuery, QuotaRefund, QuotaReply, QuotaVerdict, TenantLimit};
 use pitchstall_serving::quota_outcome::{QuotaGrant, QuotaOutcome};
@@ -235,7 +235,7 @@
     let mut requester = node.quotas.requester.borrow_mut();
     let new_requester = || {
         let settings = node.settings();
-        let (bounds, topology) = (bounds(&settings), topology_of(&settings));
+        let (bounds, topology) = (bounds(&settings), configured_topology(&settings));
         QuotaRequester::new(node.zone.clone(), settings.listen.peers, bounds, topology)
     };
     use_requester(requester.get_or_insert_with(new_requester), node.now_us())
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -131,7 +131,11 @@
         let new_planner = || RolePlanner::new(RolePolicy::default());
         let planner = self.planners.entry(service.clone()).or_insert_with(new_planner);
         let fleet = self.node.fleet.borrow();
-        Some(self.node.with_pace(service, |speeds| planner.plan(&fleet, speeds, &demand, now_us)))
+        Some(
+            self.node.with_prefill_speed(service, |speeds| {
+                planner.plan(&fleet, speeds, &demand, now_us)
+            }),
+        )
     }
 
     async fn order_change(&mut self, change: &RoleChange) {
@@ -150,7 +154,7 @@
         // An order without a response may have been accepted.
         if !matches!(answer, Some(OrderResponse::Refused | OrderResponse::Outdated)) {
             let until_us = now_us + MAX_ROLE_CHANGE_US;
-            self.node.on_role_ordered(&record.id, change.stage, until_us);
+            self.node.on_role_change_ordered(&record.id, change.stage, until_us);
         }
         let runner = record.id.as_str();
         let (stage, fence) = (format!("{:?}", change.stage), fence.number());
@@ -176,7 +180,7 @@
         // Another incarnation counts its accepted orders from the start, so the expected number
         // could match by chance.
         if !record.id.matches_start(report.started_at_ms) {
-            self.node.on_other_life(&record.id, report.started_at_ms);
+            self.node.on_incarnation_mismatch(&record.id, report.started_at_ms);
             return Some(OrderResponse::Refused);
         }
         let RunnerReport { accepted_orders, is_busy, is_draining: leaving } = report.value;
@@ -237,7 +241,7 @@
         let sent_at_us = node.now_us();
         connection.send(encode_request(method, target, &all_headers, body)).ok()?;
         let head = connection.read_head().await.ok()?;
-        let metadata = node.on_answer_head(&record.id, &head);
+        let metadata = node.on_response_head(&record.id, &head);
         node.on_limit_in_response(&record.id, &metadata, sent_at_us);
         let decoder = BodyDecoder::new(head.framing);
         let body = connection.read_whole_body(&decoder, MAX_REPORT_BYTES).await.ok()?;
--- a/crates/gateway/src/runner_probe.rs
+++ b/crates/gateway/src/runner_probe.rs
@@ -32,7 +32,7 @@
             let took_ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
             log::info!(target: "verification", runner = runner.as_str(), reachable:?, took_ms; "verified");
             let is_refused = connect_result.as_ref().is_err_and(ConnectError::is_refused);
-            node.on_verified(&runner, reachable, is_refused);
+            node.on_probe_result(&runner, reachable, is_refused);
             if let Ok(connection) = connect_result {
                 node.pool.put(&runner, connection, None);
             }
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -289,7 +289,7 @@
 /// Whether a runner chosen by a scheduler is usable. The scheduler does not know everything that
 /// runners have reported to this node.
 fn is_choice_usable(node: &Node, choice: &RunnerChoice) -> bool {
-    let accepts_work = node.accepts_work(&choice.runner);
+    let accepts_work = node.accepts_placements(&choice.runner);
     if !accepts_work {
         node.metrics.placements_rejected.inc();
         log::info!(target: "scheduling", runner = choice.runner.as_str(); "chosen runner unusable");
@@ -382,7 +382,7 @@
 ) -> PlacementDecision {
     let fleet = node.fleet.borrow();
     let response_target = response_target(demand);
-    node.with_pace(demand.service, |speeds| {
+    node.with_prefill_speed(demand.service, |speeds| {
         choose_placement(&fleet, speeds, &demand.demand, shard, response_target)
     })
 }
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -61,8 +61,8 @@
             eligible,
             prompt: &prompt,
             zone: &query.zone,
-            cache_tokens: node.cache_tokens(&query.service),
-            region_move_ms: node.region_move_ms(&query.service),
+            cache_tokens: node.kv_cache_tokens(&query.service),
+            region_move_ms: node.cross_region_kv_ms_per_token(&query.service),
             now_us: node.now_us(),
         },
         target_ms: query.target_ms,
@@ -119,7 +119,7 @@
 ) -> Option<(Shard, SocketAddr)> {
     let now_us = node.now_us();
     let fleet = node.fleet.borrow();
-    let shard = node.with_pace(&query.service, |speeds| {
+    let shard = node.with_prefill_speed(&query.service, |speeds| {
         less_loaded_shard(&fleet, speeds, query, decision, now_us)
     })?;
     let (_, address) = other_scheduler_of(node, &shard)?;
@@ -171,14 +171,14 @@
             &prefilled.shared_prefixes,
         );
     }
-    node.on_parts_held(&prefilled.prefill.runner, &prefilled.shared_prefixes);
+    node.on_prefix_cached(&prefilled.prefill.runner, &prefilled.shared_prefixes);
     if let Some(decode) = &prefilled.decode {
-        node.on_parts_held(&decode.runner, &prefilled.shared_prefixes);
+        node.on_prefix_cached(&decode.runner, &prefilled.shared_prefixes);
     }
     if is_split {
         let was_unqueued = prefilled.was_unqueued;
         let sample = PrefillSample { tokens, elapsed_ms: elapsed_ms as f64, was_unqueued };
-        node.on_read_in(&prefilled.service, &prefilled.prefill.runner, sample);
+        node.on_prefill_measured(&prefilled.service, &prefilled.prefill.runner, sample);
     }
 }
 
@@ -280,7 +280,9 @@
         let engines = node.engine_services();
         let fleet = node.fleet.borrow();
         let load = |service| {
-            node.with_pace(service, |speeds| service_load(&fleet, speeds, service, &region, now_us))
+            node.with_prefill_speed(service, |speeds| {
+                service_load(&fleet, speeds, service, &region, now_us)
+            })
         };
         engines.iter().filter_map(|(service, _)| load(service)).collect()
     };
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -1,10 +1,10 @@
-//! Progress of an answer whose size this node does not choose: a copy of the store's entries, or a
-//! part of one, on its way here.
+//! Progress of a response whose size the receiver does not choose, such as a snapshot of the
+//! store's entries or a part of one.
 //!
-//! How long such an answer takes follows from its size and from what else fills the link, so it is
-//! judged by its progress. One that is given up at a fixed time is begun again from the start at
-//! the next source, fills the link once more, and is later still: a livelock in which no node
-//! ever has it whole.
+//! The time that such a response takes depends on its size and on the other traffic of the link, so
+//! it is limited by its progress. A transfer that is aborted after a fixed time starts from the
+//! beginning at the next source, loads the link once more and takes even longer: a livelock in
+//! which no node ever receives the whole response.
 
 use crate::clock::Instant;
 use crate::http::{BodyDecoder, ReadError, ResponseDecodeError, Upstream};
@@ -12,83 +12,85 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time without a byte after which an answer that has begun to come is given up: as long as bytes
-/// that are not acknowledged break a connection, and several times the pause in which a lost packet
-/// is sent again.
-pub const STALLED_LIMIT: Duration = Duration::from_millis(1_500);
-/// Longest time of an answer that makes progress: the largest entry of the store, 1 MiB in base64,
-/// at 0.6 Mbit/s. Links are 10 Mbit/s and more.
-pub const LONGEST_TRANSFER: Duration = Duration::from_secs(20);
+/// Time without a received byte after which a response that has begun to arrive is aborted. It
+/// equals the time after which unacknowledged data breaks a connection, and is several times the
+/// retransmission timeout of a lost packet.
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum time of a response that makes progress: the largest entry of the store, 1 MiB in base64,
+/// at 0.6 Mbit/s. Links are 10 Mbit/s or more.
+pub const MAX_TRANSFER_TIME: Duration = Duration::from_secs(20);
 
-/// An answer did not come whole.
+/// Why a response is incomplete.
 #[derive(Debug, thiserror::Error)]
 pub enum TransferFailure {
     /// The connection failed.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// It went no further.
-    #[error("the answer went no further after {received} bytes")]
+    /// The response made no progress, or took too long.
+    #[error("the response stalled after {received} bytes")]
     Stalled {
-        /// Bytes that had come.
+        /// Bytes received.
         received: usize,
     },
 }
 
-/// The answer that a client waits for.
+/// Progress of the response that a client is waiting for.
 #[derive(Debug, Default)]
 pub struct Transfer {
     received: Cell<usize>,
-    begun_at: Cell<Option<Instant>>,
+    started_at: Cell<Option<Instant>>,
 }
 
 impl Transfer {
-    /// A question is asked; nothing has come yet.
-    pub fn begin(&self) {
+    /// Resets the progress when a request is sent.
+    pub fn reset(&self) {
         self.received.set(0);
-        self.begun_at.set(None);
+        self.started_at.set(None);
     }
 
-    /// So many more bytes of the answer have come.
+    /// Records that `bytes` more bytes of the response have arrived.
     pub fn on_received(&self, bytes: usize) {
         self.received.set(self.received.get() + bytes);
-        self.begun_at.set(self.begun_at.get().or_else(|| Some(Instant::now())));
+        self.started_at.set(self.started_at.get().or_else(|| Some(Instant::now())));
     }
 
-    /// Time since the first bytes of the answer came, without what it waited for before.
+    /// Time since the first bytes of the response arrived, excluding the wait before them; zero if
+    /// none has arrived.
     pub fn elapsed(&self) -> Duration {
-        self.begun_at.get().map_or(Duration::ZERO, |begun_at| begun_at.elapsed())
+        self.started_at.get().map_or(Duration::ZERO, |started_at| started_at.elapsed())
     }
 
-    /// Bytes of the answer that have come, also if it never came whole.
+    /// Number of bytes of the response that have arrived, also if it was never completed.
     pub fn received(&self) -> usize {
         self.received.get()
     }
 
-    /// Whether the answer has begun to come.
-    pub fn is_under_way(&self) -> bool {
+    /// Whether the response has begun to arrive.
+    pub fn has_started(&self) -> bool {
         self.received() > 0
     }
 }
 
-/// Reads a whole body of at most so many bytes for as long as it makes progress, and tells `transfer` of it.
+/// Reads a whole body of at most `max_bytes` bytes for as long as it makes progress, and records
+/// the progress in `transfer`.
 pub async fn read_body(
     connection: &Upstream,
     decoder: &BodyDecoder,
-    most: usize,
+    max_bytes: usize,
     transfer: &Transfer,
 ) -> Result<Vec<u8>, TransferFailure> {
     let stalled = || TransferFailure::Stalled { received: transfer.received() };
     let read = async {
         let mut body = Vec::new();
         loop {
-            let next = timeout(STALLED_LIMIT, connection.read_body(decoder));
+            let next = timeout(STALL_TIMEOUT, connection.read_body(decoder));
             let Some(bytes) = next.await.map_err(|_| stalled())?? else { return Ok(body) };
-            if body.len() + bytes.len() > most {
+            if body.len() + bytes.len() > max_bytes {
                 return Err(ReadError::Malformed(ResponseDecodeError::InvalidLength).into());
             }
             body.extend_from_slice(&bytes);
             transfer.on_received(bytes.len());
         }
     };
-    timeout(LONGEST_TRANSFER, read).await.map_err(|_| stalled())?
+    timeout(MAX_TRANSFER_TIME, read).await.map_err(|_| stalled())?
 }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -11,9 +11,9 @@
 use crate::node::Node;
 use crate::peer_messages::PeerMessage;
 use crate::platform_client::PlatformClient;
-use crate::refused_entries::EntryFault;
+use crate::refused_entries::EntryError;
 use crate::settings::{Duty, UsageSection};
-use crate::store_answers::{readable, StoreAnswer};
+use crate::store_responses::{ok_or_log, StoreResponse};
 use pitchstall_platform_adapter::cloud::{self, DutyHolder, DutyResponse};
 use pitchstall_platform_adapter::store::{self, StoreStatus};
 use pitchstall_serving::authority::FencingToken;
@@ -280,15 +280,16 @@
     async fn read_finalized(&mut self, schedule: ReportSchedule) {
         let read = store::read_usage_reports();
         let response = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
-        let Some(response) = response.filter(StoreAnswer::is_done) else { return };
-        let Some(page) = readable("usage reports", store::parse_page(&response.body)) else {
+        let Some(response) = response.filter(StoreResponse::is_done) else { return };
+        let Some(page) = ok_or_log("usage reports", store::parse_page(&response.body)) else {
             return;
         };
         let now_ms = self.node.wall_ms();
         for item in page.items {
             let (key, revision) = (item.key.clone(), item.revision);
             let Some((window, body)) = store::parse_stored_usage_report(item) else {
-                let fault = EntryFault::Document("the entry names no usage window".to_owned());
+                let fault =
+                    EntryError::InvalidDocument("the entry names no usage window".to_owned());
                 self.node.on_refused_entry("usage", &key, revision, &fault);
                 continue;
             };
@@ -366,7 +367,7 @@
         fence: FencingToken,
         body: &[u8],
     ) -> Option<Vec<u8>> {
-        let items = readable("usage report", store::parse_conflict(body))?;
+        let items = ok_or_log("usage report", store::parse_conflict(body))?;
         let reports = items.into_iter().filter_map(store::parse_stored_usage_report);
         let found = reports.into_iter().find(|(of, _)| *of == window);
         if found.is_none() {
--- /dev/null
+++ b/crates/gateway/src/watcher/peer_source.rs
@@ -0,0 +1,178 @@
+//! Follows another node's replica instead of the store.
+
+use super::{Follower, MIN_CHANGE_INTERVAL, SOURCE_RETRY_PAUSE};
+use crate::clock::Instant;
+use crate::node::Node;
+use crate::replica_limits::{max_query_wait, percent_of_contact, stale_after};
+use crate::replication::ReplicationClient;
+use crate::transfer::Transfer;
+use pitchstall_serving::freshness::{Freshness, ReplicaFreshness};
+use pitchstall_serving::store_replica::{StoreUpdateQuery, StoreUpdateReply, Subject};
+use pitchstall_serving::store_revision::StoreRevision;
+use rand::RngExt;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Time between two calls to the store while no peer's replica is confirmed, in percent of
+/// `bounds.contact_ms`. Such calls are needed since this node alone may be cut off from the others.
+const OWN_CALL_PERCENT: std::ops::Range<u64> = 50..150;
+/// Minimum time between two calls to the store by a node that knows of a later change which no peer
+/// could provide. The change has to be in force within a few seconds.
+const MIN_BEHIND_CALL_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum size at which data received from an abandoned source was part of a snapshot, and not
+/// just a reply without an update.
+const MIN_PARTIAL_UPDATE_BYTES: usize = 1024;
+/// Time between two queries to peers while a large response of the store is arriving. Before the
+/// first query, a link of 10 Mbit/s has transferred 0.6 MB, and a fast link the whole of the
+/// largest entry, so that no peer is queried.
+const HEDGE_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Queries peers for an update newer than `known_to` while the store's response is slow to arrive,
+/// and completes with the first complete one. The same content from a peer is a tenth of the size,
+/// and the store's response would block this node for as long as the transfer takes. The store's
+/// response continues until a peer's update is complete.
+pub(super) fn hedge_with_peers(
+    node: Rc<Node>,
+    subject: Subject,
+    known_to: Option<StoreRevision>,
+    store_transfer: &Rc<Transfer>,
+) -> impl Future<Output = StoreUpdateReply> + use<> {
+    let store_transfer = store_transfer.clone();
+    let mut replication = ReplicationClient::with_transfer(Rc::default());
+    let after = known_to.filter(|known_to| known_to.era() >= node.store_era());
+    let query = StoreUpdateQuery::new(subject, after, 0);
+    let is_newer = move |reply: &StoreUpdateReply| {
+        let update = reply.update.as_ref().filter(|update| !update.entries.is_empty());
+        update.is_some_and(|update| known_to.is_none_or(|known_to| update.known_to() > known_to))
+    };
+    async move {
+        for source_index in 0_usize.. {
+            sleep(HEDGE_INTERVAL).await;
+            if !store_transfer.has_started() {
+                continue;
+            }
+            let sources = node.members.borrow().sources();
+            let Some(source) = sources.get(source_index % sources.len().max(1)) else { continue };
+            match replication.query(&node, *source, &query).await {
+                Ok(reply) if is_newer(&reply) => {
+                    let source = source.to_string();
+                    let received = store_transfer.received();
+                    log::info!(target: "store", subject = subject.name(), source, received; "peer update overtook the store response");
+                    return reply;
+                }
+                Ok(_) => {}
+                Err(error) => {
+                    let (source, error) = (source.to_string(), error.to_string());
+                    log::debug!(target: "store", subject = subject.name(), source, error; "peer query failed");
+                }
+            }
+        }
+        std::future::pending().await
+    }
+}
+
+impl Follower {
+    /// The node to follow; `None` if the store itself is to be queried.
+    pub(super) fn source(&mut self) -> Option<SocketAddr> {
+        let members = self.node.members.borrow();
+        if members.is_store_reader() {
+            return None;
+        }
+        let sources = members.sources();
+        if let Some(source) = sources.get(self.source_index) {
+            return Some(*source);
+        }
+        // All sources have been tried without success.
+        self.source_index = 0;
+        let now = Instant::now();
+        let is_behind =
+            self.assess_freshness() == Freshness::Behind && now >= self.next_behind_call_at;
+        if now < self.next_own_call_at && !is_behind {
+            return sources.first().copied();
+        }
+        self.next_behind_call_at = now + MIN_BEHIND_CALL_INTERVAL;
+        let pause = rand::rng().random_range(OWN_CALL_PERCENT);
+        self.next_own_call_at = now + percent_of_contact(&self.node, pause);
+        None
+    }
+
+    /// Queries another node for the changes since `known_to`.
+    pub(super) async fn follow_peer(&mut self, source: SocketAddr) {
+        self.pause_between_changes(MIN_CHANGE_INTERVAL).await;
+        // A new source may be outdated too. It is queried without a wait, so that the next one can
+        // be tried at once.
+        let wait = match self.is_source_reliable {
+            true => max_query_wait(&self.node),
+            false => Duration::ZERO,
+        };
+        let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
+        let query = StoreUpdateQuery::new(self.subject, self.known_to_in_current_era(), wait_ms);
+        self.begin_query();
+        // The query is not dropped when another node reports a later change: reports are small and
+        // arrive at once, while the change itself takes time. A source without changes replies
+        // soon.
+        let reply = self.replication.query(&self.node, source, &query).await;
+        self.is_source_reliable = match reply {
+            Ok(reply) => self.handle_reply(source, &reply).await,
+            Err(error) => {
+                self.abandon_source(source, &error.to_string()).await;
+                false
+            }
+        };
+    }
+
+    async fn handle_reply(&mut self, source: SocketAddr, reply: &StoreUpdateReply) -> bool {
+        let is_reliable = self.apply_reply(reply);
+        self.log_large_response(&source.to_string(), self.transfer.received());
+        if !is_reliable {
+            let age_ms = reply.age_ms;
+            self.abandon_source(source, &format!("confirmed {age_ms:?} ms ago")).await;
+        }
+        is_reliable
+    }
+
+    /// Applies another node's reply; returns whether its replica can be relied on.
+    pub(super) fn apply_reply(&mut self, reply: &StoreUpdateReply) -> bool {
+        let Some(update) = &reply.update else { return false };
+        let known_to = update.known_to();
+        let is_applicable = self.node.store_replicas.borrow().get(self.subject).accepts(update);
+        if !is_applicable || known_to.era() < self.node.store_era() {
+            self.log_older_update_ignored(known_to);
+            return false;
+        }
+        self.node.on_store_era(known_to.era());
+        if !update.entries.is_empty() {
+            self.last_change_at = Some(Instant::now());
+        }
+        self.apply_update(update);
+        let age_ms = reply.age_ms;
+        self.with_freshness(|replica, now_us| replica.on_peer_update(update, age_ms, now_us));
+        let max_age = stale_after(&self.node, self.subject);
+        let is_confirmed = age_ms.is_some_and(|age_ms| Duration::from_millis(age_ms) < max_age);
+        // The replica is not reliable if a third node has reported a later change.
+        is_confirmed && self.assess_freshness() != Freshness::Behind
+    }
+
+    fn log_older_update_ignored(&self, known_to: StoreRevision) {
+        let (subject, known_to) = (self.subject.name(), known_to.to_string());
+        let at = self.known_to.unwrap_or_default().to_string();
+        log::info!(target: "store", subject, known_to, at; "older update ignored");
+    }
+
+    async fn abandon_source(&mut self, source: SocketAddr, reason: &str) {
+        let source = source.to_string();
+        let (subject, received) = (self.subject.name(), self.transfer.received());
+        let took_ms = self.query_sent_at.elapsed().as_millis();
+        // Sources without an update are abandoned many times per second while the store is
+        // unavailable.
+        let had_partial_update = received >= MIN_PARTIAL_UPDATE_BYTES;
+        let level = if had_partial_update { log::Level::Info } else { log::Level::Debug };
+        log::log!(target: "store", level, subject, source, reason, received, took_ms; "source abandoned");
+        self.with_freshness(ReplicaFreshness::on_store_queried);
+        self.source_index += 1;
+        sleep(SOURCE_RETRY_PAUSE).await;
+    }
+}
