--- a/crates/soak/examples/soak/run/mod.rs
+++ b/crates/soak/examples/soak/run/mod.rs
@@ -5,8 +5,8 @@
 use crate::processes::{is_ready, more_settings, NodeProcess, Programs};
 use crate::report::Report;
 use pitchstall_platform_standins::narrow_link::NarrowLink;
-use pitchstall_soak::caller::Caller;
 use pitchstall_soak::checks::Violation;
+use pitchstall_soak::client::Caller;
 use pitchstall_soak::fleet::{request_bytes, SoakFleet, SoakRunner};
 use pitchstall_soak::history::{Event, Kind, Outcome, Recorder};
 use pitchstall_soak::plan::{
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -2,10 +2,10 @@
 
 use crate::fleet::{answer_body, LAST_EVENT};
 use crate::history::{Entry, Event, Kind, Outcome};
-use crate::limit_checks::{over_limits, refused_below_limit};
-use crate::named_limit_checks::over_named_limits;
 use crate::region_checks::unserved_when_cut;
+use crate::reported_limit_checks::over_named_limits;
 use crate::self_report_checks::{sent_to_leaving, sent_to_resting};
+use crate::tenant_limit_checks::{over_limits, refused_below_limit};
 use crate::tenants::{tenant_of, BELOW};
 use pitchstall_platform_standins::runner::event_text;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -2,13 +2,13 @@
 
 use crate::checks::request_body;
 use crate::history::{Event, Kind, Recorder};
-use crate::named_limits::LimitPhases;
 use crate::plan::{
     has_large_configurations, has_limits, has_lives, has_named_limits, has_returns,
     has_self_reports,
 };
 use crate::proxy::Link;
 use crate::regions::RegionLink;
+use crate::reported_limits::LimitPhases;
 use crate::runner_script::{deadly_body, script, Place, Voice, Worker};
 use crate::tenants::{document, tenant_of, tenants, SoakTenant, WINDOW_S};
 use pitchstall_platform_standins::client::CallerRequest;
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -10,27 +10,27 @@
 //! | [`checks`] | one check for each promise |
 //! | [`plan`] | the faults of a seed |
 //! | [`proxy`] | a link that can be faulty or long |
-//! | [`caller`] | sends a request and sees every byte of its answer |
+//! | [`client`] | sends a request and sees every byte of its answer |
 //! | [`fleet`] | the stand-ins: store, runners, configuration |
 //! | [`tenants`] | for whom requests run, and what may be run for them |
 //! | [`regions`] | the way between two regions |
 //! | `runner_script` | what a runner does with a request, and what it says of itself |
-//! | [`limit_checks`], [`region_checks`], `self_report_checks` | the checks on limits, on regions that are cut off, and on what runners say of themselves |
+//! | [`tenant_limit_checks`], [`region_checks`], `self_report_checks` | the checks on limits, on regions that are cut off, and on what runners say of themselves |
 //!
 //! The processes themselves are started by the example `soak`, and end with it.
 
-pub mod caller;
 pub mod checks;
+pub mod client;
 pub mod fleet;
 pub mod history;
-pub mod limit_checks;
-mod named_limit_checks;
-mod named_limits;
 pub mod plan;
 pub mod region_checks;
 pub mod regions;
+mod reported_limit_checks;
+mod reported_limits;
 mod runner_script;
 mod self_report_checks;
+pub mod tenant_limit_checks;
 pub mod tenants;
 
 pub use pitchstall_platform_standins::proxy;
--- a/crates/soak/src/runner_script.rs
+++ b/crates/soak/src/runner_script.rs
@@ -2,9 +2,9 @@
 
 use crate::fleet::{answer_body, LAST_EVENT};
 use crate::history::{Event, Recorder};
-use crate::named_limits::{LimitPhases, NamedLimit};
 use crate::proxy::Link;
 use crate::regions::{comes_from_afar, RegionLink, DELAY};
+use crate::reported_limits::{LimitPhases, NamedLimit};
 use crate::tenants::tenant_of;
 use pitchstall_platform_standins::http::ReceivedRequest;
 use pitchstall_platform_standins::role::{OrderOutcome, Role};
