--- a/crates/soak/examples/soak/main.rs
+++ b/crates/soak/examples/soak/main.rs
@@ -41,7 +41,7 @@
     let mut failed = 0;
     for seed in arguments.first..arguments.first + arguments.count {
         let length = Duration::from_secs(arguments.seconds);
-        let size = run::Size { nodes: arguments.nodes, callers: arguments.callers };
+        let size = run::LoadSize { nodes: arguments.nodes, clients: arguments.callers };
         let programs = Programs::new(&arguments.program, arguments.former.as_deref());
         let report = match run::run(&programs, seed, length, size) {
             Ok(report) => report,
--- a/crates/soak/examples/soak/processes.rs
+++ b/crates/soak/examples/soak/processes.rs
@@ -14,13 +14,13 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const CALLERS_PORT: u16 = 18_181;
+const CLIENT_PORT: u16 = 18_181;
 const HEALTH_PORT: u16 = 18_182;
-const PEERS_PORT: u16 = 18_183;
+const PEER_PORT: u16 = 18_183;
 /// Time within which a process that was started catches signals.
-const CATCHES_WITHIN: Duration = Duration::from_secs(5);
+const SIGNAL_HANDLER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time from SIGTERM to SIGKILL.
-pub const GRACE: Duration = Duration::from_secs(8);
+pub const STOP_GRACE: Duration = Duration::from_secs(8);
 
 /// The builds that nodes run.
 #[derive(Clone)]
@@ -30,14 +30,14 @@
 
 impl Programs {
     /// One build, or a former one beside it.
-    pub fn new(program: &Path, former: Option<&Path>) -> Self {
-        let builds = std::iter::once(program).chain(former).map(Path::to_owned).collect();
+    pub fn new(program: &Path, former_build: Option<&Path>) -> Self {
+        let builds = std::iter::once(program).chain(former_build).map(Path::to_owned).collect();
         Self { builds }
     }
 
     /// What a node runs at one of its starts: with two builds every second node begins with the former one, and each changes
     /// to the other one whenever it starts, so that upgrades and ways back overlap.
-    fn at_start(&self, node: usize, start: usize) -> &Path {
+    fn program_for_start(&self, node: usize, start: usize) -> &Path {
         &self.builds[(node + start) % self.builds.len()]
     }
 }
@@ -45,13 +45,13 @@
 /// One node: its settings file, its log, and its process while it runs.
 pub struct NodeProcess {
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub client_address: SocketAddr,
     /// Its own link to the store.
-    pub store: Link,
+    pub store_link: Link,
     /// Its own link to the interface for duties.
-    pub cloud: Link,
+    pub cloud_link: Link,
     /// Where it says whether it takes callers.
-    pub health: SocketAddr,
+    pub health_address: SocketAddr,
     programs: Programs,
     number: usize,
     /// How often it has been started.
@@ -68,13 +68,13 @@
         folder: &Path,
         number: usize,
         zone: &str,
-        store: Link,
-        cloud: Link,
-        more: &str,
+        store_link: Link,
+        cloud_link: Link,
+        extra_settings: &str,
     ) -> io::Result<Self> {
-        let [_, _, high, low] = std::process::id().to_be_bytes();
+        let [_, _, pid_high, pid_low] = std::process::id().to_be_bytes();
         let last = u8::try_from(number + 1).unwrap_or(u8::MAX);
-        let ip: IpAddr = Ipv4Addr::new(127, 1 + high % 200, low, last).into();
+        let ip: IpAddr = Ipv4Addr::new(127, 1 + pid_high % 200, pid_low, last).into();
         let at = |port: u16| SocketAddr::new(ip, port);
         let text = format!(
             "[node]\nname = \"node-{number}\"\nzone = \"{zone}\"\n\
@@ -83,20 +83,20 @@
              [bounds]\ncontact_ms = 3000\ngrace_s = 8.0\nlease_ms = 3000\n\
              retry_ratio = 0.2\nretry_slack = 54\n\
              [cloud]\naddress = \"{}\"\nduties = [\"usage_report\"]\n\
-             [cloud.usage]\nwindow_s = 2\ndue_s = 10\n{more}",
-            at(CALLERS_PORT),
+             [cloud.usage]\nwindow_s = 2\ndue_s = 10\n{extra_settings}",
+            at(CLIENT_PORT),
             at(HEALTH_PORT),
-            at(PEERS_PORT),
-            store.address(),
-            cloud.address(),
+            at(PEER_PORT),
+            store_link.address(),
+            cloud_link.address(),
         );
         let settings = folder.join(format!("node-{number}.toml"));
         std::fs::write(&settings, text)?;
         Ok(Self {
-            callers: at(CALLERS_PORT),
-            health: at(HEALTH_PORT),
-            store,
-            cloud,
+            client_address: at(CLIENT_PORT),
+            health_address: at(HEALTH_PORT),
+            store_link,
+            cloud_link,
             programs: programs.clone(),
             number,
             starts: 0,
@@ -109,7 +109,7 @@
     /// Starts the process. Its log goes on where the one before it ended.
     pub fn start(&mut self) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
-        let program = self.programs.at_start(self.number, self.starts);
+        let program = self.programs.program_for_start(self.number, self.starts);
         let child = Command::new(program)
             .arg("serve")
             .arg("--settings")
@@ -131,21 +131,21 @@
     /// Tells the process that its settings have changed, once it catches that signal: one that has just
     /// been started would end, as any program does.
     pub fn reload(&self) {
-        let end = Instant::now() + CATCHES_WITHIN;
-        while !self.catches_reload() && Instant::now() < end {
+        let deadline = Instant::now() + SIGNAL_HANDLER_TIMEOUT;
+        while !self.handles_reload() && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(1));
         }
         self.signal(Signal::SIGHUP);
     }
 
-    fn catches_reload(&self) -> bool {
-        const RELOAD: u64 = 1;
+    fn handles_reload(&self) -> bool {
+        const SIGHUP_MASK: u64 = 1;
         let Some(child) = &self.child else { return true };
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id()));
         let status = status.unwrap_or_default();
         let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:"));
         let mask = caught.and_then(|mask| u64::from_str_radix(mask.trim(), 16).ok());
-        mask.is_some_and(|mask| mask & RELOAD != 0)
+        mask.is_some_and(|mask| mask & SIGHUP_MASK != 0)
     }
 
     /// Sends a signal to the process.
@@ -167,8 +167,8 @@
 
     /// Waits until a process that was told to stop has ended; kills it after the grace time.
     pub fn wait_for_stop(&mut self) {
-        let end = Instant::now() + GRACE;
-        while Instant::now() < end && !self.has_ended_by_itself() {
+        let deadline = Instant::now() + STOP_GRACE;
+        while Instant::now() < deadline && !self.has_ended_by_itself() {
             std::thread::sleep(Duration::from_millis(20));
         }
         self.kill();
@@ -176,31 +176,32 @@
 }
 
 /// What the settings of a seed's nodes hold besides.
-pub fn more_settings(seed: u64) -> String {
-    let mut more = String::new();
+pub fn extra_settings(seed: u64) -> String {
+    let mut extra_settings = String::new();
     if has_regions(seed) {
         let regions = REGIONS.map(|(zone, region)| format!("{zone} = \"{region}\"\n")).concat();
-        more.push_str(&format!("[node.regions]\n{regions}"));
+        extra_settings.push_str(&format!("[node.regions]\n{regions}"));
     }
     if has_limits(seed) {
-        more.push_str(&format!("[quota]\nwindow_s = {WINDOW_S:?}\noverage = {OVERAGE:?}\n"));
-        more.push_str("slack = 0\n");
+        extra_settings
+            .push_str(&format!("[quota]\nwindow_s = {WINDOW_S:?}\noverage = {OVERAGE:?}\n"));
+        extra_settings.push_str("slack = 0\n");
     }
-    more
+    extra_settings
 }
 
 /// Whether the node with this health address says that it takes callers.
 pub fn is_ready(health: SocketAddr) -> bool {
-    const LIMIT: Duration = Duration::from_millis(300);
-    let ask = || -> io::Result<bool> {
-        let mut stream = TcpStream::connect_timeout(&health, LIMIT)?;
-        stream.set_read_timeout(Some(LIMIT))?;
+    const TIMEOUT: Duration = Duration::from_millis(300);
+    let query = || -> io::Result<bool> {
+        let mut stream = TcpStream::connect_timeout(&health, TIMEOUT)?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
         stream.write_all(READY_QUESTION)?;
         let mut head = [0; b"HTTP/1.1 200".len()];
         stream.read_exact(&mut head)?;
         Ok(head.ends_with(b"200"))
     };
-    ask().unwrap_or(false)
+    query().unwrap_or(false)
 }
 
 impl Drop for NodeProcess {
--- a/crates/soak/examples/soak/report.rs
+++ b/crates/soak/examples/soak/report.rs
@@ -1,7 +1,7 @@
 //! What came of a seed.
 
 use pitchstall_soak::checks::{violations, Violation};
-use pitchstall_soak::history::{Entry, Event, Outcome};
+use pitchstall_soak::history::{Event, Outcome, TimedEvent};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::path::PathBuf;
@@ -11,12 +11,12 @@
     /// Broken promises.
     pub violations: Vec<Violation>,
     requests: usize,
-    whole: usize,
+    complete: usize,
     /// Windows whose usage was reported.
-    windows: usize,
+    usage_windows: usize,
     steps: usize,
     /// Runners that ended under requests that end them.
-    ended: usize,
+    crashes: usize,
     /// Orders that reached runners.
     orders: usize,
     folder: PathBuf,
@@ -24,12 +24,12 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (whole, requests, steps) = (self.whole, self.requests, self.steps);
-        write!(formatter, "{whole} of {requests} answered whole under {steps} actions, ")?;
-        write!(formatter, "{} runners ended by requests, ", self.ended)?;
-        write!(formatter, "{} windows reported, {} orders", self.windows, self.orders)?;
+        let (complete, requests, steps) = (self.complete, self.requests, self.steps);
+        write!(formatter, "{complete} of {requests} answered whole under {steps} actions, ")?;
+        write!(formatter, "{} runners ended by requests, ", self.crashes)?;
+        write!(formatter, "{} windows reported, {} orders", self.usage_windows, self.orders)?;
         for violation in &self.violations {
-            write!(formatter, "\n  {}: {}", violation.promise, violation.what)?;
+            write!(formatter, "\n  {}: {}", violation.promise, violation.detail)?;
         }
         if !self.violations.is_empty() {
             write!(formatter, "\n  logs: {}", self.folder.display())?;
@@ -40,25 +40,25 @@
 
 impl Report {
     /// The report of a history under so many actions; the nodes' logs are in `folder`.
-    pub fn of(entries: &[Entry], steps: usize, folder: PathBuf) -> Self {
+    pub fn new(events: &[TimedEvent], steps: usize, folder: PathBuf) -> Self {
         let count =
-            |wanted: fn(&Event) -> bool| entries.iter().filter(|(_, event)| wanted(event)).count();
+            |wanted: fn(&Event) -> bool| events.iter().filter(|(_, event)| wanted(event)).count();
         Self {
-            violations: violations(entries),
+            violations: violations(events),
             requests: count(|event| matches!(event, Event::Ended { .. })),
-            whole: count(|event| {
-                matches!(event, Event::Ended { outcome: Outcome::Whole { status: 200, .. }, .. })
+            complete: count(|event| {
+                matches!(event, Event::Ended { outcome: Outcome::Complete { status: 200, .. }, .. })
             }),
-            windows: reported_windows(entries),
-            ended: count(|event| matches!(event, Event::Crashed { under: Some(_), .. })),
-            orders: count(|event| matches!(event, Event::Ordered { .. })),
+            usage_windows: reported_windows(events),
+            crashes: count(|event| matches!(event, Event::RunnerCrashed { cause: Some(_), .. })),
+            orders: count(|event| matches!(event, Event::OrderReceived { .. })),
             steps,
             folder,
         }
     }
 
     /// Removes the nodes' logs if no promise was broken.
-    pub fn keep_logs_of_violations(&self) {
+    pub fn remove_logs_without_violations(&self) {
         if self.violations.is_empty() {
             // What is left over is only in the way.
             let _ = std::fs::remove_dir_all(&self.folder);
@@ -66,10 +66,10 @@
     }
 }
 
-fn reported_windows(entries: &[Entry]) -> usize {
-    let window = |(_, event): &Entry| match event {
-        Event::Reported { window, .. } => Some(*window),
+fn reported_windows(events: &[TimedEvent]) -> usize {
+    let window = |(_, event): &TimedEvent| match event {
+        Event::UsageReported { window, .. } => Some(*window),
         _ => None,
     };
-    entries.iter().filter_map(window).collect::<BTreeSet<u64>>().len()
+    events.iter().filter_map(window).collect::<BTreeSet<u64>>().len()
 }
--- a/crates/soak/examples/soak/run/faults.rs
+++ b/crates/soak/examples/soak/run/faults.rs
@@ -1,40 +1,40 @@
 //! What is done to the system from outside while the load goes on.
 
-use super::{lock, World, ENTRY_LASTS};
+use super::{lock, SoakRun, REGISTRY_ENTRY_TTL};
 use crate::processes::NodeProcess;
 use nix::sys::signal::Signal;
 use pitchstall_platform_standins::store::StoreMode;
 use pitchstall_soak::history::Event;
 use pitchstall_soak::plan::{Action, Step};
 use pitchstall_soak::proxy::{Link, LinkMode};
-use pitchstall_soak::regions::is_near_the_store;
+use pitchstall_soak::regions::is_in_store_region;
 use std::time::Duration;
 
 /// Time for which a leaving runner still answers.
-const DRAINS_FOR: Duration = Duration::from_secs(4);
+const DRAIN_TIME: Duration = Duration::from_secs(4);
 /// After which time the store hears that a runner leaves whose answers say so before.
-const ACKNOWLEDGED_AFTER: Duration = Duration::from_secs(6);
+const LEAVING_REGISTRATION_DELAY: Duration = Duration::from_secs(6);
 /// Writes of others that the store loses, so that its revisions stay behind for the rest of a run.
 const LOST_WRITES: u64 = 400;
 /// Time after which the operator and the runners write theirs again in a store that has come back from an older copy.
-const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(600);
+const REWRITE_DELAY: Duration = Duration::from_millis(600);
 
-impl World {
-    pub(super) fn act(&self, step: &Step) {
+impl SoakRun {
+    pub(super) fn perform(&self, step: &Step) {
         match &step.action {
-            Action::Kill { node } => self.kill(&[*node], step.lasts),
-            Action::KillAll => self.kill(&(0..self.nodes.len()).collect::<Vec<_>>(), step.lasts),
-            Action::Pause { node } => self.pause(*node, step.lasts),
+            Action::Kill { node } => self.kill(&[*node], step.duration),
+            Action::KillAll => self.kill(&(0..self.nodes.len()).collect::<Vec<_>>(), step.duration),
+            Action::Pause { node } => self.pause(*node, step.duration),
             Action::Stop { node } => self.stop(*node),
             Action::StoreLink { node, mode } => {
-                let link = lock(&self.nodes[*node]).store.clone();
-                self.disturb_link(&link, *mode, step.lasts, Some(*node));
+                let link = lock(&self.nodes[*node]).store_link.clone();
+                self.disturb_link(&link, *mode, step.duration, Some(*node));
             }
             Action::CloudLink { node, mode } => {
-                let link = lock(&self.nodes[*node]).cloud.clone();
+                let link = lock(&self.nodes[*node]).cloud_link.clone();
                 // No rule for callers is excused by it.
                 link.set_mode(*mode);
-                std::thread::sleep(step.lasts);
+                std::thread::sleep(step.duration);
                 link.set_mode(LinkMode::Passing);
             }
             Action::RunnerLink { runner, mode } => {
@@ -44,80 +44,80 @@
                     fleet.runners.get(index).map(|runner| runner.link.clone())
                 };
                 if let Some(link) = link {
-                    self.recorder.note(Event::RunnerDisturbed);
+                    self.recorder.record(Event::RunnerLinkDisturbed);
                     link.set_mode(*mode);
-                    std::thread::sleep(step.lasts);
+                    std::thread::sleep(step.duration);
                     link.set_mode(LinkMode::Passing);
-                    self.recorder.note(Event::RunnerDisturbed);
+                    self.recorder.record(Event::RunnerLinkDisturbed);
                 }
             }
-            Action::Store { mode } => {
-                self.disturbed(None);
+            Action::StoreFault { mode } => {
+                self.record_disturbance(None);
                 lock(&self.fleet).store.set_mode(*mode);
-                std::thread::sleep(step.lasts);
+                std::thread::sleep(step.duration);
                 lock(&self.fleet).store.set_mode(StoreMode::Serving);
-                self.disturbed(None);
+                self.record_disturbance(None);
             }
             Action::ForgetHistory => {
-                self.disturbed(None);
+                self.record_disturbance(None);
                 lock(&self.fleet).store.forget_history();
             }
-            Action::ComeBackOlder { loses } => self.come_back_older(*loses, step.lasts),
+            Action::RestoreBackup { backup_age } => self.restore_backup(*backup_age, step.duration),
             Action::CutRegions => {
                 self.cut_regions(true);
-                std::thread::sleep(step.lasts);
+                std::thread::sleep(step.duration);
                 self.cut_regions(false);
             }
-            Action::Replace { runner } => self.replace(*runner),
+            Action::ReplaceRunner { runner } => self.replace_runner(*runner),
             Action::Configure => lock(&self.fleet).configure(),
-            Action::Reload { node } => lock(&self.nodes[*node]).reload(),
+            Action::ReloadSettings { node } => lock(&self.nodes[*node]).reload(),
             Action::CrashRunner { runner } => {
                 // What it answered last may be on its way for long after.
-                let behind = {
+                let finish_crash = {
                     let fleet = lock(&self.fleet);
                     let index = runner % fleet.runners.len().max(1);
                     let Some(runner) = fleet.runners.get(index) else { return };
-                    let (runner_id, under) = (runner.id.clone(), None);
-                    self.recorder.note(Event::Crashed { runner: runner_id, under });
+                    let (runner_id, cause) = (runner.id.clone(), None);
+                    self.recorder.record(Event::RunnerCrashed { runner: runner_id, cause });
                     if !self.has_self_reports {
                         return runner.crash();
                     }
-                    runner.crash_behind_late_answers()
+                    runner.crash_with_delayed_responses()
                 };
-                behind();
+                finish_crash();
             }
         }
     }
 
-    fn come_back_older(&self, loses: Duration, away: Duration) {
+    fn restore_backup(&self, backup_age: Duration, outage: Duration) {
         let store = lock(&self.fleet).store.clone();
         let backup = store.back_up();
         (0..LOST_WRITES).for_each(|number| store.put("other/key", &number.into()));
         // What is known of runners is of these revisions.
-        lock(&self.fleet).write_again();
-        std::thread::sleep(loses);
-        self.disturbed(None);
+        lock(&self.fleet).rewrite_documents();
+        std::thread::sleep(backup_age);
+        self.record_disturbance(None);
         store.set_mode(StoreMode::Unavailable);
-        std::thread::sleep(away);
+        std::thread::sleep(outage);
         store.come_back_as(&backup);
         store.set_mode(StoreMode::Serving);
-        std::thread::sleep(WRITTEN_AGAIN_AFTER);
-        lock(&self.fleet).write_again();
-        self.disturbed(None);
-        std::thread::sleep(ENTRY_LASTS);
-        lock(&self.fleet).drop_unwritten();
+        std::thread::sleep(REWRITE_DELAY);
+        lock(&self.fleet).rewrite_documents();
+        self.record_disturbance(None);
+        std::thread::sleep(REGISTRY_ENTRY_TTL);
+        lock(&self.fleet).remove_stale_entries();
     }
 
-    fn disturbed(&self, node: Option<usize>) {
-        self.recorder.note(Event::Disturbed { node });
+    fn record_disturbance(&self, node: Option<usize>) {
+        self.recorder.record(Event::Disturbed { node });
     }
 
-    fn kill(&self, nodes: &[usize], down: Duration) {
-        let mut held: Vec<_> = nodes.iter().map(|node| lock(&self.nodes[*node])).collect();
-        nodes.iter().for_each(|node| self.disturbed(Some(*node)));
-        held.iter_mut().for_each(|process| process.kill());
-        std::thread::sleep(down);
-        for (node, process) in nodes.iter().zip(&mut held) {
+    fn kill(&self, nodes: &[usize], downtime: Duration) {
+        let mut processes: Vec<_> = nodes.iter().map(|node| lock(&self.nodes[*node])).collect();
+        nodes.iter().for_each(|node| self.record_disturbance(Some(*node)));
+        processes.iter_mut().for_each(|process| process.kill());
+        std::thread::sleep(downtime);
+        for (node, process) in nodes.iter().zip(&mut processes) {
             self.restart(*node, process);
         }
     }
@@ -127,67 +127,67 @@
     }
 
     fn restart(&self, node: usize, process: &mut NodeProcess) {
-        self.recorder.note(Event::Started { node });
+        self.recorder.record(Event::NodeStarted { node });
         if let Err(error) = process.start() {
             eprintln!("soak: node {node} did not start: {error}");
         }
     }
 
-    fn pause(&self, node: usize, lasts: Duration) {
+    fn pause(&self, node: usize, duration: Duration) {
         let process = lock(&self.nodes[node]);
-        self.disturbed(Some(node));
+        self.record_disturbance(Some(node));
         process.signal(Signal::SIGSTOP);
-        std::thread::sleep(lasts);
+        std::thread::sleep(duration);
         process.signal(Signal::SIGCONT);
-        self.disturbed(Some(node));
+        self.record_disturbance(Some(node));
     }
 
     fn stop(&self, node: usize) {
         let mut process = lock(&self.nodes[node]);
-        self.recorder.note(Event::StopPlanned { node });
+        self.recorder.record(Event::PlannedStop { node });
         process.signal(Signal::SIGTERM);
         process.wait_for_stop();
         self.restart(node, &mut process);
     }
 
-    fn disturb_link(&self, link: &Link, mode: LinkMode, lasts: Duration, node: Option<usize>) {
-        self.disturbed(node);
+    fn disturb_link(&self, link: &Link, mode: LinkMode, duration: Duration, node: Option<usize>) {
+        self.record_disturbance(node);
         link.set_mode(mode);
-        std::thread::sleep(lasts);
+        std::thread::sleep(duration);
         link.set_mode(LinkMode::Passing);
-        self.disturbed(node);
+        self.record_disturbance(node);
     }
 
     /// Cuts the regions off from each other, or ends that; the store is in one of them.
     fn cut_regions(&self, begins: bool) {
-        self.recorder.note(Event::RegionsCut { begins });
+        self.recorder.record(Event::RegionsCut { begins });
         lock(&self.fleet).regions.set_cut(begins);
         let mode = if begins { LinkMode::Silent } else { LinkMode::Passing };
-        for node in (0..self.nodes.len()).filter(|node| !is_near_the_store(*node)) {
-            self.disturbed(Some(node));
+        for node in (0..self.nodes.len()).filter(|node| !is_in_store_region(*node)) {
+            self.record_disturbance(Some(node));
             let process = lock(&self.nodes[node]);
-            process.store.set_mode(mode);
-            process.cloud.set_mode(mode);
+            process.store_link.set_mode(mode);
+            process.cloud_link.set_mode(mode);
         }
     }
 
-    fn replace(&self, runner: usize) {
+    fn replace_runner(&self, runner: usize) {
         let leaving = {
             let mut fleet = lock(&self.fleet);
             let index = runner % fleet.runners.len().max(1);
             if fleet.runners.is_empty() {
                 return;
             }
-            fleet.replace(index)
+            fleet.replace_runner(index)
         };
         if let Ok(leaving) = leaving {
-            let acknowledges_late = lock(&self.fleet).acknowledges_late();
-            if acknowledges_late {
-                std::thread::sleep(ACKNOWLEDGED_AFTER);
-                lock(&self.fleet).acknowledge_leaving(&leaving);
+            let registers_leaving_late = lock(&self.fleet).registers_leaving_late();
+            if registers_leaving_late {
+                std::thread::sleep(LEAVING_REGISTRATION_DELAY);
+                lock(&self.fleet).register_leaving(&leaving);
             }
-            std::thread::sleep(DRAINS_FOR);
-            lock(&self.fleet).unlist(&leaving);
+            std::thread::sleep(DRAIN_TIME);
+            lock(&self.fleet).unregister(&leaving);
             leaving.link.set_mode(LinkMode::Resetting);
         }
     }
--- a/crates/soak/examples/soak/run/mod.rs
+++ b/crates/soak/examples/soak/run/mod.rs
@@ -2,19 +2,19 @@
 
 mod faults;
 
-use crate::processes::{is_ready, more_settings, NodeProcess, Programs};
+use crate::processes::{extra_settings, is_ready, NodeProcess, Programs};
 use crate::report::Report;
 use pitchstall_platform_standins::narrow_link::NarrowLink;
 use pitchstall_soak::checks::Violation;
-use pitchstall_soak::client::Caller;
+use pitchstall_soak::client::Client;
 use pitchstall_soak::fleet::{request_bytes, SoakFleet, SoakRunner};
-use pitchstall_soak::history::{Event, Kind, Outcome, Recorder};
+use pitchstall_soak::history::{Event, Outcome, Recorder, RequestKind};
 use pitchstall_soak::plan::{
-    has_large_configurations, has_limits, has_lives, has_regions, has_self_reports, steps, Step,
-    RECOVERY,
+    has_incarnations, has_large_configurations, has_limits, has_regions, has_self_reports, steps,
+    Step, RECOVERY_TIME,
 };
 use pitchstall_soak::proxy::Link;
-use pitchstall_soak::regions::{id_with_node, is_near_the_store, zone_of, DELAY};
+use pitchstall_soak::regions::{id_with_node, is_in_store_region, zone_of, ONE_WAY_DELAY};
 use pitchstall_soak::tenants::{SoakTenant, LIMITED};
 use std::io;
 use std::net::SocketAddr;
@@ -24,47 +24,47 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const READY_WITHIN: Duration = Duration::from_secs(15);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time in which everything is served again after the last fault.
-const RECOVERED_WITHIN: Duration = Duration::from_secs(12);
-const HEALTH_EVERY: Duration = Duration::from_millis(200);
-const BETWEEN_REQUESTS: Duration = Duration::from_millis(15);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
+const HEALTH_POLL_INTERVAL: Duration = Duration::from_millis(200);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 /// Different requests that end runners, and the time between two of them: some three a second.
-const DEADLY_REQUESTS: usize = 2;
-const BETWEEN_DEADLY: Duration = Duration::from_millis(350);
+const POISON_REQUESTS: usize = 2;
+const POISON_INTERVAL: Duration = Duration::from_millis(350);
 /// Callers of each tenant with a limit: one that waits for an answer holds no other up.
-const CALLERS_A_TENANT: u64 = 4;
+const CLIENTS_PER_TENANT: u64 = 4;
 /// Between two looks for runners that have ended.
-const ENDED_POLL: Duration = Duration::from_millis(20);
+const CRASH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time after which an ended runner is back, and after which its entry is gone: three heartbeats of the users'
 /// runners.
-const RUNNER_DOWN: Duration = Duration::from_millis(2_000);
+const RUNNER_DOWNTIME: Duration = Duration::from_millis(2_000);
 /// The same for runners that start again under their names, in turn: before anybody has noticed, within
 /// a heartbeat, and after their entry is gone.
-const REBORN_AFTER: [Duration; 3] =
+const RESTART_DELAYS: [Duration; 3] =
     [Duration::from_millis(100), Duration::from_secs(1), Duration::from_secs(10)];
 /// Bytes a second from the store to a node: 10 Mbit/s.
-const NODE_LINK: u64 = 1_250_000;
-const ENTRY_LASTS: Duration = Duration::from_millis(3_600);
+const NODE_LINK_BYTES_PER_S: u64 = 1_250_000;
+const REGISTRY_ENTRY_TTL: Duration = Duration::from_millis(3_600);
 
 /// What the load and the faults share.
-struct World {
+struct SoakRun {
     recorder: Recorder,
     nodes: Vec<Mutex<NodeProcess>>,
-    callers: Vec<SocketAddr>,
-    health: Vec<SocketAddr>,
+    client_addresses: Vec<SocketAddr>,
+    health_addresses: Vec<SocketAddr>,
     /// Nodes that said they take callers when they were last asked.
     ready: Vec<AtomicBool>,
     fleet: Mutex<SoakFleet>,
-    over: AtomicBool,
+    is_finished: AtomicBool,
     /// Whether requests that end runners are sent.
-    deadly: AtomicBool,
+    sends_poison: AtomicBool,
     has_regions: bool,
     /// Whether runners start again under their names.
-    has_lives: bool,
+    has_incarnations: bool,
     /// Whether runners speak for themselves, and what they say last is held up.
     has_self_reports: bool,
-    next_rebirth: AtomicUsize,
+    next_restart: AtomicUsize,
     next_request: AtomicU64,
 }
 
@@ -74,61 +74,63 @@
 
 /// How large a run is.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct LoadSize {
     /// Nodes.
     pub nodes: usize,
     /// Callers.
-    pub callers: usize,
+    pub clients: usize,
 }
 
 /// Runs a seed.
-pub fn run(programs: &Programs, seed: u64, length: Duration, size: Size) -> io::Result<Report> {
+pub fn run(programs: &Programs, seed: u64, length: Duration, size: LoadSize) -> io::Result<Report> {
     let nodes = size.nodes;
     let name = format!("pitchstall-soak-{}-{seed}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder)?;
-    let world = World::start(programs, &folder, seed, nodes)?;
-    if let Err(error) = world.wait_until_ready() {
-        world.kill_all();
+    let soak_run = SoakRun::start(programs, &folder, seed, nodes)?;
+    if let Err(error) = soak_run.wait_until_ready() {
+        soak_run.kill_all();
         return Err(error);
     }
-    let mut threads: Vec<JoinHandle<()>> = (0..size.callers)
-        .map(|caller| {
-            let world = world.clone();
-            std::thread::spawn(move || world.send_load(caller))
+    let mut threads: Vec<JoinHandle<()>> = (0..size.clients)
+        .map(|client| {
+            let soak_run = soak_run.clone();
+            std::thread::spawn(move || soak_run.send_load(client))
         })
         .collect();
-    let limited = LIMITED.iter().filter(|_| has_limits(seed));
-    threads.extend(limited.flat_map(|tenant| (0..CALLERS_A_TENANT).map(move |_| tenant)).map(
-        |tenant| {
-            let world = world.clone();
-            std::thread::spawn(move || world.send_for(tenant))
-        },
-    ));
-    let asking = world.clone();
-    threads.push(std::thread::spawn(move || asking.ask_health()));
-    let replacing = world.clone();
-    threads.push(std::thread::spawn(move || replacing.replace_ended()));
-    world.deadly.store(true, Ordering::SeqCst);
-    threads.extend((0..DEADLY_REQUESTS).map(|number| {
-        let world = world.clone();
-        std::thread::spawn(move || world.send_deadly(number))
+    let limited_tenants = LIMITED.iter().filter(|_| has_limits(seed));
+    threads.extend(
+        limited_tenants.flat_map(|tenant| (0..CLIENTS_PER_TENANT).map(move |_| tenant)).map(
+            |tenant| {
+                let soak_run = soak_run.clone();
+                std::thread::spawn(move || soak_run.send_for_tenant(tenant))
+            },
+        ),
+    );
+    let polling = soak_run.clone();
+    threads.push(std::thread::spawn(move || polling.poll_health()));
+    let replacing = soak_run.clone();
+    threads.push(std::thread::spawn(move || replacing.replace_crashed_runners()));
+    soak_run.sends_poison.store(true, Ordering::SeqCst);
+    threads.extend((0..POISON_REQUESTS).map(|number| {
+        let soak_run = soak_run.clone();
+        std::thread::spawn(move || soak_run.send_poison(number))
     }));
     let steps = steps(seed, length, nodes);
-    world.play(&steps, Instant::now(), length);
-    let unserved = world.unserved_after_recovery();
-    world.over.store(true, Ordering::SeqCst);
+    soak_run.run_steps(&steps, Instant::now(), length);
+    let unserved = soak_run.violations_after_recovery();
+    soak_run.is_finished.store(true, Ordering::SeqCst);
     threads.into_iter().for_each(|thread| drop(thread.join()));
     // Threads that wait to replace a runner still hold the world, which so outlives this run.
-    world.kill_all();
-    lock(&world.fleet).note_reports();
-    let mut report = Report::of(&world.recorder.entries(), steps.len(), folder);
+    soak_run.kill_all();
+    lock(&soak_run.fleet).record_usage_reports();
+    let mut report = Report::new(&soak_run.recorder.events(), steps.len(), folder);
     report.violations.extend(unserved);
-    report.keep_logs_of_violations();
+    report.remove_logs_without_violations();
     Ok(report)
 }
 
-impl World {
+impl SoakRun {
     fn start(programs: &Programs, folder: &Path, seed: u64, nodes: usize) -> io::Result<Arc<Self>> {
         let recorder = Recorder::default();
         let fleet = SoakFleet::start(seed, recorder.clone())?;
@@ -137,203 +139,218 @@
             let mut store_address = fleet.store.address();
             if has_large_configurations(seed) {
                 // A link of its own for each node, whatever connections there are.
-                store_address = NarrowLink::new(NODE_LINK).reach(store_address)?;
+                store_address = NarrowLink::new(NODE_LINK_BYTES_PER_S).reach(store_address)?;
             }
             let store = Link::start(store_address)?;
             let cloud = Link::start(fleet.cloud.address())?;
-            if has_regions(seed) && !is_near_the_store(number) {
-                store.set_delay(DELAY);
-                cloud.set_delay(DELAY);
+            if has_regions(seed) && !is_in_store_region(number) {
+                store.set_delay(ONE_WAY_DELAY);
+                cloud.set_delay(ONE_WAY_DELAY);
             }
-            let (zone, more) = (zone_of(number), more_settings(seed));
-            let mut node = NodeProcess::new(programs, folder, number, zone, store, cloud, &more)?;
+            let (zone, extra_settings) = (zone_of(number), extra_settings(seed));
+            let mut node =
+                NodeProcess::new(programs, folder, number, zone, store, cloud, &extra_settings)?;
             node.start()?;
-            recorder.note(Event::Started { node: number });
+            recorder.record(Event::NodeStarted { node: number });
             processes.push(node);
         }
         Ok(Arc::new(Self {
             recorder,
-            callers: processes.iter().map(|node| node.callers).collect(),
-            health: processes.iter().map(|node| node.health).collect(),
+            client_addresses: processes.iter().map(|node| node.client_address).collect(),
+            health_addresses: processes.iter().map(|node| node.health_address).collect(),
             nodes: processes.into_iter().map(Mutex::new).collect(),
             ready: (0..nodes).map(|_| AtomicBool::new(false)).collect(),
             fleet: Mutex::new(fleet),
-            over: AtomicBool::new(false),
-            deadly: AtomicBool::new(false),
+            is_finished: AtomicBool::new(false),
+            sends_poison: AtomicBool::new(false),
             has_regions: has_regions(seed),
-            has_lives: has_lives(seed),
+            has_incarnations: has_incarnations(seed),
             has_self_reports: has_self_reports(seed),
-            next_rebirth: AtomicUsize::new(0),
+            next_restart: AtomicUsize::new(0),
             next_request: AtomicU64::new(0),
         }))
     }
 
     fn wait_until_ready(&self) -> io::Result<()> {
-        let end = Instant::now() + READY_WITHIN;
-        while !self.health.iter().all(|health| is_ready(*health)) {
-            if Instant::now() >= end {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !self.health_addresses.iter().all(|health| is_ready(*health)) {
+            if Instant::now() >= deadline {
                 return Err(io::Error::other("the nodes did not become ready"));
             }
-            std::thread::sleep(HEALTH_EVERY);
+            std::thread::sleep(HEALTH_POLL_INTERVAL);
         }
         self.ready.iter().for_each(|ready| ready.store(true, Ordering::SeqCst));
         Ok(())
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    fn is_finished(&self) -> bool {
+        self.is_finished.load(Ordering::SeqCst)
     }
 
     /// Keeps note of which nodes take callers, as the platform's entrance does.
-    fn ask_health(&self) {
-        while !self.is_over() {
-            for (health, ready) in self.health.iter().zip(&self.ready) {
+    fn poll_health(&self) {
+        while !self.is_finished() {
+            for (health, ready) in self.health_addresses.iter().zip(&self.ready) {
                 ready.store(is_ready(*health), Ordering::SeqCst);
             }
-            std::thread::sleep(HEALTH_EVERY);
+            std::thread::sleep(HEALTH_POLL_INTERVAL);
         }
     }
 
-    fn send_load(&self, caller: usize) {
-        let mut turn = caller;
-        let mut connections: Vec<Caller> = self.nodes.iter().map(|_| Caller::default()).collect();
-        while !self.is_over() {
-            turn += 1;
-            let node = turn % self.nodes.len();
+    fn send_load(&self, client: usize) {
+        let mut index = client;
+        let mut connections: Vec<Client> = self.nodes.iter().map(|_| Client::default()).collect();
+        while !self.is_finished() {
+            index += 1;
+            let node = index % self.nodes.len();
             // An open connection is used until it ends, also when the node takes no new ones.
             if connections[node].is_open() || self.ready[node].load(Ordering::SeqCst) {
-                self.send(&mut connections[node], node, self.kind(turn));
+                self.send(&mut connections[node], node, self.kind(index));
             }
-            std::thread::sleep(BETWEEN_REQUESTS);
+            std::thread::sleep(REQUEST_INTERVAL);
         }
     }
 
-    fn kind(&self, turn: usize) -> Kind {
+    fn kind(&self, index: usize) -> RequestKind {
         const KINDS: usize = 4;
-        match turn / self.nodes.len() % KINDS {
-            0 => Kind::AtMostOnce,
-            1 => Kind::Repeatable,
-            2 => Kind::ResumableStream,
-            _ => Kind::Probe { version: lock(&self.fleet).version() },
+        match index / self.nodes.len() % KINDS {
+            0 => RequestKind::AtMostOnce,
+            1 => RequestKind::Repeatable,
+            2 => RequestKind::ResumableStream,
+            _ => RequestKind::Probe { version: lock(&self.fleet).version() },
         }
     }
 
     /// Sends the requests of one of a tenant's callers.
-    fn send_for(&self, tenant: &SoakTenant) {
-        let mut connections: Vec<Caller> = self.nodes.iter().map(|_| Caller::default()).collect();
+    fn send_for_tenant(&self, tenant: &SoakTenant) {
+        let mut connections: Vec<Client> = self.nodes.iter().map(|_| Client::default()).collect();
         for node in (0..self.nodes.len()).cycle() {
-            if self.is_over() {
+            if self.is_finished() {
                 return;
             }
             if self.ready[node].load(Ordering::SeqCst) {
-                let kind = if node.is_multiple_of(2) { Kind::AtMostOnce } else { Kind::Repeatable };
+                let kind = if node.is_multiple_of(2) {
+                    RequestKind::AtMostOnce
+                } else {
+                    RequestKind::Repeatable
+                };
                 self.send_as(tenant.name, &mut connections[node], node, kind);
             }
-            std::thread::sleep(Duration::from_millis(tenant.asks_every_ms * CALLERS_A_TENANT));
+            std::thread::sleep(Duration::from_millis(
+                tenant.request_interval_ms * CLIENTS_PER_TENANT,
+            ));
         }
     }
 
     /// Sends a request that ends runners again and again, to any node.
-    fn send_deadly(&self, number: usize) {
-        let mut turn = number;
-        while self.deadly.load(Ordering::SeqCst) {
-            turn += 1;
-            let node = turn % self.nodes.len();
+    fn send_poison(&self, number: usize) {
+        let mut index = number;
+        while self.sends_poison.load(Ordering::SeqCst) {
+            index += 1;
+            let node = index % self.nodes.len();
             if self.ready[node].load(Ordering::SeqCst) {
-                self.send(&mut Caller::default(), node, Kind::Deadly { number });
+                self.send(&mut Client::default(), node, RequestKind::Poison { number });
             }
-            std::thread::sleep(BETWEEN_DEADLY);
+            std::thread::sleep(POISON_INTERVAL);
         }
     }
 
     /// Starts new runners for those that have ended.
-    fn replace_ended(self: &Arc<Self>) {
-        while !self.is_over() {
-            lock(&self.fleet).list_changed_roles();
-            let ended = lock(&self.fleet).take_ended();
-            for runner in ended {
-                let world = self.clone();
-                std::thread::spawn(move || world.replace_one(&runner));
+    fn replace_crashed_runners(self: &Arc<Self>) {
+        while !self.is_finished() {
+            lock(&self.fleet).register_changed_roles();
+            let crashed = lock(&self.fleet).take_crashed();
+            for runner in crashed {
+                let soak_run = self.clone();
+                std::thread::spawn(move || soak_run.replace_crashed_runner(&runner));
             }
-            std::thread::sleep(ENDED_POLL);
+            std::thread::sleep(CRASH_POLL_INTERVAL);
         }
     }
 
-    fn replace_one(&self, ended: &SoakRunner) {
-        let down = if self.has_lives { self.next_pause() } else { RUNNER_DOWN };
-        if down > ENTRY_LASTS {
-            std::thread::sleep(ENTRY_LASTS);
-            lock(&self.fleet).unlist(ended);
-            std::thread::sleep(down - ENTRY_LASTS);
+    fn replace_crashed_runner(&self, crashed: &SoakRunner) {
+        let downtime =
+            if self.has_incarnations { self.next_restart_delay() } else { RUNNER_DOWNTIME };
+        if downtime > REGISTRY_ENTRY_TTL {
+            std::thread::sleep(REGISTRY_ENTRY_TTL);
+            lock(&self.fleet).unregister(crashed);
+            std::thread::sleep(downtime - REGISTRY_ENTRY_TTL);
         } else {
-            std::thread::sleep(down);
+            std::thread::sleep(downtime);
         }
-        if let Err(error) = lock(&self.fleet).start_in_place_of(ended) {
-            eprintln!("soak: no runner in place of {}: {error}", ended.id);
+        if let Err(error) = lock(&self.fleet).restart_or_replace(crashed) {
+            eprintln!("soak: no runner in place of {}: {error}", crashed.id);
         }
-        std::thread::sleep(ENTRY_LASTS.saturating_sub(down));
-        lock(&self.fleet).unlist(ended);
+        std::thread::sleep(REGISTRY_ENTRY_TTL.saturating_sub(downtime));
+        lock(&self.fleet).unregister(crashed);
     }
 
     /// After which time the next runner that has ended starts again.
-    fn next_pause(&self) -> Duration {
-        let turn = self.next_rebirth.fetch_add(1, Ordering::SeqCst);
-        REBORN_AFTER[turn % REBORN_AFTER.len()]
+    fn next_restart_delay(&self) -> Duration {
+        let index = self.next_restart.fetch_add(1, Ordering::SeqCst);
+        RESTART_DELAYS[index % RESTART_DELAYS.len()]
     }
 
-    fn send(&self, caller: &mut Caller, node: usize, kind: Kind) -> Outcome {
-        self.send_as("r", caller, node, kind)
+    fn send(&self, client: &mut Client, node: usize, kind: RequestKind) -> Outcome {
+        self.send_as("r", client, node, kind)
     }
 
-    fn send_as(&self, sender: &str, caller: &mut Caller, node: usize, kind: Kind) -> Outcome {
+    fn send_as(
+        &self,
+        sender: &str,
+        client: &mut Client,
+        node: usize,
+        kind: RequestKind,
+    ) -> Outcome {
         let number = self.next_request.fetch_add(1, Ordering::SeqCst);
         let id = format!("{sender}-{number}");
         let request = if self.has_regions { id_with_node(&id, node) } else { id };
-        self.recorder.note(Event::Sent { request: request.clone(), kind, node });
-        let outcome = caller.exchange(self.callers[node], &request_bytes(&request, kind));
-        self.recorder.note(Event::Ended { request, outcome: outcome.clone() });
+        self.recorder.record(Event::Sent { request: request.clone(), kind, node });
+        let outcome = client.exchange(self.client_addresses[node], &request_bytes(&request, kind));
+        self.recorder.record(Event::Ended { request, outcome: outcome.clone() });
         outcome
     }
 
-    fn play(self: &Arc<Self>, steps: &[Step], started: Instant, length: Duration) {
+    fn run_steps(self: &Arc<Self>, steps: &[Step], started: Instant, length: Duration) {
         let mut running = Vec::new();
-        let deadly_until = started + length.saturating_sub(RECOVERY);
+        let poison_until = started + length.saturating_sub(RECOVERY_TIME);
         for step in steps {
             std::thread::sleep((started + step.at).saturating_duration_since(Instant::now()));
-            let (world, step) = (self.clone(), step.clone());
-            running.push(std::thread::spawn(move || world.act(&step)));
+            let (soak_run, step) = (self.clone(), step.clone());
+            running.push(std::thread::spawn(move || soak_run.perform(&step)));
         }
         running.into_iter().for_each(|step| drop(step.join()));
-        std::thread::sleep(deadly_until.saturating_duration_since(Instant::now()));
-        self.deadly.store(false, Ordering::SeqCst);
-        let rest = started + length;
-        std::thread::sleep(rest.saturating_duration_since(Instant::now()));
+        std::thread::sleep(poison_until.saturating_duration_since(Instant::now()));
+        self.sends_poison.store(false, Ordering::SeqCst);
+        let end = started + length;
+        std::thread::sleep(end.saturating_duration_since(Instant::now()));
     }
 
     /// After the last fault each node answers each kind of request.
-    fn unserved_after_recovery(&self) -> Vec<Violation> {
-        let kinds = [Kind::AtMostOnce, Kind::Repeatable, Kind::ResumableStream];
+    fn violations_after_recovery(&self) -> Vec<Violation> {
+        let kinds =
+            [RequestKind::AtMostOnce, RequestKind::Repeatable, RequestKind::ResumableStream];
         let mut unserved = Vec::new();
-        let end = Instant::now() + RECOVERED_WITHIN;
+        let deadline = Instant::now() + RECOVERY_TIMEOUT;
         for (number, node) in self.nodes.iter().enumerate() {
             if lock(node).has_ended_by_itself() {
-                let what = format!("node {number} ended by itself");
-                unserved.push(Violation { promise: "no process ends by itself", what });
+                let detail = format!("node {number} ended by itself");
+                unserved.push(Violation { promise: "no process ends by itself", detail });
             }
             for kind in kinds {
                 let answers = || {
                     matches!(
-                        self.send(&mut Caller::default(), number, kind),
-                        Outcome::Whole { status: 200, .. }
+                        self.send(&mut Client::default(), number, kind),
+                        Outcome::Complete { status: 200, .. }
                     )
                 };
                 while !answers() {
-                    if Instant::now() >= end {
-                        let what = format!("node {number} does not answer {kind:?}");
-                        unserved.push(Violation { promise: "recovery", what });
+                    if Instant::now() >= deadline {
+                        let detail = format!("node {number} does not answer {kind:?}");
+                        unserved.push(Violation { promise: "recovery", detail });
                         break;
                     }
-                    std::thread::sleep(HEALTH_EVERY);
+                    std::thread::sleep(HEALTH_POLL_INTERVAL);
                 }
             }
         }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -7,107 +7,107 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longer than any request is held.
-const ANSWER_LIMIT: Duration = Duration::from_secs(12);
-const MOST_HEADERS: usize = 32;
-const BUFFER_BYTES: usize = 16 * 1024;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
+const MAX_HEADERS: usize = 32;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// A caller's connection to one node.
 #[derive(Default)]
-pub struct Caller {
-    kept: Option<TcpStream>,
+pub struct Client {
+    connection: Option<TcpStream>,
 }
 
-impl Caller {
+impl Client {
     /// Whether there is an open connection, as far as is known.
     pub fn is_open(&self) -> bool {
-        self.kept.is_some()
+        self.connection.is_some()
     }
 
     /// Sends a request to a node, on the open connection if there is one.
     pub fn exchange(&mut self, node: SocketAddr, request: &[u8]) -> Outcome {
-        let stream = match self.kept.take() {
-            Some(kept) => Some(kept),
-            None => TcpStream::connect_timeout(&node, CONNECT_LIMIT).ok(),
+        let stream = match self.connection.take() {
+            Some(connection) => Some(connection),
+            None => TcpStream::connect_timeout(&node, CONNECT_TIMEOUT).ok(),
         };
         let Some(mut stream) = stream else { return Outcome::NotSent };
-        let ready = stream.set_read_timeout(Some(ANSWER_LIMIT)).is_ok();
-        if !ready || stream.write_all(request).is_err() {
-            return Outcome::Broken;
+        let has_timeout = stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).is_ok();
+        if !has_timeout || stream.write_all(request).is_err() {
+            return Outcome::Disconnected;
         }
-        let (outcome, is_kept) = read_answer(&mut stream);
-        if is_kept {
-            self.kept = Some(stream);
+        let (outcome, is_reusable) = read_response(&mut stream);
+        if is_reusable {
+            self.connection = Some(stream);
         }
         outcome
     }
 }
 
 /// Reads an answer; also tells whether the connection may be used again.
-fn read_answer(stream: &mut TcpStream) -> (Outcome, bool) {
-    let end = Instant::now() + ANSWER_LIMIT;
+fn read_response(stream: &mut TcpStream) -> (Outcome, bool) {
+    let deadline = Instant::now() + RESPONSE_TIMEOUT;
     let mut bytes = Vec::new();
-    let mut buffer = [0; BUFFER_BYTES];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         match parse(&bytes) {
-            Some(Parsed::Whole { outcome, is_kept }) => return (outcome, is_kept),
-            Some(Parsed::Garbage) => return (Outcome::Garbage, false),
-            None if Instant::now() >= end => return (Outcome::Broken, false),
+            Some(Parsed::Complete { outcome, is_reusable }) => return (outcome, is_reusable),
+            Some(Parsed::Malformed) => return (Outcome::Malformed, false),
+            None if Instant::now() >= deadline => return (Outcome::Disconnected, false),
             None => {}
         }
         match stream.read(&mut buffer) {
-            Ok(0) => return (Outcome::Broken, false),
+            Ok(0) => return (Outcome::Disconnected, false),
             Ok(length) => bytes.extend_from_slice(&buffer[..length]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return (Outcome::Broken, false),
+            Err(_) => return (Outcome::Disconnected, false),
         }
     }
 }
 
 enum Parsed {
-    Whole { outcome: Outcome, is_kept: bool },
-    Garbage,
+    Complete { outcome: Outcome, is_reusable: bool },
+    Malformed,
 }
 
 /// Reads an answer; `None` if it is not whole.
 fn parse(bytes: &[u8]) -> Option<Parsed> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let head = match response.parse(bytes) {
+    let head_bytes = match response.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return None,
-        Err(_) => return Some(Parsed::Garbage),
+        Err(_) => return Some(Parsed::Malformed),
     };
     let status = response.code?;
-    let header = |name: &str| {
-        let found = response.headers.iter().find(|it| it.name.eq_ignore_ascii_case(name));
-        found.map(|it| String::from_utf8_lossy(it.value).into_owned())
+    let value_of = |name: &str| {
+        let header = response.headers.iter().find(|it| it.name.eq_ignore_ascii_case(name));
+        header.map(|it| String::from_utf8_lossy(it.value).into_owned())
     };
-    let rest = &bytes[head..];
-    let is_chunked = header("transfer-encoding").is_some_and(|it| it.contains("chunked"));
+    let remaining = &bytes[head_bytes..];
+    let is_chunked = value_of("transfer-encoding").is_some_and(|it| it.contains("chunked"));
     let body = if is_chunked {
-        dechunk(rest)?
+        decode_chunked(remaining)?
     } else {
-        let length: usize = header("content-length").map_or(Some(0), |it| it.parse().ok())?;
-        rest.get(..length)?.to_vec()
+        let length: usize = value_of("content-length").map_or(Some(0), |it| it.parse().ok())?;
+        remaining.get(..length)?.to_vec()
     };
-    let echoed = header(ANSWERED_ID);
-    let closes = header("connection").is_some_and(|it| it.eq_ignore_ascii_case("close"));
-    let outcome = Outcome::Whole { status, echoed, body };
-    Some(Parsed::Whole { outcome, is_kept: !closes })
+    let echoed_id = value_of(ANSWERED_ID);
+    let closes = value_of("connection").is_some_and(|it| it.eq_ignore_ascii_case("close"));
+    let outcome = Outcome::Complete { status, echoed_id, body };
+    Some(Parsed::Complete { outcome, is_reusable: !closes })
 }
 
-fn dechunk(mut rest: &[u8]) -> Option<Vec<u8>> {
+fn decode_chunked(mut remaining: &[u8]) -> Option<Vec<u8>> {
     const LINE_END: &[u8] = b"\r\n";
     let mut body = Vec::new();
     loop {
-        let line_end = rest.windows(LINE_END.len()).position(|window| window == LINE_END)?;
-        let line = std::str::from_utf8(&rest[..line_end]).ok()?;
+        let line_end = remaining.windows(LINE_END.len()).position(|window| window == LINE_END)?;
+        let line = std::str::from_utf8(&remaining[..line_end]).ok()?;
         let size = usize::from_str_radix(line.trim(), 16).ok()?;
         let start = line_end + LINE_END.len();
-        body.extend_from_slice(rest.get(start..start + size)?);
-        rest = rest.get(start + size + LINE_END.len()..)?;
+        body.extend_from_slice(remaining.get(start..start + size)?);
+        remaining = remaining.get(start + size + LINE_END.len()..)?;
         if size == 0 {
             return Some(body);
         }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,15 +1,15 @@
 //! The stand-ins of a soak: the store, runners behind links, the operators' configuration.
 
 use crate::checks::request_body;
-use crate::history::{Event, Kind, Recorder};
+use crate::history::{Event, Recorder, RequestKind};
 use crate::plan::{
-    has_large_configurations, has_limits, has_lives, has_named_limits, has_returns,
+    has_incarnations, has_large_configurations, has_limits, has_reported_limits, has_restores,
     has_self_reports,
 };
 use crate::proxy::Link;
 use crate::regions::RegionLink;
 use crate::reported_limits::LimitPhases;
-use crate::runner_script::{deadly_body, script, Place, Voice, Worker};
+use crate::runner_script::{poison_body, script, RunnerLocation, SelfReporting, Worker};
 use crate::tenants::{document, tenant_of, tenants, SoakTenant, WINDOW_S};
 use pitchstall_platform_standins::client::CallerRequest;
 use pitchstall_platform_standins::cloud::CloudStandIn;
@@ -36,13 +36,13 @@
 const ENGINE_SERVICE: &str = "engine";
 const DESK_SERVICE: &str = "desk";
 /// Time for which callers wait, milliseconds.
-const DEADLINE_MS: u64 = 5_000;
+const REQUEST_DEADLINE_MS: u64 = 5_000;
 /// Time for which what a runner has answered is held up on its way when it ends, and time in which answers get that
 /// far before it does.
-const HELD_UP_FOR: Duration = Duration::from_millis(1_500);
-const HELD_UP_BEFORE: Duration = Duration::from_millis(200);
+const LATE_RESPONSE_DELAY: Duration = Duration::from_millis(1_500);
+const DELAY_BEFORE_CRASH: Duration = Duration::from_millis(200);
 /// The body of the answer to a request.
-pub fn answer_body(request: &str) -> String {
+pub fn response_body(request: &str) -> String {
     format!("answer to {request}")
 }
 
@@ -59,7 +59,7 @@
     /// What it does, where it takes orders.
     role: Option<Arc<Role>>,
     /// Whether its answers say that it leaves.
-    says_that_it_leaves: Arc<AtomicBool>,
+    reports_leaving: Arc<AtomicBool>,
     /// When this life began, Unix milliseconds, where that is told.
     born_ms: Option<u64>,
 }
@@ -73,18 +73,18 @@
 
     /// Ends it while its last answers are held up on their way: they arrive when its next life may have begun.
     /// Returns what is to be run for that.
-    pub fn crash_behind_late_answers(&self) -> impl FnOnce() + Send + 'static {
+    pub fn crash_with_delayed_responses(&self) -> impl FnOnce() + Send + 'static {
         let (link, stand_in) = (self.link.clone(), self.stand_in.clone());
         move || {
-            link.set_delay(HELD_UP_FOR);
-            std::thread::sleep(HELD_UP_BEFORE);
+            link.set_delay(LATE_RESPONSE_DELAY);
+            std::thread::sleep(DELAY_BEFORE_CRASH);
             stand_in.crash();
-            std::thread::sleep(HELD_UP_FOR);
+            std::thread::sleep(LATE_RESPONSE_DELAY);
             link.close();
         }
     }
 
-    fn stage_now(&self) -> Option<&'static str> {
+    fn current_stage(&self) -> Option<&'static str> {
         self.role.as_ref().map_or(self.stage, |role| Some(role.stage()))
     }
 }
@@ -112,7 +112,7 @@
     /// Starts a store with a first configuration, and runners in each zone.
     pub fn start(seed: u64, recorder: Recorder) -> std::io::Result<Self> {
         let store = StoreStandIn::start()?;
-        if has_returns(seed) {
+        if has_restores(seed) {
             store.tell_era(1);
         }
         let runners = Vec::new();
@@ -129,30 +129,34 @@
             version: 0,
             seed,
         };
-        fleet.note_limits();
+        fleet.record_tenant_limits();
         fleet.configure();
         for zone in ZONES {
-            for stage in stages(seed, zone) {
-                fleet.add(zone, stage)?;
+            for stage in initial_stages(seed, zone) {
+                fleet.add_runner(zone, stage)?;
             }
         }
         Ok(fleet)
     }
 
-    fn note_limits(&self) {
-        const MICROS: f64 = 1_000_000.0;
+    fn record_tenant_limits(&self) {
+        const MICROS_PER_S: f64 = 1_000_000.0;
         for tenant in &self.tenants {
             if let Some(limit) = tenant.limit {
-                let window_us = (WINDOW_S * MICROS) as u64;
-                let most_units = limit.most_in_a_window() as u64;
+                let window_us = (WINDOW_S * MICROS_PER_S) as u64;
+                let max_units = limit.max_units_per_window() as u64;
                 let tenant = tenant.name;
-                self.recorder.note(Event::Limited { tenant, window_us, most_units });
+                self.recorder.record(Event::TenantLimitSet { tenant, window_us, max_units });
             }
         }
     }
 
     /// Starts a runner under a new name and lists it.
-    fn add(&mut self, zone: &'static str, stage: Option<&'static str>) -> std::io::Result<()> {
+    fn add_runner(
+        &mut self,
+        zone: &'static str,
+        stage: Option<&'static str>,
+    ) -> std::io::Result<()> {
         let id = format!("i-{}", self.next_runner);
         self.start_runner(id, zone, stage)
     }
@@ -166,28 +170,29 @@
         let number = self.next_runner;
         self.next_runner += 1;
         let own_link = Arc::new(OnceLock::new());
-        let place = Place { id: id.clone(), zone, regions: self.regions.clone() };
-        let born_ms = has_lives(self.seed).then(unix_ms);
-        let takes_orders = has_self_reports(self.seed);
-        let role = stage.filter(|_| takes_orders).map(|stage| Arc::new(Role::new(stage, born_ms)));
+        let location = RunnerLocation { id: id.clone(), zone, regions: self.regions.clone() };
+        let born_ms = has_incarnations(self.seed).then(unix_ms);
+        let accepts_orders = has_self_reports(self.seed);
+        let role =
+            stage.filter(|_| accepts_orders).map(|stage| Arc::new(Role::new(stage, born_ms)));
         let worker = Worker { id: id.clone(), stage, role: role.clone() };
-        let says_that_it_leaves = Arc::new(AtomicBool::new(false));
-        let voice = Voice {
-            speaks: has_self_reports(self.seed),
-            says_that_it_leaves: says_that_it_leaves.clone(),
-            limits: has_named_limits(self.seed)
+        let reports_leaving = Arc::new(AtomicBool::new(false));
+        let self_reporting = SelfReporting {
+            is_enabled: has_self_reports(self.seed),
+            reports_leaving: reports_leaving.clone(),
+            limits: has_reported_limits(self.seed)
                 .then(|| LimitPhases::new(self.seed ^ (number << 8))),
-            named: Mutex::default(),
+            last_reported: Mutex::default(),
         };
-        if has_named_limits(self.seed) {
+        if has_reported_limits(self.seed) {
             // What the life before it has named is over.
-            let change = Event::LimitChanged { runner: id.clone(), thousandths: None };
-            self.recorder.note(change);
+            let change = Event::LimitChanged { runner: id.clone(), milli_requests_per_s: None };
+            self.recorder.record(change);
         }
         let script = script(
-            place,
+            location,
             worker,
-            voice,
+            self_reporting,
             self.recorder.clone(),
             self.seed ^ number,
             own_link.clone(),
@@ -197,29 +202,20 @@
         // Nothing has come yet: it is not listed.
         let _ = own_link.set(link.clone());
         let service = if stage.is_some() { ENGINE_SERVICE } else { DESK_SERVICE };
-        let runner = SoakRunner {
-            id,
-            link,
-            service,
-            zone,
-            stage,
-            stand_in,
-            role,
-            says_that_it_leaves,
-            born_ms,
-        };
-        self.list(&runner, false);
+        let runner =
+            SoakRunner { id, link, service, zone, stage, stand_in, role, reports_leaving, born_ms };
+        self.register(&runner, false);
         self.runners.push(runner);
         Ok(())
     }
 
-    fn list(&self, runner: &SoakRunner, is_draining: bool) {
+    fn register(&self, runner: &SoakRunner, is_draining: bool) {
         let entry = RunnerDocument {
             service: runner.service,
             address: runner.link.address(),
             zone: runner.zone,
             is_draining,
-            stage: runner.stage_now(),
+            stage: runner.current_stage(),
             born_ms: runner.born_ms,
         };
         let (key, entry) = (runner_key(&runner.id), entry.to_json());
@@ -229,54 +225,55 @@
 
     /// A runner says that it leaves; another one takes its place. Returns the one that leaves. Where runners say so
     /// in their answers, the store hears of it later, by [`Self::acknowledge_leaving`].
-    pub fn replace(&mut self, index: usize) -> std::io::Result<SoakRunner> {
+    pub fn replace_runner(&mut self, index: usize) -> std::io::Result<SoakRunner> {
         let leaving = self.runners.swap_remove(index);
-        self.add(leaving.zone, leaving.stage)?;
+        self.add_runner(leaving.zone, leaving.stage)?;
         match has_self_reports(self.seed) {
-            true => leaving.says_that_it_leaves.store(true, Ordering::SeqCst),
-            false => self.acknowledge_leaving(&leaving),
+            true => leaving.reports_leaving.store(true, Ordering::SeqCst),
+            false => self.register_leaving(&leaving),
         }
         Ok(leaving)
     }
 
     /// The store takes in that a runner leaves.
-    pub fn acknowledge_leaving(&self, leaving: &SoakRunner) {
-        self.list(leaving, true);
-        self.recorder.note(Event::Draining { runner: leaving.id.clone() });
+    pub fn register_leaving(&self, leaving: &SoakRunner) {
+        self.register(leaving, true);
+        self.recorder.record(Event::Draining { runner: leaving.id.clone() });
     }
 
     /// Whether the store hears later than callers that a runner leaves.
-    pub fn acknowledges_late(&self) -> bool {
+    pub fn registers_leaving_late(&self) -> bool {
         has_self_reports(self.seed)
     }
 
     /// Lists the runners anew whose roles have changed.
-    pub fn list_changed_roles(&self) {
+    pub fn register_changed_roles(&self) {
         let has_changed = |runner: &&SoakRunner| runner.role.as_ref().is_some_and(|it| it.settle());
-        self.runners.iter().filter(has_changed).for_each(|runner| self.list(runner, false));
+        self.runners.iter().filter(has_changed).for_each(|runner| self.register(runner, false));
     }
 
     /// Takes out the runners that have ended.
-    pub fn take_ended(&mut self) -> Vec<SoakRunner> {
-        let (ended, others) = std::mem::take(&mut self.runners)
+    pub fn take_crashed(&mut self) -> Vec<SoakRunner> {
+        let (crashed, others) = std::mem::take(&mut self.runners)
             .into_iter()
             .partition(|runner| runner.stand_in.has_ended());
         self.runners = others;
-        ended
+        crashed
     }
 
     /// Starts a runner in place of one that has ended: the same one, if runners have lives.
-    pub fn start_in_place_of(&mut self, ended: &SoakRunner) -> std::io::Result<()> {
-        match ended.born_ms {
-            Some(_) => self.start_runner(ended.id.clone(), ended.zone, ended.stage),
-            None => self.add(ended.zone, ended.stage),
+    pub fn restart_or_replace(&mut self, crashed: &SoakRunner) -> std::io::Result<()> {
+        match crashed.born_ms {
+            Some(_) => self.start_runner(crashed.id.clone(), crashed.zone, crashed.stage),
+            None => self.add_runner(crashed.zone, crashed.stage),
         }
     }
 
     /// A life of a runner is over. Its entry is gone, unless the runner has started again.
-    pub fn unlist(&self, runner: &SoakRunner) {
-        let is_back = |other: &SoakRunner| other.id == runner.id && other.born_ms != runner.born_ms;
-        if self.runners.iter().any(is_back) {
+    pub fn unregister(&self, runner: &SoakRunner) {
+        let has_restarted =
+            |other: &SoakRunner| other.id == runner.id && other.born_ms != runner.born_ms;
+        if self.runners.iter().any(has_restarted) {
             return;
         }
         let key = runner_key(&runner.id);
@@ -285,13 +282,13 @@
     }
 
     /// The operator and the runners write theirs again, as the store has come back from an older copy.
-    pub fn write_again(&self) {
+    pub fn rewrite_documents(&self) {
         self.put_configuration();
         self.entries.borrow().iter().for_each(|(key, entry)| self.store.put(key, entry));
     }
 
     /// Entries that an older copy of the store has brought back, and that nobody writes, are gone.
-    pub fn drop_unwritten(&self) {
+    pub fn remove_stale_entries(&self) {
         let entries = self.entries.borrow();
         let found = self.store.keys(&runner_key(""));
         found
@@ -305,7 +302,7 @@
     pub fn configure(&mut self) {
         self.version += 1;
         self.put_configuration();
-        self.recorder.note(Event::Configured { version: self.version });
+        self.recorder.record(Event::Configured { version: self.version });
     }
 
     fn put_configuration(&self) {
@@ -315,19 +312,20 @@
 
     /// Routes that nobody asks for. Large configurations grow to what a store's entry may hold.
     fn idle_routes(&self) -> usize {
-        const A_CHANGE: u64 = 1_400;
-        const MOST: u64 = 4_200;
+        const ROUTES_PER_VERSION: u64 = 1_400;
+        const MAX_IDLE_ROUTES: u64 = 4_200;
         let is_large = has_large_configurations(self.seed);
-        let routes = if is_large { (self.version * A_CHANGE).min(MOST) } else { 0 };
+        let routes =
+            if is_large { (self.version * ROUTES_PER_VERSION).min(MAX_IDLE_ROUTES) } else { 0 };
         usize::try_from(routes).unwrap_or(usize::MAX)
     }
 
     /// Notes the usage reports that the platform has taken.
-    pub fn note_reports(&self) {
-        const DONE: u16 = 200;
-        for call in self.cloud.calls().into_iter().filter(|call| call.status == DONE) {
+    pub fn record_usage_reports(&self) {
+        const OK: u16 = 200;
+        for call in self.cloud.calls().into_iter().filter(|call| call.status == OK) {
             let (window, counts) = call.usage_report();
-            self.recorder.note(Event::Reported { window, counts });
+            self.recorder.record(Event::UsageReported { window, counts });
         }
     }
 
@@ -339,9 +337,9 @@
 
 /// What the runners of a zone do at first. Where they take orders, nobody in the store's zone writes: a role is
 /// ordered there at the start, and whenever the runner that has it ends and is back in its first one.
-fn stages(seed: u64, zone: &str) -> [Option<&'static str>; 5] {
-    let has_no_writer = has_self_reports(seed) && zone == ZONES[0];
-    let others = if has_no_writer { "prefill" } else { "decode" };
+fn initial_stages(seed: u64, zone: &str) -> [Option<&'static str>; 5] {
+    let starts_without_decode = has_self_reports(seed) && zone == ZONES[0];
+    let others = if starts_without_decode { "prefill" } else { "decode" };
     [Some("prefill"), Some(others), Some(others), None, None]
 }
 
@@ -364,37 +362,41 @@
     };
     let service =
         |name, has_engines| ServiceDocument { name, has_engines, max_connections: MAX_CONNECTIONS };
-    let own: Vec<String> =
-        (version.saturating_sub(1).max(1)..=version).map(|own| format!("v{own}")).collect();
+    let version_routes: Vec<String> =
+        (version.saturating_sub(1).max(1)..=version).map(|number| format!("v{number}")).collect();
     let mut routes = vec![
         route("booking", RouteKind::AtMostOnce, DESK_SERVICE),
         route("lookup", RouteKind::Repeatable, DESK_SERVICE),
         route("summary", RouteKind::ResumableStream, ENGINE_SERVICE),
     ];
-    routes.extend(own.iter().map(|name| route(name, RouteKind::Repeatable, DESK_SERVICE)));
-    let idle: Vec<String> = (0..idle_routes).map(|number| format!("idle-{number}")).collect();
-    routes.extend(idle.iter().map(|name| route(name, RouteKind::Repeatable, DESK_SERVICE)));
+    routes
+        .extend(version_routes.iter().map(|name| route(name, RouteKind::Repeatable, DESK_SERVICE)));
+    let idle_routes: Vec<String> =
+        (0..idle_routes).map(|number| format!("idle-{number}")).collect();
+    routes.extend(idle_routes.iter().map(|name| route(name, RouteKind::Repeatable, DESK_SERVICE)));
     let services = [service(DESK_SERVICE, false), service(ENGINE_SERVICE, true)];
     let tenants: Vec<_> = tenants.iter().map(document).collect();
     documents::configuration(version, &routes, &services, &tenants)
 }
 
 /// The bytes of a request of a kind.
-pub fn request_bytes(request: &str, kind: Kind) -> Vec<u8> {
+pub fn request_bytes(request: &str, kind: RequestKind) -> Vec<u8> {
     let (method, path) = match kind {
-        Kind::Repeatable => ("GET", "lookup".to_owned()),
-        Kind::AtMostOnce => ("POST", "booking".to_owned()),
-        Kind::ResumableStream => ("POST", "summary".to_owned()),
-        Kind::Deadly { number } if number.is_multiple_of(2) => ("POST", "summary".to_owned()),
-        Kind::Deadly { .. } => ("POST", "lookup".to_owned()),
-        Kind::Probe { version } => ("GET", format!("v{version}")),
+        RequestKind::Repeatable => ("GET", "lookup".to_owned()),
+        RequestKind::AtMostOnce => ("POST", "booking".to_owned()),
+        RequestKind::ResumableStream => ("POST", "summary".to_owned()),
+        RequestKind::Poison { number } if number.is_multiple_of(2) => {
+            ("POST", "summary".to_owned())
+        }
+        RequestKind::Poison { .. } => ("POST", "lookup".to_owned()),
+        RequestKind::Probe { version } => ("GET", format!("v{version}")),
     };
     let body = match kind {
-        Kind::Deadly { number } => deadly_body(number),
+        RequestKind::Poison { number } => poison_body(number),
         _ => request_body(request),
     };
     let path = format!("/{path}/x");
-    let (id, key, deadline_ms) = (request, tenant_of(request).key, DEADLINE_MS);
+    let (id, key, deadline_ms) = (request, tenant_of(request).key, REQUEST_DEADLINE_MS);
     let request =
         CallerRequest { method, host: HOST, path: &path, id, key, deadline_ms, body: &body };
     request.to_bytes()
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -5,7 +5,7 @@
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
@@ -13,7 +13,7 @@
     /// A stream that may go on at another runner.
     ResumableStream,
     /// Ends whatever runs it, and comes again and again with the same body.
-    Deadly {
+    Poison {
         /// Which of the seed's such requests.
         number: usize,
     },
@@ -28,18 +28,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// An answer that its framing calls whole.
-    Whole {
+    Complete {
         /// The status.
         status: u16,
         /// The id that the answer echoes.
-        echoed: Option<String>,
+        echoed_id: Option<String>,
         /// The body.
         body: Vec<u8>,
     },
     /// The connection ended within an answer, or before one.
-    Broken,
+    Disconnected,
     /// What came is no answer.
-    Garbage,
+    Malformed,
     /// No connection could be made; nothing was sent.
     NotSent,
 }
@@ -52,7 +52,7 @@
         /// The request's id.
         request: String,
         /// What may be done with it.
-        kind: Kind,
+        kind: RequestKind,
         /// The node.
         node: usize,
     },
@@ -73,19 +73,19 @@
         body: Vec<u8>,
     },
     /// A runner is going to break off the stream that it has begun for a request.
-    BrokenOff {
+    StreamAborted {
         /// The request's id.
         request: String,
     },
     /// A runner ends.
-    Crashed {
+    RunnerCrashed {
         /// The runner.
         runner: String,
         /// The id and the number of the request that ended it; `None`: it ended by itself.
-        under: Option<(String, usize)>,
+        cause: Option<(String, usize)>,
     },
     /// A runner was given a request without the name of its tenant, or with its key.
-    Unguarded {
+    TenantIdentityFault {
         /// The request's id.
         request: String,
         /// The runner.
@@ -101,13 +101,13 @@
         units: u64,
     },
     /// From now on no more than so many units of a tenant may run in any window.
-    Limited {
+    TenantLimitSet {
         /// The tenant.
         tenant: &'static str,
         /// Length of the windows, microseconds.
         window_us: u64,
         /// The most.
-        most_units: u64,
+        max_units: u64,
     },
     /// Two regions are cut off from each other, or that ends.
     RegionsCut {
@@ -115,14 +115,14 @@
         begins: bool,
     },
     /// The platform has taken the usage report of a window.
-    Reported {
+    UsageReported {
         /// The window.
         window: u64,
         /// Its counts.
         counts: String,
     },
     /// A runner takes an order.
-    Ordered {
+    OrderReceived {
         /// The runner.
         runner: String,
         /// Who gives it.
@@ -148,30 +148,30 @@
         runner: String,
     },
     /// A runner says in its answer to a request that it leaves.
-    ToldLeaving {
+    LeavingReported {
         /// The request's id.
         request: String,
         /// The runner.
         runner: String,
     },
     /// A runner turns a request away and says for how long it wants none from the node that has sent it.
-    AskedForRest {
+    BackoffRequested {
         /// The request's id.
         request: String,
         /// The runner.
         runner: String,
         /// For how long, microseconds.
-        rest_us: u64,
+        backoff_us: u64,
     },
     /// A runner begins to name a limit, names another one, or (`None`) ceases to name one.
     LimitChanged {
         /// The runner.
         runner: String,
         /// What it takes from all nodes together, thousandths of a request a second.
-        thousandths: Option<u64>,
+        milli_requests_per_s: Option<u64>,
     },
     /// A runner names its limit in the answer to a request.
-    NamedLimit {
+    LimitReported {
         /// The request's id.
         request: String,
         /// The runner.
@@ -183,49 +183,49 @@
         node: Option<usize>,
     },
     /// A fault begins or ends at the link to a runner.
-    RunnerDisturbed,
+    RunnerLinkDisturbed,
     /// A node's process starts.
-    Started {
+    NodeStarted {
         /// The node.
         node: usize,
     },
     /// A node is told to stop, as planned.
-    StopPlanned {
+    PlannedStop {
         /// The node.
         node: usize,
     },
 }
 
 /// An event and its time, microseconds.
-pub type Entry = (u64, Event);
+pub type TimedEvent = (u64, Event);
 
 /// Records events.
 #[derive(Clone)]
 pub struct Recorder {
     started: Instant,
-    entries: Arc<Mutex<Vec<Entry>>>,
+    events: Arc<Mutex<Vec<TimedEvent>>>,
 }
 
 impl Default for Recorder {
     fn default() -> Self {
-        Self { started: Instant::now(), entries: Arc::default() }
+        Self { started: Instant::now(), events: Arc::default() }
     }
 }
 
 impl Recorder {
     /// Notes an event.
-    pub fn note(&self, event: Event) {
-        let mut entries = self.lock();
+    pub fn record(&self, event: Event) {
+        let mut events = self.lock();
         let at_us = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
-        entries.push((at_us, event));
+        events.push((at_us, event));
     }
 
     /// All events so far.
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn events(&self) -> Vec<TimedEvent> {
         self.lock().clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Entry>> {
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<TimedEvent>> {
+        self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/soak/src/regions.rs
+++ b/crates/soak/src/regions.rs
@@ -12,9 +12,9 @@
 /// Region of each zone.
 pub const REGIONS: [(&str, &str); 2] = [(ZONES[0], "shore"), (ZONES[1], "hills")];
 /// Time that the way between the regions takes, each way.
-pub const DELAY: Duration = Duration::from_millis(30);
+pub const ONE_WAY_DELAY: Duration = Duration::from_millis(30);
 /// Stands before the node's number in an id.
-const NODE_MARK: &str = "-n";
+const NODE_SEPARATOR: &str = "-n";
 
 /// The way between the regions.
 #[derive(Clone, Debug, Default)]
@@ -40,18 +40,18 @@
 }
 
 /// Whether a node lies in the region where the store is.
-pub fn is_near_the_store(node: usize) -> bool {
+pub fn is_in_store_region(node: usize) -> bool {
     zone_of(node) == ZONES[0]
 }
 
 /// An id that names the node that is asked.
 pub fn id_with_node(id: &str, node: usize) -> String {
-    format!("{id}{NODE_MARK}{node}")
+    format!("{id}{NODE_SEPARATOR}{node}")
 }
 
 /// Whether a request was sent to a node of another zone, which is another region here; `false` if
 /// its id does not tell.
-pub fn comes_from_afar(request: &str, zone: &str) -> bool {
-    let node = request.rsplit_once(NODE_MARK).and_then(|(_, node)| node.parse::<usize>().ok());
+pub fn is_from_other_zone(request: &str, zone: &str) -> bool {
+    let node = request.rsplit_once(NODE_SEPARATOR).and_then(|(_, node)| node.parse::<usize>().ok());
     node.is_some_and(|node| zone_of(node) != zone)
 }
--- a/crates/soak/src/reported_limit_checks.rs
+++ b/crates/soak/src/reported_limit_checks.rs
@@ -1,48 +1,51 @@
 //! A runner that names how many requests a second it takes from all nodes together gets no more.
 
-use crate::checks::{History, CONTACT_US};
+use crate::checks::{History, CONTACT_BOUND_US};
 use crate::history::Event;
 use std::collections::{BTreeMap, HashMap};
 
 /// Length of the windows in which requests are counted, microseconds.
 const WINDOW_US: u64 = 4_000_000;
 /// Time from an answer that names a limit until its node counts as told, microseconds.
-const TOLD_AFTER_US: u64 = 500_000;
+const PROPAGATION_US: u64 = 500_000;
 
 /// A time for which a runner named one limit.
-struct NamedTime {
+struct LimitPeriod {
     from_us: u64,
     to_us: u64,
     /// The most that may arrive in a window.
-    allowed: usize,
+    max_arrivals: usize,
 }
 
 /// In any 4 s: one and a half times what the limit allows, and five.
-fn allowed(thousandths: u64) -> usize {
-    const SIX: u64 = 6;
-    const FIVE: u64 = 5;
-    const THOUSAND: u64 = 1_000;
-    usize::try_from(thousandths * SIX / THOUSAND + FIVE).unwrap_or(usize::MAX)
+fn max_arrivals(milli_requests_per_s: u64) -> usize {
+    const TOLERATED_SECONDS: u64 = 6;
+    const ALLOWANCE: u64 = 5;
+    const MILLI: u64 = 1_000;
+    usize::try_from(milli_requests_per_s * TOLERATED_SECONDS / MILLI + ALLOWANCE)
+        .unwrap_or(usize::MAX)
 }
 
 /// From a contact time after a runner first named a limit, its arrivals in some window from nodes that had passed on such an
 /// answer half a second before. Windows that begin earlier count as well. A node that was disturbed is excused.
-pub(crate) fn over_named_limits(history: &History) -> Vec<String> {
-    let named = named_times(history);
-    let told = told(history);
+pub(crate) fn exceeded_reported_limits(history: &History) -> Vec<String> {
+    let periods_by_runner = limit_periods(history);
+    let reports = reports(history);
     let mut broken = Vec::new();
-    for (runner, times) in &named {
-        for time in times {
-            let counted = counted_arrivals(history, runner, time, &told);
-            let after_contact = counted.iter().filter(|at| **at >= time.from_us + CONTACT_US);
-            let until = |last: u64| {
+    for (runner, periods) in &periods_by_runner {
+        for period in periods {
+            let counted = counted_arrivals(history, runner, period, &reports);
+            let after_contact =
+                counted.iter().filter(|at| **at >= period.from_us + CONTACT_BOUND_US);
+            let arrivals_in_window = |last: u64| {
                 counted.iter().filter(|at| **at <= last && **at + WINDOW_US > last).count()
             };
-            let fullest = after_contact.map(|last| (until(*last), *last)).max();
-            if let Some((count, at_us)) = fullest.filter(|(count, _)| *count > time.allowed) {
-                let allowed = time.allowed;
+            let fullest = after_contact.map(|last| (arrivals_in_window(*last), *last)).max();
+            if let Some((count, at_us)) = fullest.filter(|(count, _)| *count > period.max_arrivals)
+            {
+                let max_arrivals = period.max_arrivals;
                 broken.push(format!(
-                    "{runner}: {count} in the 4 s until {at_us} us, {allowed} allowed"
+                    "{runner}: {count} in the 4 s until {at_us} us, {max_arrivals} allowed"
                 ));
             }
         }
@@ -50,52 +53,52 @@
     broken
 }
 
-fn named_times<'a>(history: &History<'a>) -> BTreeMap<&'a str, Vec<NamedTime>> {
-    let mut all: BTreeMap<&str, Vec<NamedTime>> = BTreeMap::new();
-    for (at_us, event) in history.entries {
-        let Event::LimitChanged { runner, thousandths } = event else { continue };
-        let times = all.entry(runner).or_default();
-        if let Some(last) = times.last_mut().filter(|last| last.to_us == u64::MAX) {
+fn limit_periods<'a>(history: &History<'a>) -> BTreeMap<&'a str, Vec<LimitPeriod>> {
+    let mut all: BTreeMap<&str, Vec<LimitPeriod>> = BTreeMap::new();
+    for (at_us, event) in history.events {
+        let Event::LimitChanged { runner, milli_requests_per_s } = event else { continue };
+        let periods = all.entry(runner).or_default();
+        if let Some(last) = periods.last_mut().filter(|last| last.to_us == u64::MAX) {
             last.to_us = *at_us;
         }
-        if let Some(thousandths) = thousandths {
-            let allowed = allowed(*thousandths);
-            times.push(NamedTime { from_us: *at_us, to_us: u64::MAX, allowed });
+        if let Some(milli_requests_per_s) = milli_requests_per_s {
+            let max_arrivals = max_arrivals(*milli_requests_per_s);
+            periods.push(LimitPeriod { from_us: *at_us, to_us: u64::MAX, max_arrivals });
         }
     }
     all
 }
 
 /// When each node had passed on an answer of each runner that names a limit.
-fn told<'a>(history: &History<'a>) -> HashMap<(&'a str, usize), Vec<u64>> {
-    let mut told: HashMap<(&str, usize), Vec<u64>> = HashMap::new();
-    for (_, event) in history.entries {
-        let Event::NamedLimit { request, runner } = event else { continue };
+fn reports<'a>(history: &History<'a>) -> HashMap<(&'a str, usize), Vec<u64>> {
+    let mut reports: HashMap<(&str, usize), Vec<u64>> = HashMap::new();
+    for (_, event) in history.events {
+        let Event::LimitReported { request, runner } = event else { continue };
         let Some(exchange) = history.exchanges.get(request.as_str()) else { continue };
-        told.entry((runner.as_str(), exchange.node)).or_default().push(exchange.ended_us);
+        reports.entry((runner.as_str(), exchange.node)).or_default().push(exchange.ended_us);
     }
-    told
+    reports
 }
 
 fn counted_arrivals(
     history: &History,
     runner: &str,
-    time: &NamedTime,
-    told: &HashMap<(&str, usize), Vec<u64>>,
+    period: &LimitPeriod,
+    reports: &HashMap<(&str, usize), Vec<u64>>,
 ) -> Vec<u64> {
-    let arrived = history.entries.iter().filter_map(|(at_us, event)| match event {
+    let arrived = history.events.iter().filter_map(|(at_us, event)| match event {
         Event::Arrived { request, runner: at } if at == runner => Some((*at_us, request)),
         _ => None,
     });
     let counts = |(at_us, request): &(u64, &String)| {
         let Some(node) = history.node_of(request) else { return false };
-        let told_at = told.get(&(runner, node)).map_or(&[][..], Vec::as_slice);
-        let was_told = told_at
+        let report_times_us = reports.get(&(runner, node)).map_or(&[][..], Vec::as_slice);
+        let has_received_report = report_times_us
             .iter()
-            .any(|told_us| *told_us >= time.from_us && told_us + TOLD_AFTER_US <= *at_us);
-        let since_us = at_us.saturating_sub(CONTACT_US + WINDOW_US);
-        (time.from_us..time.to_us).contains(at_us)
-            && was_told
+            .any(|report_us| *report_us >= period.from_us && report_us + PROPAGATION_US <= *at_us);
+        let since_us = at_us.saturating_sub(CONTACT_BOUND_US + WINDOW_US);
+        (period.from_us..period.to_us).contains(at_us)
+            && has_received_report
             && !history.was_disturbed(node, since_us, *at_us)
     };
     arrived.filter(counts).map(|(at_us, _)| at_us).collect()
--- a/crates/soak/src/reported_limits.rs
+++ b/crates/soak/src/reported_limits.rs
@@ -6,22 +6,22 @@
 
 /// A limit that a runner may name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct NamedLimit {
+pub(crate) struct ReportedLimit {
     /// As the runner writes it, requests a second.
     pub(crate) text: &'static str,
     /// Thousandths of a request a second.
-    pub(crate) thousandths: u64,
+    pub(crate) milli_requests_per_s: u64,
 }
 
-const LIMITS: [NamedLimit; 4] = [
-    NamedLimit { text: "0", thousandths: 0 },
-    NamedLimit { text: "0.5", thousandths: 500 },
-    NamedLimit { text: "2.1", thousandths: 2_100 },
-    NamedLimit { text: "8", thousandths: 8_000 },
+const LIMITS: [ReportedLimit; 4] = [
+    ReportedLimit { text: "0", milli_requests_per_s: 0 },
+    ReportedLimit { text: "0.5", milli_requests_per_s: 500 },
+    ReportedLimit { text: "2.1", milli_requests_per_s: 2_100 },
+    ReportedLimit { text: "8", milli_requests_per_s: 8_000 },
 ];
 /// A limit is named, or not, for so long; longer than a contact time and a window.
-const PHASE: Duration = Duration::from_secs(9);
-const LIMITED_SHARE: f64 = 0.6;
+const PHASE_LENGTH: Duration = Duration::from_secs(9);
+const LIMIT_PROBABILITY: f64 = 0.6;
 
 /// What one runner names, by the time since it started.
 pub(crate) struct LimitPhases {
@@ -36,10 +36,10 @@
     }
 
     /// What it names now.
-    pub(crate) fn now(&self) -> Option<NamedLimit> {
-        let phase = self.started.elapsed().as_secs() / PHASE.as_secs();
-        let mut chance = ChaCha8Rng::seed_from_u64(self.seed.wrapping_add(phase));
-        let index = chance.random_range(0..LIMITS.len());
-        chance.random_bool(LIMITED_SHARE).then_some(LIMITS[index])
+    pub(crate) fn current(&self) -> Option<ReportedLimit> {
+        let phase = self.started.elapsed().as_secs() / PHASE_LENGTH.as_secs();
+        let mut rng = ChaCha8Rng::seed_from_u64(self.seed.wrapping_add(phase));
+        let index = rng.random_range(0..LIMITS.len());
+        rng.random_bool(LIMIT_PROBABILITY).then_some(LIMITS[index])
     }
 }
--- a/crates/soak/src/self_report_checks.rs
+++ b/crates/soak/src/self_report_checks.rs
@@ -1,20 +1,20 @@
 //! What runners say of themselves binds the node to which they have said it, whatever the store says.
 
-use crate::checks::{History, CONTACT_US, DRAIN_US};
+use crate::checks::{History, CONTACT_BOUND_US, DRAIN_BOUND_US};
 use crate::history::Event;
 use std::collections::HashMap;
 
 /// Time from an answer that asks for rest until it counts, microseconds: what is under way then may arrive.
-const CROSSING_US: u64 = 500_000;
+const IN_FLIGHT_US: u64 = 500_000;
 /// Requests that may arrive in the time of a rest.
-const MOST_IN_A_REST: usize = 2;
+const MAX_ARRIVALS_IN_BACKOFF: usize = 2;
 
 /// Arrivals at each runner from each node, in order of time.
 type Arrivals<'a> = HashMap<(&'a str, usize), Vec<(u64, &'a str)>>;
 
 fn arrivals<'a>(history: &History<'a>) -> Arrivals<'a> {
     let mut all = Arrivals::new();
-    for (at_us, event) in history.entries {
+    for (at_us, event) in history.events {
         let Event::Arrived { request, runner } = event else { continue };
         let Some(node) = history.node_of(request) else { continue };
         all.entry((runner, node)).or_default().push((*at_us, request));
@@ -24,19 +24,19 @@
 
 /// Requests that callers sent later than the time to drain after a node had passed on an answer whose runner says
 /// in it that it leaves, and which that node sent to that runner.
-pub(crate) fn sent_to_leaving(history: &History) -> Vec<String> {
+pub(crate) fn requests_after_leaving(history: &History) -> Vec<String> {
     let arrivals = arrivals(history);
     let mut broken = Vec::new();
-    for (_, event) in history.entries {
-        let Event::ToldLeaving { request, runner } = event else { continue };
-        let Some(told) = history.exchanges.get(request.as_str()) else { continue };
-        let Some(arrived) = arrivals.get(&(runner.as_str(), told.node)) else { continue };
-        for (at_us, later) in arrived {
-            let Some(exchange) = history.exchanges.get(later) else { continue };
-            let is_late = exchange.sent_us > told.ended_us + DRAIN_US;
-            if is_late && !history.was_disturbed(told.node, told.sent_us, *at_us) {
+    for (_, event) in history.events {
+        let Event::LeavingReported { request, runner } = event else { continue };
+        let Some(reporting) = history.exchanges.get(request.as_str()) else { continue };
+        let Some(arrived) = arrivals.get(&(runner.as_str(), reporting.node)) else { continue };
+        for (at_us, later_request) in arrived {
+            let Some(exchange) = history.exchanges.get(later_request) else { continue };
+            let is_late = exchange.sent_us > reporting.ended_us + DRAIN_BOUND_US;
+            if is_late && !history.was_disturbed(reporting.node, reporting.sent_us, *at_us) {
                 broken.push(format!(
-                    "{later}: sent to {runner}, which said in {request} that it leaves"
+                    "{later_request}: sent to {runner}, which said in {request} that it leaves"
                 ));
             }
         }
@@ -45,22 +45,23 @@
 }
 
 /// More than a few requests that reached a runner from a node in the time for which it wanted none.
-pub(crate) fn sent_to_resting(history: &History) -> Vec<String> {
+pub(crate) fn requests_during_backoff(history: &History) -> Vec<String> {
     let arrivals = arrivals(history);
     let mut broken = Vec::new();
-    for (asked_us, event) in history.entries {
-        let Event::AskedForRest { request, runner, rest_us } = event else { continue };
+    for (asked_us, event) in history.events {
+        let Event::BackoffRequested { request, runner, backoff_us } = event else { continue };
         let Some(node) = history.node_of(request) else { continue };
-        let (from_us, to_us) = (asked_us + CROSSING_US, asked_us + rest_us);
+        let (from_us, to_us) = (asked_us + IN_FLIGHT_US, asked_us + backoff_us);
         // A node that was cut off or held up may not have heard it yet.
-        if history.was_disturbed(node, asked_us.saturating_sub(CONTACT_US), to_us) {
+        if history.was_disturbed(node, asked_us.saturating_sub(CONTACT_BOUND_US), to_us) {
             continue;
         }
         let arrived = arrivals.get(&(runner.as_str(), node)).map_or(&[][..], Vec::as_slice);
-        let in_rest = arrived.iter().filter(|(at_us, _)| (from_us..to_us).contains(at_us)).count();
-        if in_rest > MOST_IN_A_REST {
+        let in_backoff =
+            arrived.iter().filter(|(at_us, _)| (from_us..to_us).contains(at_us)).count();
+        if in_backoff > MAX_ARRIVALS_IN_BACKOFF {
             broken.push(format!(
-                "{in_rest} from node {node} at {runner}, which asked for rest in {request}"
+                "{in_backoff} from node {node} at {runner}, which asked for rest in {request}"
             ));
         }
     }
--- a/crates/soak/src/tenants.rs
+++ b/crates/soak/src/tenants.rs
@@ -24,7 +24,7 @@
 
 impl SoakLimit {
     /// Units of one run.
-    pub fn units_of_a_run(&self) -> u64 {
+    pub fn units_per_run(&self) -> u64 {
         if self.counts_tokens {
             REQUEST_TOKENS
         } else {
@@ -33,7 +33,7 @@
     }
 
     /// Units that may run in any window.
-    pub fn most_in_a_window(&self) -> f64 {
+    pub fn max_units_per_window(&self) -> f64 {
         (self.rate_per_s as f64 * WINDOW_S + self.burst as f64) * (1.0 + OVERAGE)
     }
 
@@ -57,12 +57,16 @@
     /// Its limit, if it has one.
     pub limit: Option<SoakLimit>,
     /// Milliseconds between two requests of its own callers, who ask at all nodes in turn.
-    pub asks_every_ms: u64,
+    pub request_interval_ms: u64,
 }
 
 /// The tenant without a limit, whose callers send the load that every seed has.
-pub const USUAL: SoakTenant =
-    SoakTenant { name: "taxis", key: "soak-m82thhkmgjqnirth5mgj", limit: None, asks_every_ms: 15 };
+pub const UNLIMITED: SoakTenant = SoakTenant {
+    name: "taxis",
+    key: "soak-m82thhkmgjqnirth5mgj",
+    limit: None,
+    request_interval_ms: 15,
+};
 
 const fn limit(rate_per_s: u64, burst: u64, counts_tokens: bool) -> Option<SoakLimit> {
     Some(SoakLimit { rate_per_s, burst, counts_tokens })
@@ -74,37 +78,37 @@
         name: "couriers",
         key: "soak-q6v1nmrsd4p8zwkhy3tx",
         limit: limit(20, 10, false),
-        asks_every_ms: 16,
+        request_interval_ms: 16,
     },
     SoakTenant {
         name: "planners",
         key: "soak-t9b5gxc2fj7lqa0eunvr",
         limit: limit(9_200, 9_200, true),
-        asks_every_ms: 33,
+        request_interval_ms: 33,
     },
     SoakTenant {
         name: "cranes",
         key: "soak-w3yk8dhz1m6ocs5pibfj",
         limit: limit(60, 60, false),
-        asks_every_ms: 100,
+        request_interval_ms: 100,
     },
 ];
 
 /// The one that stays below.
-pub const BELOW: &str = "cranes";
+pub const BELOW_LIMIT: &str = "cranes";
 
 /// The tenants of a seed.
 pub fn tenants(with_limits: bool) -> Vec<SoakTenant> {
     let limited = LIMITED.iter().filter(|_| with_limits);
-    [USUAL].iter().chain(limited).copied().collect()
+    [UNLIMITED].iter().chain(limited).copied().collect()
 }
 
 /// The tenant whose name an id begins with; the usual one if there is none.
 pub fn tenant_of(request: &str) -> SoakTenant {
-    let begins = |tenant: &&SoakTenant| {
+    let has_prefix = |tenant: &&SoakTenant| {
         request.strip_prefix(tenant.name).is_some_and(|rest| rest.starts_with('-'))
     };
-    LIMITED.iter().find(begins).copied().unwrap_or(USUAL)
+    LIMITED.iter().find(has_prefix).copied().unwrap_or(UNLIMITED)
 }
 
 /// A tenant as it stands in the configuration.
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -3,102 +3,105 @@
 
 use pitchstall_platform_standins::runner::event_text;
 use pitchstall_soak::checks::{request_body, violations};
-use pitchstall_soak::fleet::{answer_body, LAST_EVENT};
-use pitchstall_soak::history::{Entry, Event, Kind, Outcome};
-use pitchstall_soak::plan::{has_limits, has_named_limits, has_regions, steps, Action, Step};
-use pitchstall_soak::regions::{comes_from_afar, id_with_node};
+use pitchstall_soak::fleet::{response_body, LAST_EVENT};
+use pitchstall_soak::history::{Event, Outcome, RequestKind, TimedEvent};
+use pitchstall_soak::plan::{has_limits, has_regions, has_reported_limits, steps, Action, Step};
+use pitchstall_soak::regions::{id_with_node, is_from_other_zone};
 use pitchstall_soak::tenants::{tenant_of, LIMITED};
 use std::time::Duration;
 use test_case::test_case;
 
 const SECOND: u64 = 1_000_000;
 
-fn sent(at: u64, request: &str, kind: Kind) -> Entry {
+fn sent(at: u64, request: &str, kind: RequestKind) -> TimedEvent {
     (at, Event::Sent { request: request.to_owned(), kind, node: 0 })
 }
 
-fn ran(at: u64, request: &str, runner: &str) -> Entry {
+fn ran(at: u64, request: &str, runner: &str) -> TimedEvent {
     let body = request_body(request).into_bytes();
     (at, Event::Ran { request: request.to_owned(), runner: runner.to_owned(), body })
 }
 
-fn ended(at: u64, request: &str, outcome: Outcome) -> Entry {
+fn ended(at: u64, request: &str, outcome: Outcome) -> TimedEvent {
     (at, Event::Ended { request: request.to_owned(), outcome })
 }
 
 fn whole(request: &str, status: u16, body: String) -> Outcome {
-    Outcome::Whole { status, echoed: Some(request.to_owned()), body: body.into_bytes() }
+    Outcome::Complete { status, echoed_id: Some(request.to_owned()), body: body.into_bytes() }
 }
 
-fn own_answer(request: &str) -> Outcome {
-    whole(request, 200, answer_body(request))
+fn own_response(request: &str) -> Outcome {
+    whole(request, 200, response_body(request))
 }
 
 fn stream(ids: impl Iterator<Item = u64>) -> Outcome {
     whole("r", 200, ids.map(event_text).collect())
 }
 
-fn broken(entries: &[Entry]) -> Vec<&'static str> {
-    let mut promises: Vec<_> = violations(entries).into_iter().map(|it| it.promise).collect();
+fn broken_promises(events: &[TimedEvent]) -> Vec<&'static str> {
+    let mut promises: Vec<_> = violations(events).into_iter().map(|it| it.promise).collect();
     promises.dedup();
     promises
 }
 
-fn exchange(kind: Kind, outcome: Outcome) -> Vec<Entry> {
+fn exchange(kind: RequestKind, outcome: Outcome) -> Vec<TimedEvent> {
     vec![sent(1, "r", kind), ran(2, "r", "i-1"), ended(3, "r", outcome)]
 }
 
-#[test_case(Kind::Repeatable, own_answer("r"); "an answer")]
-#[test_case(Kind::AtMostOnce, Outcome::Broken; "a failure")]
-#[test_case(Kind::ResumableStream, stream(0..=LAST_EVENT); "a stream")]
-#[test_case(Kind::Repeatable, whole("r", 503, String::new()); "a repeatable request that was refused")]
-fn a_sound_history_breaks_nothing(kind: Kind, outcome: Outcome) {
+#[test_case(RequestKind::Repeatable, own_response("r"); "an answer")]
+#[test_case(RequestKind::AtMostOnce, Outcome::Disconnected; "a failure")]
+#[test_case(RequestKind::ResumableStream, stream(0..=LAST_EVENT); "a stream")]
+#[test_case(RequestKind::Repeatable, whole("r", 503, String::new()); "a repeatable request that was refused")]
+fn a_sound_history_breaks_nothing(kind: RequestKind, outcome: Outcome) {
     assert_eq!(violations(&exchange(kind, outcome)), []);
 }
 
-#[test_case(Kind::Repeatable, own_answer("other"); "another answer")]
-#[test_case(Kind::Repeatable, whole("r", 200, "answer".to_owned()); "half an answer")]
-#[test_case(Kind::Repeatable, Outcome::Garbage; "no answer")]
-fn an_answer_that_is_not_its_own_is_found(kind: Kind, outcome: Outcome) {
-    assert_eq!(broken(&exchange(kind, outcome)), ["the whole answer to its own request"]);
+#[test_case(RequestKind::Repeatable, own_response("other"); "another answer")]
+#[test_case(RequestKind::Repeatable, whole("r", 200, "answer".to_owned()); "half an answer")]
+#[test_case(RequestKind::Repeatable, Outcome::Malformed; "no answer")]
+fn an_answer_that_is_not_its_own_is_found(kind: RequestKind, outcome: Outcome) {
+    assert_eq!(broken_promises(&exchange(kind, outcome)), ["the whole answer to its own request"]);
 }
 
 #[test_case(stream(0..LAST_EVENT); "cut short")]
 #[test_case(stream((0..=LAST_EVENT).filter(|id| *id != 3)); "a gap")]
 #[test_case(stream((0..=LAST_EVENT).chain([LAST_EVENT])); "doubled")]
 fn a_torn_stream_is_found(outcome: Outcome) {
-    assert_eq!(broken(&exchange(Kind::ResumableStream, outcome)), ["a stream whole and in order"]);
+    assert_eq!(
+        broken_promises(&exchange(RequestKind::ResumableStream, outcome)),
+        ["a stream whole and in order"]
+    );
 }
 
 #[test]
 fn a_doubled_run_is_found() {
-    let mut entries = exchange(Kind::AtMostOnce, own_answer("r"));
-    entries.push(ran(9, "r", "i-2"));
-    assert_eq!(broken(&entries), ["at most once"]);
+    let mut events = exchange(RequestKind::AtMostOnce, own_response("r"));
+    events.push(ran(9, "r", "i-2"));
+    assert_eq!(broken_promises(&events), ["at most once"]);
 }
 
 #[test]
 fn a_false_refusal_is_found_also_if_the_run_comes_later() {
     let refused = ended(2, "r", whole("r", 503, String::new()));
-    let entries = [sent(1, "r", Kind::AtMostOnce), refused, ran(9, "r", "i-1")];
-    assert_eq!(broken(&entries), ["a refusal is true"]);
+    let events = [sent(1, "r", RequestKind::AtMostOnce), refused, ran(9, "r", "i-1")];
+    assert_eq!(broken_promises(&events), ["a refusal is true"]);
 }
 
 #[test]
 fn a_run_that_nobody_asked_for_is_found() {
-    assert_eq!(broken(&[ran(1, "r", "i-1")]), ["runners run only what was asked"]);
+    assert_eq!(broken_promises(&[ran(1, "r", "i-1")]), ["runners run only what was asked"]);
 }
 
 #[test]
 fn a_runner_that_sees_a_key_or_no_tenant_is_found() {
-    let mut entries = exchange(Kind::Repeatable, own_answer("r"));
+    let mut events = exchange(RequestKind::Repeatable, own_response("r"));
     let (request, runner) = ("r".to_owned(), "i-1".to_owned());
-    entries.push((2, Event::Unguarded { request, runner }));
-    assert_eq!(broken(&entries), ["runners are told the tenant and not the key"]);
+    events.push((2, Event::TenantIdentityFault { request, runner }));
+    assert_eq!(broken_promises(&events), ["runners are told the tenant and not the key"]);
 }
 
-fn report(at: u64, window: u64, count: u64) -> Entry {
-    (at, Event::Reported { window, counts: format!("{{\"taxis\":{count}}}") })
+fn report(at: u64, window: u64, count: u64) -> TimedEvent {
+    (at, Event::UsageReported { window, counts: format!("{{\"taxis\":{count}}}") })
 }
 
 #[test]
@@ -106,7 +109,7 @@
     let alike = [report(1, 7, 3), report(2, 8, 4), report(3, 7, 3)];
     assert_eq!(violations(&alike), []);
     let different = [report(1, 7, 3), report(2, 7, 4)];
-    assert_eq!(broken(&different), ["one usage report for a window"]);
+    assert_eq!(broken_promises(&different), ["one usage report for a window"]);
 }
 
 #[test]
@@ -117,10 +120,10 @@
     assert!(!steps(24, length, 4).iter().any(is_cloud), "only planned work");
 }
 
-fn probe(at: u64, request: &str, version: u64, status: u16) -> [Entry; 2] {
+fn probe(at: u64, request: &str, version: u64, status: u16) -> [TimedEvent; 2] {
     let answer =
-        if status == 200 { own_answer(request) } else { whole(request, status, String::new()) };
-    [sent(at, request, Kind::Probe { version }), ended(at + 1, request, answer)]
+        if status == 200 { own_response(request) } else { whole(request, status, String::new()) };
+    [sent(at, request, RequestKind::Probe { version }), ended(at + 1, request, answer)]
 }
 
 #[test]
@@ -128,113 +131,114 @@
     let configured = (0, Event::Configured { version: 4 });
     let [asked, answered] = probe(9 * SECOND, "r", 4, 404);
     let late = [configured.clone(), asked.clone(), answered.clone()];
-    assert_eq!(broken(&late), ["a configuration is in force in time"]);
+    assert_eq!(broken_promises(&late), ["a configuration is in force in time"]);
     let disturbed = (7 * SECOND, Event::Disturbed { node: Some(0) });
     assert_eq!(violations(&[configured, disturbed, asked, answered]), []);
 }
 
 #[test]
 fn a_configuration_that_reverts_is_found_within_one_life() {
-    let started = |at| (at, Event::Started { node: 0 });
+    let started = |at| (at, Event::NodeStarted { node: 0 });
     let [new, new_end] = probe(SECOND, "a", 7, 200);
     let [old, old_end] = probe(2 * SECOND, "b", 4, 200);
     let runs = [ran(SECOND, "a", "i-1"), ran(2 * SECOND, "b", "i-1")];
-    let mut entries = vec![started(0), new, new_end, old, old_end];
-    entries.extend(runs);
-    assert_eq!(broken(&entries), ["a configuration never reverts"]);
-    entries.insert(3, started(3 * SECOND / 2));
-    assert_eq!(violations(&entries), []);
+    let mut events = vec![started(0), new, new_end, old, old_end];
+    events.extend(runs);
+    assert_eq!(broken_promises(&events), ["a configuration never reverts"]);
+    events.insert(3, started(3 * SECOND / 2));
+    assert_eq!(violations(&events), []);
 }
 
 #[test]
 fn work_for_a_runner_that_left_is_found() {
-    let mut entries = vec![(0, Event::Draining { runner: "i-1".to_owned() })];
-    entries.push(sent(9 * SECOND, "r", Kind::Repeatable));
-    entries.push(ran(9 * SECOND, "r", "i-1"));
-    entries.push(ended(9 * SECOND + 1, "r", own_answer("r")));
-    assert_eq!(broken(&entries), ["a leaving runner gets no work"]);
+    let mut events = vec![(0, Event::Draining { runner: "i-1".to_owned() })];
+    events.push(sent(9 * SECOND, "r", RequestKind::Repeatable));
+    events.push(ran(9 * SECOND, "r", "i-1"));
+    events.push(ended(9 * SECOND + 1, "r", own_response("r")));
+    assert_eq!(broken_promises(&events), ["a leaving runner gets no work"]);
 }
 
-fn arrived(at_us: u64, request: &str, runner: &str) -> Entry {
+fn arrived(at_us: u64, request: &str, runner: &str) -> TimedEvent {
     (at_us, Event::Arrived { request: request.to_owned(), runner: runner.to_owned() })
 }
 
 /// The store was away when the runner said so: that excuses nothing. A restart of the node does.
 #[test]
 fn work_for_a_runner_that_said_it_leaves_is_found() {
-    let told = Event::ToldLeaving { request: "a".to_owned(), runner: "i-1".to_owned() };
+    let reported = Event::LeavingReported { request: "a".to_owned(), runner: "i-1".to_owned() };
     let exchange = |at_us, request: &str| {
-        let answer = own_answer(request);
+        let answer = own_response(request);
         [
-            sent(at_us, request, Kind::Repeatable),
+            sent(at_us, request, RequestKind::Repeatable),
             ran(at_us, request, "i-1"),
             ended(at_us + 1, request, answer),
         ]
     };
-    let mut entries = vec![(SECOND / 2, Event::Disturbed { node: None }), (SECOND, told)];
-    entries.extend(exchange(SECOND, "a"));
-    entries.extend(exchange(2 * SECOND, "b"));
-    entries.push(arrived(2 * SECOND, "b", "i-1"));
-    assert_eq!(violations(&entries), [], "within the time to drain");
-    entries.extend(exchange(4 * SECOND, "c"));
-    entries.push(arrived(4 * SECOND, "c", "i-1"));
-    assert_eq!(broken(&entries), ["a runner that says that it leaves gets no work"]);
-    entries.push((3 * SECOND, Event::Started { node: 0 }));
-    assert_eq!(violations(&entries), []);
+    let mut events = vec![(SECOND / 2, Event::Disturbed { node: None }), (SECOND, reported)];
+    events.extend(exchange(SECOND, "a"));
+    events.extend(exchange(2 * SECOND, "b"));
+    events.push(arrived(2 * SECOND, "b", "i-1"));
+    assert_eq!(violations(&events), [], "within the time to drain");
+    events.extend(exchange(4 * SECOND, "c"));
+    events.push(arrived(4 * SECOND, "c", "i-1"));
+    assert_eq!(broken_promises(&events), ["a runner that says that it leaves gets no work"]);
+    events.push((3 * SECOND, Event::NodeStarted { node: 0 }));
+    assert_eq!(violations(&events), []);
 }
 
 #[test]
 fn a_third_request_in_a_rest_is_found() {
-    let rest = |rest_us| {
+    let rest = |backoff_us| {
         let (request, runner) = ("a".to_owned(), "i-1".to_owned());
-        (0, Event::AskedForRest { request, runner, rest_us })
+        (0, Event::BackoffRequested { request, runner, backoff_us })
     };
-    let mut entries = vec![sent(0, "a", Kind::Repeatable), rest(2 * SECOND)];
+    let mut events = vec![sent(0, "a", RequestKind::Repeatable), rest(2 * SECOND)];
     for (number, at_us) in [SECOND / 4, SECOND, SECOND + 1, 3 * SECOND].into_iter().enumerate() {
         let request = format!("r-{number}");
-        entries.push(sent(at_us, &request, Kind::Repeatable));
-        entries.push(arrived(at_us, &request, "i-1"));
+        events.push(sent(at_us, &request, RequestKind::Repeatable));
+        events.push(arrived(at_us, &request, "i-1"));
     }
-    assert_eq!(violations(&entries), [], "two, and others before and after");
-    entries.push(sent(SECOND, "third", Kind::Repeatable));
-    entries.push(arrived(SECOND + 2, "third", "i-1"));
-    assert_eq!(broken(&entries), ["a runner that asks for rest gets it"]);
+    assert_eq!(violations(&events), [], "two, and others before and after");
+    events.push(sent(SECOND, "third", RequestKind::Repeatable));
+    events.push(arrived(SECOND + 2, "third", "i-1"));
+    assert_eq!(broken_promises(&events), ["a runner that asks for rest gets it"]);
 }
 
 #[test]
 fn a_request_that_a_planned_stop_cuts_is_found() {
-    let stop = (9 * SECOND, Event::StopPlanned { node: 0 });
+    let stop = (9 * SECOND, Event::PlannedStop { node: 0 });
     let cut = [
-        sent(9 * SECOND - 1, "r", Kind::Repeatable),
+        sent(9 * SECOND - 1, "r", RequestKind::Repeatable),
         ran(9 * SECOND - 1, "r", "i-1"),
         stop,
-        ended(9 * SECOND + 5, "r", Outcome::Broken),
+        ended(9 * SECOND + 5, "r", Outcome::Disconnected),
     ];
-    assert_eq!(broken(&cut), ["a planned stop cuts nothing"]);
+    assert_eq!(broken_promises(&cut), ["a planned stop cuts nothing"]);
 }
 
 /// Seed 18: a runner broke four streams off just after planned stops, and the new processes had
 /// not earned a repeat yet. What another runner then takes up is the node's to finish again.
 #[test]
 fn a_stream_that_its_runner_broke_off_is_not_cut_by_the_stop() {
-    let broken_off = (9 * SECOND, Event::BrokenOff { request: "r".to_owned() });
-    let stop = (9 * SECOND, Event::StopPlanned { node: 0 });
-    let begun = [sent(9 * SECOND - 1, "r", Kind::Repeatable), ran(9 * SECOND - 1, "r", "i-1")];
-    let cut = ended(9 * SECOND + 5, "r", Outcome::Broken);
+    let broken_off = (9 * SECOND, Event::StreamAborted { request: "r".to_owned() });
+    let stop = (9 * SECOND, Event::PlannedStop { node: 0 });
+    let begun =
+        [sent(9 * SECOND - 1, "r", RequestKind::Repeatable), ran(9 * SECOND - 1, "r", "i-1")];
+    let cut = ended(9 * SECOND + 5, "r", Outcome::Disconnected);
     let by_runner = [&begun[..], &[broken_off.clone(), stop.clone(), cut.clone()]].concat();
-    assert_eq!(broken(&by_runner), Vec::<&str>::new());
+    assert_eq!(broken_promises(&by_runner), Vec::<&str>::new());
     let again = ran(9 * SECOND + 1, "r", "i-2");
     let by_stop = [&begun[..], &[broken_off, stop, again, cut]].concat();
-    assert_eq!(broken(&by_stop), ["a planned stop cuts nothing"]);
+    assert_eq!(broken_promises(&by_stop), ["a planned stop cuts nothing"]);
 }
 
 #[test]
 fn a_token_of_two_holders_is_found() {
     let order = |at, holder: &str| {
         let (runner, holder) = ("i-1".to_owned(), holder.to_owned());
-        (at, Event::Ordered { runner, holder, fence: 7 })
+        (at, Event::OrderReceived { runner, holder, fence: 7 })
     };
-    assert_eq!(broken(&[order(1, "a"), order(2, "b")]), ["orders of one holder"]);
+    assert_eq!(broken_promises(&[order(1, "a"), order(2, "b")]), ["orders of one holder"]);
     assert_eq!(violations(&[order(1, "a"), order(2, "a")]), []);
 }
 
@@ -245,18 +249,18 @@
     assert_ne!(steps(5, length, 3), steps(7, length, 3));
 }
 
-fn ended_runner(at: u64, request: &str) -> [Entry; 2] {
-    let (runner, under) = (format!("i-{at}"), Some((request.to_owned(), 0)));
-    let crashed = (at + 1, Event::Crashed { runner, under });
-    [sent(at, request, Kind::Deadly { number: 0 }), crashed]
+fn crashed_runner(at: u64, request: &str) -> [TimedEvent; 2] {
+    let (runner, cause) = (format!("i-{at}"), Some((request.to_owned(), 0)));
+    let crashed = (at + 1, Event::RunnerCrashed { runner, cause });
+    [sent(at, request, RequestKind::Poison { number: 0 }), crashed]
 }
 
 #[test_case(&[1, 2, 3, 4, 5, 6, 30, 31, 32], false; "within the time to hear of it, and three more")]
 #[test_case(&[1, 2, 3, 30, 31, 32, 33], true; "four more")]
 fn a_request_that_goes_on_ending_runners_is_found(seconds: &[u64], is_broken: bool) {
     let ids: Vec<String> = seconds.iter().map(|second| format!("d-{second}")).collect();
-    let ends = seconds.iter().zip(&ids).flat_map(|(at, id)| ended_runner(at * SECOND, id));
-    let found = broken(&ends.collect::<Vec<_>>());
+    let ends = seconds.iter().zip(&ids).flat_map(|(at, id)| crashed_runner(at * SECOND, id));
+    let found = broken_promises(&ends.collect::<Vec<_>>());
     assert_eq!(!found.is_empty(), is_broken, "{found:?}");
 }
 
@@ -264,24 +268,24 @@
 fn a_node_that_was_not_in_touch_is_not_bound() {
     let seconds = [1, 2, 3, 30, 31, 32, 33];
     let ids: Vec<String> = seconds.iter().map(|second| format!("d-{second}")).collect();
-    let ends = seconds.iter().zip(&ids).flat_map(|(at, id)| ended_runner(at * SECOND, id));
-    let mut entries: Vec<Entry> = ends.collect();
-    entries.push((29 * SECOND, Event::Disturbed { node: Some(0) }));
-    assert_eq!(broken(&entries), [] as [&str; 0]);
+    let ends = seconds.iter().zip(&ids).flat_map(|(at, id)| crashed_runner(at * SECOND, id));
+    let mut events: Vec<TimedEvent> = ends.collect();
+    events.push((29 * SECOND, Event::Disturbed { node: Some(0) }));
+    assert_eq!(broken_promises(&events), [] as [&str; 0]);
 }
 
-const MOST_UNITS: u64 = 10;
+const MAX_UNITS: u64 = 10;
 
-fn limited() -> Entry {
+fn limited() -> TimedEvent {
     let (tenant, window_us) = ("couriers", 2 * SECOND);
-    (0, Event::Limited { tenant, window_us, most_units: MOST_UNITS })
+    (0, Event::TenantLimitSet { tenant, window_us, max_units: MAX_UNITS })
 }
 
-fn charged(at: u64, request: &str, units: u64) -> Entry {
+fn charged(at: u64, request: &str, units: u64) -> TimedEvent {
     (at, Event::Charged { request: request.to_owned(), tenant: "couriers", units })
 }
 
-fn charges(times: impl Iterator<Item = u64>) -> Vec<Entry> {
+fn charges(times: impl Iterator<Item = u64>) -> Vec<TimedEvent> {
     let charge = |at| charged(at, &format!("couriers-{at}"), 1);
     [limited()].into_iter().chain(times.map(charge)).collect()
 }
@@ -291,54 +295,57 @@
 #[test_case((0..40).map(|it| it * SECOND / 5).collect(), false; "all that may run, for long")]
 #[test_case((0..40).map(|it| it * SECOND / 6).collect(), true; "a little faster, for long")]
 fn a_tenant_that_runs_more_than_it_may_is_found(times: Vec<u64>, is_broken: bool) {
-    let found = broken(&charges(times.into_iter()));
+    let found = broken_promises(&charges(times.into_iter()));
     assert_eq!(found == ["no tenant runs more than it may"], is_broken, "{found:?}");
 }
 
 #[test]
 fn a_run_counts_by_its_units() {
     let many = [limited(), charged(1, "couriers-1", 6), charged(2, "couriers-2", 5)];
-    assert_eq!(broken(&many), ["no tenant runs more than it may"]);
+    assert_eq!(broken_promises(&many), ["no tenant runs more than it may"]);
 }
 
 #[test]
 fn runs_that_a_faulty_link_held_up_count_only_where_they_were_sent_too() {
     let id = |number: u64| format!("couriers-{number}");
-    let sent = |number| sent(number * SECOND / 2, &id(number), Kind::Repeatable);
+    let sent = |number| sent(number * SECOND / 2, &id(number), RequestKind::Repeatable);
     let held = (0..12).map(sent);
     let released = (0..12).map(|number| charged(6 * SECOND + number, &id(number), 1));
-    let mut entries: Vec<Entry> = [limited()].into_iter().chain(held).collect();
-    entries.push((6 * SECOND - 1, Event::RunnerDisturbed));
-    entries.extend(released.clone());
-    assert_eq!(violations(&entries), []);
-    let unheld: Vec<Entry> = [limited()].into_iter().chain(released).collect();
-    assert_eq!(broken(&unheld), ["no tenant runs more than it may"]);
+    let mut events: Vec<TimedEvent> = [limited()].into_iter().chain(held).collect();
+    events.push((6 * SECOND - 1, Event::RunnerLinkDisturbed));
+    events.extend(released.clone());
+    assert_eq!(violations(&events), []);
+    let unheld: Vec<TimedEvent> = [limited()].into_iter().chain(released).collect();
+    assert_eq!(broken_promises(&unheld), ["no tenant runs more than it may"]);
 }
 
 #[test]
 fn a_tenant_below_its_limit_that_is_refused_is_found_unless_the_node_was_disturbed() {
     let refused = |request: &str| {
         let answer = whole(request, 429, String::new());
-        vec![sent(9 * SECOND, request, Kind::Repeatable), ended(9 * SECOND + 1, request, answer)]
+        vec![
+            sent(9 * SECOND, request, RequestKind::Repeatable),
+            ended(9 * SECOND + 1, request, answer),
+        ]
     };
-    assert_eq!(broken(&refused("cranes-1")), ["a tenant below its limit is not refused"]);
+    assert_eq!(broken_promises(&refused("cranes-1")), ["a tenant below its limit is not refused"]);
     assert_eq!(violations(&refused("couriers-1")), [], "it asks for more");
     let disturbed = vec![(8 * SECOND, Event::Disturbed { node: Some(0) })];
     assert_eq!(violations(&[disturbed, refused("cranes-1")].concat()), []);
 }
 
 /// Thirty requests at node 0 while the regions are cut off from each other, some of them unserved.
-fn asked_when_cut(unserved: usize, sent_after: u64) -> Vec<Entry> {
-    let mut entries = vec![(0, Event::RegionsCut { begins: true })];
+fn asked_when_cut(unserved: usize, sent_after: u64) -> Vec<TimedEvent> {
+    let mut events = vec![(0, Event::RegionsCut { begins: true })];
     for number in 0..30 {
         let (request, at) = (format!("r-{number}-n0"), sent_after + number as u64);
-        let answer = if number < unserved { Outcome::Broken } else { own_answer(&request) };
-        let times = [sent(at, &request, Kind::Repeatable), ran(at, &request, "i-1")];
-        entries.extend(times);
-        entries.push(ended(at + 1, &request, answer));
+        let answer = if number < unserved { Outcome::Disconnected } else { own_response(&request) };
+        let times = [sent(at, &request, RequestKind::Repeatable), ran(at, &request, "i-1")];
+        events.extend(times);
+        events.push(ended(at + 1, &request, answer));
     }
-    entries.push((20 * SECOND, Event::RegionsCut { begins: false }));
-    entries
+    events.push((20 * SECOND, Event::RegionsCut { begins: false }));
+    events
 }
 
 #[test_case(3, 6 * SECOND, false; "runners fail now and then")]
@@ -346,27 +353,27 @@
 #[test_case(13, SECOND, false; "before nodes had time to notice")]
 #[test_case(13, 19 * SECOND, false; "when it is just over")]
 fn a_region_that_does_not_serve_its_callers_is_found(unserved: usize, at: u64, is_broken: bool) {
-    let found = broken(&asked_when_cut(unserved, at));
+    let found = broken_promises(&asked_when_cut(unserved, at));
     assert_eq!(found == ["a region that is cut off serves its callers"], is_broken, "{found:?}");
 }
 
 #[test]
 fn a_late_answer_is_no_service_in_a_region_that_is_cut_off() {
-    let late: Vec<Entry> = asked_when_cut(0, 6 * SECOND)
+    let late: Vec<TimedEvent> = asked_when_cut(0, 6 * SECOND)
         .into_iter()
         .map(|(at, event)| match event {
             Event::Ended { .. } => (at + 2 * SECOND, event),
             other => (at, other),
         })
         .collect();
-    assert_eq!(broken(&late), ["a region that is cut off serves its callers"]);
+    assert_eq!(broken_promises(&late), ["a region that is cut off serves its callers"]);
 }
 
 #[test]
 fn a_region_whose_runner_ended_is_not_judged() {
-    let mut entries = asked_when_cut(13, 6 * SECOND);
-    entries.insert(1, (5 * SECOND, Event::Crashed { runner: "i-9".to_owned(), under: None }));
-    assert_eq!(violations(&entries), []);
+    let mut events = asked_when_cut(13, 6 * SECOND);
+    events.insert(1, (5 * SECOND, Event::RunnerCrashed { runner: "i-9".to_owned(), cause: None }));
+    assert_eq!(violations(&events), []);
 }
 
 #[test]
@@ -386,62 +393,67 @@
 fn returns_of_the_store_are_played_on_seeds_of_their_own() {
     let returns = |seed| {
         let steps = steps(seed, Duration::from_secs(25), 4);
-        let is_return = |step: &&Step| matches!(step.action, Action::ComeBackOlder { .. });
+        let is_return = |step: &&Step| matches!(step.action, Action::RestoreBackup { .. });
         steps.iter().filter(is_return).count()
     };
     assert!((0..7_000).all(|seed| returns(seed) == 0));
     assert_eq!(returns(7_000), 3);
     assert_eq!(returns(7_002), 0, "only planned work");
-    assert!(has_named_limits(6_999) && !has_named_limits(7_000));
+    assert!(has_reported_limits(6_999) && !has_reported_limits(7_000));
 }
 
 #[test]
 fn an_id_tells_the_tenant_and_the_node() {
     let id = id_with_node("couriers-17", 3);
     assert_eq!(tenant_of(&id), LIMITED[0]);
-    assert!(comes_from_afar(&id, "east") && !comes_from_afar(&id, "west"));
-    assert!(!comes_from_afar("r-17", "east"));
+    assert!(is_from_other_zone(&id, "east") && !is_from_other_zone(&id, "west"));
+    assert!(!is_from_other_zone("r-17", "east"));
     assert_eq!(tenant_of("r-17").limit, None);
 }
 
 /// A runner names two requests a second, and gets some from a node that it has told.
-fn named_limit(told: bool, disturbed: bool, arrivals: u64) -> Vec<Entry> {
+fn named_limit(reported: bool, disturbed: bool, arrivals: u64) -> Vec<TimedEvent> {
     let text = str::to_owned;
-    let named = Event::LimitChanged { runner: text("i-1"), thousandths: Some(2_000) };
-    let mut entries = vec![(1, named)];
-    if told {
-        entries.push(sent(1, "told", Kind::Repeatable));
-        entries.push(ran(2, "told", "i-1"));
-        entries.push((3, Event::NamedLimit { request: text("told"), runner: text("i-1") }));
-        entries.push(ended(4, "told", own_answer("told")));
+    let named = Event::LimitChanged { runner: text("i-1"), milli_requests_per_s: Some(2_000) };
+    let mut events = vec![(1, named)];
+    if reported {
+        events.push(sent(1, "told", RequestKind::Repeatable));
+        events.push(ran(2, "told", "i-1"));
+        events.push((3, Event::LimitReported { request: text("told"), runner: text("i-1") }));
+        events.push(ended(4, "told", own_response("told")));
     }
     if disturbed {
-        entries.push((4 * SECOND, Event::Disturbed { node: Some(0) }));
+        events.push((4 * SECOND, Event::Disturbed { node: Some(0) }));
     }
     for number in 0..arrivals {
         let request = format!("r-{number}");
         let at = 4 * SECOND + number * SECOND / 10;
-        entries.push(sent(at, &request, Kind::Repeatable));
-        entries.push((at + 1, Event::Arrived { request: request.clone(), runner: text("i-1") }));
-        entries.push(ran(at + 1, &request, "i-1"));
-        entries.push(ended(at + 2, &request, own_answer(&request)));
+        events.push(sent(at, &request, RequestKind::Repeatable));
+        events.push((at + 1, Event::Arrived { request: request.clone(), runner: text("i-1") }));
+        events.push(ran(at + 1, &request, "i-1"));
+        events.push(ended(at + 2, &request, own_response(&request)));
     }
-    entries
+    events
 }
 
 #[test_case(true, false, 18, true; "more than one and a half times the limit and five")]
 #[test_case(true, false, 17, false; "as many as that")]
 #[test_case(false, false, 18, false; "from a node that it has not told")]
 #[test_case(true, true, 18, false; "from a node that was disturbed")]
-fn a_runner_gets_no_more_than_it_names(told: bool, disturbed: bool, arrivals: u64, breaks: bool) {
+fn a_runner_gets_no_more_than_it_names(
+    reported: bool,
+    disturbed: bool,
+    arrivals: u64,
+    breaks: bool,
+) {
     let expected = if breaks { vec!["a runner gets no more than it names"] } else { vec![] };
-    assert_eq!(broken(&named_limit(told, disturbed, arrivals)), expected);
+    assert_eq!(broken_promises(&named_limit(reported, disturbed, arrivals)), expected);
 }
 
 #[test]
 fn a_limit_that_is_over_binds_nobody() {
-    let mut entries = named_limit(true, false, 30);
-    let over = Event::LimitChanged { runner: "i-1".to_owned(), thousandths: None };
-    entries.insert(5, (3 * SECOND, over));
-    assert_eq!(broken(&entries), Vec::<&str>::new());
+    let mut events = named_limit(true, false, 30);
+    let over = Event::LimitChanged { runner: "i-1".to_owned(), milli_requests_per_s: None };
+    events.insert(5, (3 * SECOND, over));
+    assert_eq!(broken_promises(&events), Vec::<&str>::new());
 }
