--- a/crates/soak/examples/soak/main.rs
+++ b/crates/soak/examples/soak/main.rs
@@ -1,9 +1,9 @@
-//! Runs the real programs under faults and checks what callers and runners see.
+//! Runs the real programs under faults and checks what clients and runners observe.
 //!
 //! `cargo build --release && cargo run --release -p pitchstall-soak --example soak -- --first 1 --count 8`
 //!
-//! Each seed prints its violations; the exit code is 1 if there were any. Logs of the nodes are
-//! kept for seeds with violations.
+//! The violations of each seed are printed. The exit code is 1 if any were found, and 2 if a seed
+//! could not be run. The logs of the nodes are kept for seeds with violations.
 #![allow(missing_docs)]
 
 mod processes;
@@ -24,15 +24,18 @@
     first: u64,
     #[options(help = "number of seeds", default = "4")]
     count: u64,
-    #[options(help = "seconds of each seed", default = "30")]
+    #[options(help = "length of the load of each seed, seconds", default = "30")]
     seconds: u64,
-    #[options(help = "nodes", default = "4")]
+    #[options(help = "number of nodes", default = "4")]
     nodes: usize,
-    #[options(help = "callers", default = "8")]
+    #[options(help = "number of clients", default = "8")]
     callers: usize,
-    #[options(help = "the program", default = "target/release/pitchstall")]
+    #[options(help = "path of the pitchstall program", default = "target/release/pitchstall")]
     program: PathBuf,
-    #[options(help = "a former build: nodes change between both at each start", no_short)]
+    #[options(
+        help = "path of a former build; each node alternates between both builds at its starts",
+        no_short
+    )]
     former: Option<PathBuf>,
 }
 
--- a/crates/soak/examples/soak/processes.rs
+++ b/crates/soak/examples/soak/processes.rs
@@ -1,4 +1,4 @@
-//! The nodes' processes: started, told to stop, paused and killed by their ids.
+//! The processes of the nodes: starts, stops, pauses and kills them by process id.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -17,44 +17,45 @@
 const CLIENT_PORT: u16 = 18_181;
 const HEALTH_PORT: u16 = 18_182;
 const PEER_PORT: u16 = 18_183;
-/// Time within which a process that was started catches signals.
+/// Maximum time for a started process to install its signal handlers.
 const SIGNAL_HANDLER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time from SIGTERM to SIGKILL.
 pub const STOP_GRACE: Duration = Duration::from_secs(8);
 
-/// The builds that nodes run.
+/// The builds of the program that nodes run.
 #[derive(Clone)]
 pub struct Programs {
     builds: Vec<PathBuf>,
 }
 
 impl Programs {
-    /// One build, or a former one beside it.
+    /// One build, or two that nodes alternate between.
     pub fn new(program: &Path, former_build: Option<&Path>) -> Self {
         let builds = std::iter::once(program).chain(former_build).map(Path::to_owned).collect();
         Self { builds }
     }
 
-    /// What a node runs at one of its starts: with two builds every second node begins with the former one, and each changes
-    /// to the other one whenever it starts, so that upgrades and ways back overlap.
+    /// The build that a node runs at the given start. With two builds, every second node begins
+    /// with the former build, and each node changes builds whenever it starts, so that upgrades and
+    /// rollbacks overlap.
     fn program_for_start(&self, node: usize, start: usize) -> &Path {
         &self.builds[(node + start) % self.builds.len()]
     }
 }
 
-/// One node: its settings file, its log, and its process while it runs.
+/// A node with its settings file, its log, and its process while it runs.
 pub struct NodeProcess {
-    /// Where callers reach it.
+    /// Address for clients.
     pub client_address: SocketAddr,
-    /// Its own link to the store.
+    /// The node's own link to the store.
     pub store_link: Link,
-    /// Its own link to the interface for duties.
+    /// The node's own link to the cloud interface.
     pub cloud_link: Link,
-    /// Where it says whether it takes callers.
+    /// Address on which the node reports whether it accepts clients.
     pub health_address: SocketAddr,
     programs: Programs,
     number: usize,
-    /// How often it has been started.
+    /// Number of starts so far.
     starts: usize,
     settings: PathBuf,
     log: PathBuf,
@@ -62,7 +63,8 @@
 }
 
 impl NodeProcess {
-    /// Writes the node's settings, `more` sections among them; it does not start yet.
+    /// Writes the node's settings file, including the `extra_settings` sections. Does not start the
+    /// process. Fails if the file cannot be written.
     pub fn new(
         programs: &Programs,
         folder: &Path,
@@ -106,7 +108,8 @@
         })
     }
 
-    /// Starts the process. Its log goes on where the one before it ended.
+    /// Starts the process, which appends to the log of the previous one. Fails if the log cannot be
+    /// opened or the program cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let program = self.programs.program_for_start(self.number, self.starts);
@@ -123,13 +126,13 @@
         Ok(())
     }
 
-    /// Whether the process has ended without having been asked to.
+    /// Whether the process has exited before the soak killed it.
     pub fn has_ended_by_itself(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// Tells the process that its settings have changed, once it catches that signal: one that has just
-    /// been started would end, as any program does.
+    /// Sends SIGHUP to make the process reload its settings. Waits until it handles that signal,
+    /// because a process without a handler is terminated by it.
     pub fn reload(&self) {
         let deadline = Instant::now() + SIGNAL_HANDLER_TIMEOUT;
         while !self.handles_reload() && Instant::now() < deadline {
@@ -148,16 +151,16 @@
         mask.is_some_and(|mask| mask & SIGHUP_MASK != 0)
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(|child| i32::try_from(child.id()).ok());
         if let Some(id) = id {
-            // The process is a child that has not been waited for, so the id is its own.
+            // The child has not been waited for, so its process id cannot have been reused.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         self.signal(Signal::SIGKILL);
         if let Some(mut child) = self.child.take() {
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Waits until a process that was told to stop has ended; kills it after the grace time.
+    /// Waits until a process that was told to stop has exited, and kills it after the grace period.
     pub fn wait_for_stop(&mut self) {
         let deadline = Instant::now() + STOP_GRACE;
         while Instant::now() < deadline && !self.has_ended_by_itself() {
@@ -175,7 +178,7 @@
     }
 }
 
-/// What the settings of a seed's nodes hold besides.
+/// Additional sections in the settings of a seed's nodes.
 pub fn extra_settings(seed: u64) -> String {
     let mut extra_settings = String::new();
     if has_regions(seed) {
@@ -190,7 +193,7 @@
     extra_settings
 }
 
-/// Whether the node with this health address says that it takes callers.
+/// Whether the node with this health address reports that it accepts clients.
 pub fn is_ready(health: SocketAddr) -> bool {
     const TIMEOUT: Duration = Duration::from_millis(300);
     let query = || -> io::Result<bool> {
--- a/crates/soak/examples/soak/report.rs
+++ b/crates/soak/examples/soak/report.rs
@@ -1,4 +1,4 @@
-//! What came of a seed.
+//! The result of a seed.
 
 use pitchstall_soak::checks::{violations, Violation};
 use pitchstall_soak::history::{Event, Outcome, TimedEvent};
@@ -6,18 +6,18 @@
 use std::fmt;
 use std::path::PathBuf;
 
-/// What came of a seed.
+/// The result of a seed.
 pub struct Report {
-    /// Broken promises.
+    /// Violations of guarantees.
     pub violations: Vec<Violation>,
     requests: usize,
     complete: usize,
     /// Windows whose usage was reported.
     usage_windows: usize,
     steps: usize,
-    /// Runners that ended under requests that end them.
+    /// Runners crashed by poison requests.
     crashes: usize,
-    /// Orders that reached runners.
+    /// Orders received by runners.
     orders: usize,
     folder: PathBuf,
 }
@@ -39,7 +39,7 @@
 }
 
 impl Report {
-    /// The report of a history under so many actions; the nodes' logs are in `folder`.
+    /// Checks the recorded events of a run with `steps` actions. The nodes' logs are in `folder`.
     pub fn new(events: &[TimedEvent], steps: usize, folder: PathBuf) -> Self {
         let count =
             |wanted: fn(&Event) -> bool| events.iter().filter(|(_, event)| wanted(event)).count();
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Removes the nodes' logs if no promise was broken.
+    /// Removes the nodes' logs if no guarantee was violated.
     pub fn remove_logs_without_violations(&self) {
         if self.violations.is_empty() {
-            // What is left over is only in the way.
+            // Leftover logs only occupy space.
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
--- a/crates/soak/examples/soak/run/faults.rs
+++ b/crates/soak/examples/soak/run/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to the system from outside while the load goes on.
+//! Performs the actions of the schedule while the load runs.
 
 use super::{lock, SoakRun, REGISTRY_ENTRY_TTL};
 use crate::processes::NodeProcess;
@@ -10,13 +10,14 @@
 use pitchstall_soak::regions::is_in_store_region;
 use std::time::Duration;
 
-/// Time for which a leaving runner still answers.
+/// Time for which a leaving runner still responds.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
-/// After which time the store hears that a runner leaves whose answers say so before.
+/// Time from a runner's own announcement that it is leaving until its registry entry shows it.
 const LEAVING_REGISTRATION_DELAY: Duration = Duration::from_secs(6);
-/// Writes of others that the store loses, so that its revisions stay behind for the rest of a run.
+/// Writes to another key that the restore discards, so that the store's revisions stay behind the
+/// earlier ones for the rest of the run.
 const LOST_WRITES: u64 = 400;
-/// Time after which the operator and the runners write theirs again in a store that has come back from an older copy.
+/// Time from a restore until the operator and the runners write their data again.
 const REWRITE_DELAY: Duration = Duration::from_millis(600);
 
 impl SoakRun {
@@ -32,7 +33,7 @@
             }
             Action::CloudLink { node, mode } => {
                 let link = lock(&self.nodes[*node]).cloud_link.clone();
-                // No rule for callers is excused by it.
+                // This fault does not suspend any check, so it is not recorded.
                 link.set_mode(*mode);
                 std::thread::sleep(step.duration);
                 link.set_mode(LinkMode::Passing);
@@ -72,7 +73,8 @@
             Action::Configure => lock(&self.fleet).configure(),
             Action::ReloadSettings { node } => lock(&self.nodes[*node]).reload(),
             Action::CrashRunner { runner } => {
-                // What it answered last may be on its way for long after.
+                // The last responses of the runner may still be in flight for a long time after the
+                // crash.
                 let finish_crash = {
                     let fleet = lock(&self.fleet);
                     let index = runner % fleet.runners.len().max(1);
@@ -93,7 +95,7 @@
         let store = lock(&self.fleet).store.clone();
         let backup = store.back_up();
         (0..LOST_WRITES).for_each(|number| store.put("other/key", &number.into()));
-        // What is known of runners is of these revisions.
+        // Gives the nodes' data about runners revisions that the restore discards.
         lock(&self.fleet).rewrite_documents();
         std::thread::sleep(backup_age);
         self.record_disturbance(None);
@@ -129,7 +131,7 @@
     fn restart(&self, node: usize, process: &mut NodeProcess) {
         self.recorder.record(Event::NodeStarted { node });
         if let Err(error) = process.start() {
-            eprintln!("soak: node {node} did not start: {error}");
+            eprintln!("soak: failed to start the process of node {node}: {error}");
         }
     }
 
@@ -158,7 +160,8 @@
         self.record_disturbance(node);
     }
 
-    /// Cuts the regions off from each other, or ends that; the store is in one of them.
+    /// Cuts the regions off from each other, or restores the link. Nodes outside the store's region
+    /// lose the store as well.
     fn cut_regions(&self, begins: bool) {
         self.recorder.record(Event::RegionsCut { begins });
         lock(&self.fleet).regions.set_cut(begins);
--- a/crates/soak/examples/soak/run/mod.rs
+++ b/crates/soak/examples/soak/run/mod.rs
@@ -1,4 +1,4 @@
-//! One seed: load, faults, recovery, checks.
+//! Runs one seed: load, faults, recovery, checks.
 
 mod faults;
 
@@ -25,44 +25,48 @@
 use std::time::{Duration, Instant};
 
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time in which everything is served again after the last fault.
+/// Maximum time from the last fault until every node serves every kind of request.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 const HEALTH_POLL_INTERVAL: Duration = Duration::from_millis(200);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
-/// Different requests that end runners, and the time between two of them: some three a second.
+/// Number of different poison requests.
 const POISON_REQUESTS: usize = 2;
+/// Time between two repeats of one poison request: about three per second.
 const POISON_INTERVAL: Duration = Duration::from_millis(350);
-/// Callers of each tenant with a limit: one that waits for an answer holds no other up.
+/// Clients of each tenant with a limit, so that one that waits for a response does not hold up the
+/// others.
 const CLIENTS_PER_TENANT: u64 = 4;
-/// Between two looks for runners that have ended.
+/// Time between two checks for crashed runners.
 const CRASH_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which an ended runner is back, and after which its entry is gone: three heartbeats of the users'
-/// runners.
+/// Time after which a crashed runner is replaced by a new one.
 const RUNNER_DOWNTIME: Duration = Duration::from_millis(2_000);
-/// The same for runners that start again under their names, in turn: before anybody has noticed, within
-/// a heartbeat, and after their entry is gone.
+/// The same for runners that restart under the same id, in turn: before any node has noticed,
+/// within a heartbeat, and after the registry entry is gone.
 const RESTART_DELAYS: [Duration; 3] =
     [Duration::from_millis(100), Duration::from_secs(1), Duration::from_secs(10)];
-/// Bytes a second from the store to a node: 10 Mbit/s.
+/// Bandwidth from the store to a node: 10 Mbit/s.
 const NODE_LINK_BYTES_PER_S: u64 = 1_250_000;
+/// Time from a runner's crash until its registry entry is gone: three heartbeats of the users'
+/// runners.
 const REGISTRY_ENTRY_TTL: Duration = Duration::from_millis(3_600);
 
-/// What the load and the faults share.
+/// State shared by the load and the faults.
 struct SoakRun {
     recorder: Recorder,
     nodes: Vec<Mutex<NodeProcess>>,
     client_addresses: Vec<SocketAddr>,
     health_addresses: Vec<SocketAddr>,
-    /// Nodes that said they take callers when they were last asked.
+    /// Whether each node accepted clients at the last poll of its health.
     ready: Vec<AtomicBool>,
     fleet: Mutex<SoakFleet>,
     is_finished: AtomicBool,
-    /// Whether requests that end runners are sent.
+    /// Whether poison requests are sent.
     sends_poison: AtomicBool,
     has_regions: bool,
-    /// Whether runners start again under their names.
+    /// Whether runners restart under the same id.
     has_incarnations: bool,
-    /// Whether runners speak for themselves, and what they say last is held up.
+    /// Whether runners report about themselves, and their last responses before a crash are
+    /// delayed.
     has_self_reports: bool,
     next_restart: AtomicUsize,
     next_request: AtomicU64,
@@ -72,16 +76,17 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How large a run is.
+/// Size of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSize {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Callers.
+    /// Number of clients of the tenant without a limit.
     pub clients: usize,
 }
 
-/// Runs a seed.
+/// Runs a seed and checks it. Fails if the stand-ins or nodes cannot be started or do not become
+/// ready.
 pub fn run(programs: &Programs, seed: u64, length: Duration, size: LoadSize) -> io::Result<Report> {
     let nodes = size.nodes;
     let name = format!("pitchstall-soak-{}-{seed}", std::process::id());
@@ -121,7 +126,8 @@
     let unserved = soak_run.violations_after_recovery();
     soak_run.is_finished.store(true, Ordering::SeqCst);
     threads.into_iter().for_each(|thread| drop(thread.join()));
-    // Threads that wait to replace a runner still hold the world, which so outlives this run.
+    // Threads that wait to replace a runner still hold this state, so dropping it here would not
+    // end the processes.
     soak_run.kill_all();
     lock(&soak_run.fleet).record_usage_reports();
     let mut report = Report::new(&soak_run.recorder.events(), steps.len(), folder);
@@ -138,7 +144,7 @@
         for number in 0..nodes {
             let mut store_address = fleet.store.address();
             if has_large_configurations(seed) {
-                // A link of its own for each node, whatever connections there are.
+                // Each node has a link of its own, whose bandwidth all its connections share.
                 store_address = NarrowLink::new(NODE_LINK_BYTES_PER_S).reach(store_address)?;
             }
             let store = Link::start(store_address)?;
@@ -175,7 +181,7 @@
         let deadline = Instant::now() + READY_TIMEOUT;
         while !self.health_addresses.iter().all(|health| is_ready(*health)) {
             if Instant::now() >= deadline {
-                return Err(io::Error::other("the nodes did not become ready"));
+                return Err(io::Error::other("not all nodes became ready within 15 s"));
             }
             std::thread::sleep(HEALTH_POLL_INTERVAL);
         }
@@ -187,7 +193,7 @@
         self.is_finished.load(Ordering::SeqCst)
     }
 
-    /// Keeps note of which nodes take callers, as the platform's entrance does.
+    /// Polls which nodes accept clients, as the platform's load balancer does.
     fn poll_health(&self) {
         while !self.is_finished() {
             for (health, ready) in self.health_addresses.iter().zip(&self.ready) {
@@ -203,7 +209,8 @@
         while !self.is_finished() {
             index += 1;
             let node = index % self.nodes.len();
-            // An open connection is used until it ends, also when the node takes no new ones.
+            // A client uses an open connection until it closes, even if the node accepts no new
+            // ones.
             if connections[node].is_open() || self.ready[node].load(Ordering::SeqCst) {
                 self.send(&mut connections[node], node, self.kind(index));
             }
@@ -221,7 +228,7 @@
         }
     }
 
-    /// Sends the requests of one of a tenant's callers.
+    /// Sends the requests of one client of a tenant.
     fn send_for_tenant(&self, tenant: &SoakTenant) {
         let mut connections: Vec<Client> = self.nodes.iter().map(|_| Client::default()).collect();
         for node in (0..self.nodes.len()).cycle() {
@@ -242,7 +249,7 @@
         }
     }
 
-    /// Sends a request that ends runners again and again, to any node.
+    /// Repeats a poison request at all nodes in turn.
     fn send_poison(&self, number: usize) {
         let mut index = number;
         while self.sends_poison.load(Ordering::SeqCst) {
@@ -255,7 +262,7 @@
         }
     }
 
-    /// Starts new runners for those that have ended.
+    /// Restarts or replaces runners that have crashed.
     fn replace_crashed_runners(self: &Arc<Self>) {
         while !self.is_finished() {
             lock(&self.fleet).register_changed_roles();
@@ -279,13 +286,13 @@
             std::thread::sleep(downtime);
         }
         if let Err(error) = lock(&self.fleet).restart_or_replace(crashed) {
-            eprintln!("soak: no runner in place of {}: {error}", crashed.id);
+            eprintln!("soak: failed to restart or replace runner {}: {error}", crashed.id);
         }
         std::thread::sleep(REGISTRY_ENTRY_TTL.saturating_sub(downtime));
         lock(&self.fleet).unregister(crashed);
     }
 
-    /// After which time the next runner that has ended starts again.
+    /// Time until the next crashed runner restarts; the delays alternate.
     fn next_restart_delay(&self) -> Duration {
         let index = self.next_restart.fetch_add(1, Ordering::SeqCst);
         RESTART_DELAYS[index % RESTART_DELAYS.len()]
@@ -326,7 +333,8 @@
         std::thread::sleep(end.saturating_duration_since(Instant::now()));
     }
 
-    /// After the last fault each node answers each kind of request.
+    /// Checks that after the last fault each node serves each kind of request and no process has
+    /// exited by itself.
     fn violations_after_recovery(&self) -> Vec<Violation> {
         let kinds =
             [RequestKind::AtMostOnce, RequestKind::Repeatable, RequestKind::ResumableStream];
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! One check for each promise of the users' pages that callers and runners can see broken.
+//! One check for each guarantee to users whose violation clients and runners can observe.
 
 use crate::fleet::{response_body, LAST_EVENT};
 use crate::history::{Event, Outcome, RequestKind, TimedEvent};
@@ -10,32 +10,35 @@
 use pitchstall_platform_standins::runner::event_text;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Time from the end of a fault until a node is bound again by rules with a time, microseconds.
+/// Time from the end of a fault until the time bounds apply to a node again, microseconds.
 pub const CONTACT_BOUND_US: u64 = 3_000_000;
-/// Time from a configuration's acknowledgement until nodes act by it, microseconds.
+/// Time from the store's acknowledgement of a configuration until nodes must apply it,
+/// microseconds.
 pub const CONFIG_APPLY_BOUND_US: u64 = 2_000_000;
-/// Time from a runner's word that it leaves until it gets no more requests, microseconds.
+/// Time from a runner's announcement that it is leaving until it must receive no more requests,
+/// microseconds.
 pub const DRAIN_BOUND_US: u64 = 2_000_000;
-/// Added to bounds on time: this machine is shared.
+/// Tolerance added to time bounds, microseconds: other work on the machine delays the processes.
 pub const SLACK_US: u64 = 1_000_000;
-/// Ends of runners under a request before its repeats are counted, and repeats that may come then.
+/// Runner crashes caused by one poison request before its repeats are counted.
 const FREE_CRASHES: usize = 3;
+/// Number of counted repeats of a poison request that are tolerated.
 const MAX_REPEATS: usize = 3;
 const OK: u16 = 200;
 const NOT_FOUND: u16 = 404;
 
-/// A promise that was broken.
+/// An observed violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Violation {
-    /// The promise.
+    /// The violated guarantee, as printed in reports.
     pub promise: &'static str,
-    /// Which request, node or runner, and how.
+    /// The request, node or runner concerned, and how the guarantee was violated.
     pub detail: String,
 }
 
 type Check = fn(&History) -> Vec<String>;
 
-/// Every promise with its check.
+/// Each guarantee with the check that finds its violations.
 const CHECKS: [(&str, Check); 18] = [
     ("the whole answer to its own request", wrong_responses),
     ("a stream whole and in order", incomplete_streams),
@@ -57,7 +60,7 @@
     ("a region that is cut off serves its callers", unserved_in_cut_off_regions),
 ];
 
-/// Checks a history.
+/// Runs every check on the recorded events and returns the violations found.
 pub fn violations(events: &[TimedEvent]) -> Vec<Violation> {
     let history = History::new(events);
     let mut found = Vec::new();
@@ -82,7 +85,7 @@
     faults.collect()
 }
 
-/// A report may be repeated as it was, and never with other counts.
+/// A node may repeat the usage report of a window only with identical counts.
 fn conflicting_usage_reports(history: &History) -> Vec<String> {
     let mut known: BTreeMap<u64, &str> = BTreeMap::new();
     let mut broken = Vec::new();
@@ -96,7 +99,7 @@
     broken
 }
 
-/// A request that a caller sent, and how that ended.
+/// A request that a client sent, and its outcome.
 pub(crate) struct Exchange<'a> {
     pub(crate) kind: RequestKind,
     pub(crate) node: usize,
@@ -106,7 +109,7 @@
 }
 
 impl Exchange<'_> {
-    /// The status of a whole answer.
+    /// HTTP status of a complete response; `None` if the response is not complete.
     pub(crate) fn status(&self) -> Option<u16> {
         match self.outcome {
             Outcome::Complete { status, .. } => Some(*status),
@@ -121,16 +124,16 @@
     body: &'a [u8],
 }
 
-/// What was seen, put in order for the checks.
+/// The recorded events, indexed for the checks.
 pub(crate) struct History<'a> {
     pub(crate) events: &'a [TimedEvent],
     pub(crate) exchanges: BTreeMap<&'a str, Exchange<'a>>,
-    /// The node that each request was sent to.
+    /// The node that received each request, by request id.
     nodes: HashMap<&'a str, usize>,
     runs: HashMap<&'a str, Vec<Run<'a>>>,
-    /// Faults, starts and stops: few among all events.
+    /// Faults, starts and stops. Checks search this short list instead of all events.
     disturbances: Vec<&'a TimedEvent>,
-    /// When a runner broke a stream off, by request: the last time.
+    /// Time of the last stream abort by a runner, microseconds, by request id.
     aborted_at_us: HashMap<&'a str, u64>,
 }
 
@@ -178,19 +181,21 @@
         Self { events, exchanges, nodes, runs, disturbances, aborted_at_us }
     }
 
-    /// Whether the last run of a request was broken off by its runner: then no node has cut it.
+    /// Whether the runner aborted the stream of the request's last run, in which case no node cut
+    /// it.
     fn was_aborted_by_runner(&self, request: &str) -> bool {
         let last_run = self.runs.get(request).and_then(|runs| runs.last());
         let aborted_at_us = self.aborted_at_us.get(request);
         last_run.zip(aborted_at_us).is_some_and(|(run, aborted_at_us)| *aborted_at_us >= run.at_us)
     }
 
-    /// The node that a request was sent to.
+    /// The node to which a client sent the request; `None` if the request was never sent.
     pub(crate) fn node_of(&self, request: &str) -> Option<usize> {
         self.nodes.get(request).copied()
     }
 
-    /// Whether a node started, stopped, was held up or was cut off from runners within a time.
+    /// Whether the node started, was told to stop, was under a fault, or any runner link was under
+    /// a fault in the given period. Faults of the store alone do not count.
     pub(crate) fn was_disturbed(&self, node: usize, from_us: u64, to_us: u64) -> bool {
         self.disturbances.iter().any(|(at_us, event)| {
             let affects_node = match event {
@@ -208,8 +213,8 @@
         self.runs.get(request).map_or(0, Vec::len)
     }
 
-    /// Whether a node, the store and the links to runners were without faults from a contact time
-    /// before.
+    /// Whether the node, the store and all runner links were free of faults in the given period and
+    /// for the contact bound and the slack before it.
     pub(crate) fn was_in_contact(&self, node: usize, from_us: u64, to_us: u64) -> bool {
         let since_us = from_us.saturating_sub(CONTACT_BOUND_US + SLACK_US);
         let is_disturbed = |(at_us, event): &TimedEvent| {
@@ -219,7 +224,8 @@
         is_undisturbed && self.was_in_contact_with_store(node, from_us, to_us)
     }
 
-    /// Whether a runner ended from a contact time before.
+    /// Whether any runner crashed in the given period or within the contact bound and the slack
+    /// before it.
     pub(crate) fn did_runner_crash(&self, from_us: u64, to_us: u64) -> bool {
         let from_us = from_us.saturating_sub(CONTACT_BOUND_US + SLACK_US);
         let is_crash = |(at_us, event): &TimedEvent| {
@@ -228,7 +234,8 @@
         self.disturbances.iter().copied().any(is_crash)
     }
 
-    /// Whether a node and the store were without faults from a contact time before.
+    /// Whether the node and the store were free of faults in the given period and for the contact
+    /// bound and the slack before it.
     fn was_in_contact_with_store(&self, node: usize, from_us: u64, to_us: u64) -> bool {
         let from_us = from_us.saturating_sub(CONTACT_BOUND_US + SLACK_US);
         !self.disturbances.iter().any(|(at_us, event)| {
@@ -330,7 +337,7 @@
     wrong
 }
 
-/// The body of a request, from its id.
+/// The request body that clients send, derived from the request id.
 pub fn request_body(request: &str) -> String {
     format!("body of {request}")
 }
@@ -356,8 +363,9 @@
     late
 }
 
-/// A route lives in its own version and the next one. A node that has refused it as gone is
-/// beyond that, and must not serve it again in the same life.
+/// The route of a version exists in that version and the next one. A node that has served a version
+/// more than one newer than the probed one must not serve the old route again in the same
+/// incarnation.
 fn reverted_configurations(history: &History) -> Vec<String> {
     let mut wrong = Vec::new();
     let mut newest_versions: HashMap<usize, u64> = HashMap::new();
@@ -443,7 +451,8 @@
     cut
 }
 
-/// Once three runners have ended under a request, nodes that are in touch send it to hardly any more.
+/// After a poison request has crashed three runners, nodes in contact may send it to only a few
+/// more.
 fn uncontained_poison_requests(history: &History) -> Vec<String> {
     let mut crashes: BTreeMap<usize, Vec<(u64, &str)>> = BTreeMap::new();
     for (at_us, event) in history.events {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Sends requests and sees every byte of their answers. A connection is kept and used for the next
-//! request as long as it is open, whatever the node has been told meanwhile.
+//! Sends requests and reads the complete responses. A client reuses its connection for the next
+//! request as long as the connection is open, even if the node is draining.
 
 use crate::history::Outcome;
 use pitchstall_platform_standins::client::ANSWERED_ID;
@@ -8,24 +8,25 @@
 use std::time::{Duration, Instant};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longer than any request is held.
+/// Exceeds the time for which a node may hold a request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
 const MAX_HEADERS: usize = 32;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A caller's connection to one node.
+/// A client's connection to one node.
 #[derive(Default)]
 pub struct Client {
     connection: Option<TcpStream>,
 }
 
 impl Client {
-    /// Whether there is an open connection, as far as is known.
+    /// Whether the client holds a connection that it has not yet seen closed.
     pub fn is_open(&self) -> bool {
         self.connection.is_some()
     }
 
-    /// Sends a request to a node, on the open connection if there is one.
+    /// Sends a request to a node, over the open connection if there is one, and waits for the
+    /// complete response.
     pub fn exchange(&mut self, node: SocketAddr, request: &[u8]) -> Outcome {
         let stream = match self.connection.take() {
             Some(connection) => Some(connection),
@@ -44,7 +45,7 @@
     }
 }
 
-/// Reads an answer; also tells whether the connection may be used again.
+/// Reads a response. The second value is whether the connection can be reused.
 fn read_response(stream: &mut TcpStream) -> (Outcome, bool) {
     let deadline = Instant::now() + RESPONSE_TIMEOUT;
     let mut bytes = Vec::new();
@@ -70,7 +71,7 @@
     Malformed,
 }
 
-/// Reads an answer; `None` if it is not whole.
+/// Parses a response; `None` if it is incomplete so far.
 fn parse(bytes: &[u8]) -> Option<Parsed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The stand-ins of a soak: the store, runners behind links, the operators' configuration.
+//! The stand-ins that a soak runs against: the store, the cloud interface, runners behind links,
+//! and the configuration that operators write.
 
 use crate::checks::request_body;
 use crate::history::{Event, Recorder, RequestKind};
@@ -26,53 +27,54 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Host of the routes.
+/// Host of all routes in the configuration.
 pub const HOST: &str = "soak.example";
-/// Last event of each stream.
+/// Id of the last event of each stream; ids start at 0.
 pub const LAST_EVENT: u64 = 12;
-/// Zones of nodes and runners.
+/// Zones of nodes and runners. The store is in the first one.
 pub const ZONES: [&str; 2] = ["east", "west"];
 
 const ENGINE_SERVICE: &str = "engine";
 const DESK_SERVICE: &str = "desk";
-/// Time for which callers wait, milliseconds.
+/// Deadline that clients send with each request, milliseconds.
 const REQUEST_DEADLINE_MS: u64 = 5_000;
-/// Time for which what a runner has answered is held up on its way when it ends, and time in which answers get that
-/// far before it does.
+/// Delay on the link for a crashing runner's last responses.
 const LATE_RESPONSE_DELAY: Duration = Duration::from_millis(1_500);
+/// Time from the start of that delay until the crash, in which responses enter the link.
 const DELAY_BEFORE_CRASH: Duration = Duration::from_millis(200);
-/// The body of the answer to a request.
+/// The response body that a runner returns, derived from the request id.
 pub fn response_body(request: &str) -> String {
     format!("answer to {request}")
 }
 
-/// A runner and the link to it.
+/// A runner and the link through which nodes reach it.
 pub struct SoakRunner {
-    /// Its id.
+    /// Id of the runner in the registry.
     pub id: String,
-    /// The link that nodes reach it by.
+    /// The link through which nodes reach the runner.
     pub link: Link,
     service: &'static str,
     zone: &'static str,
     stage: Option<&'static str>,
     stand_in: RunnerStandIn,
-    /// What it does, where it takes orders.
+    /// Current role; `None` if the runner does not accept orders.
     role: Option<Arc<Role>>,
-    /// Whether its answers say that it leaves.
+    /// Whether the runner announces in its responses that it is leaving.
     reports_leaving: Arc<AtomicBool>,
-    /// When this life began, Unix milliseconds, where that is told.
+    /// Start of this incarnation, Unix milliseconds; `None` if the seed's runners do not report it.
     born_ms: Option<u64>,
 }
 
 impl SoakRunner {
-    /// Ends it, as a crash of its process does.
+    /// Crashes the runner: its process ends and its link resets connections.
     pub fn crash(&self) {
         self.link.close();
         self.stand_in.crash();
     }
 
-    /// Ends it while its last answers are held up on their way: they arrive when its next life may have begun.
-    /// Returns what is to be run for that.
+    /// Crashes the runner while its last responses are delayed on the link, so that they may arrive
+    /// after its next incarnation has started. Returns the closure that performs this, which blocks
+    /// for the delay.
     pub fn crash_with_delayed_responses(&self) -> impl FnOnce() + Send + 'static {
         let (link, stand_in) = (self.link.clone(), self.stand_in.clone());
         move || {
@@ -89,19 +91,19 @@
     }
 }
 
-/// The stand-ins.
+/// All stand-ins of a soak.
 pub struct SoakFleet {
-    /// The store.
+    /// The store that nodes read.
     pub store: StoreStandIn,
-    /// The interface for duties.
+    /// The cloud interface to which nodes deliver usage reports.
     pub cloud: CloudStandIn,
-    /// Runners that are listed.
+    /// Runners that are registered and not leaving.
     pub runners: Vec<SoakRunner>,
-    /// The way between the regions.
+    /// The link between the two regions.
     pub regions: RegionLink,
     recorder: Recorder,
     tenants: Vec<SoakTenant>,
-    /// The entries that runners have, by key.
+    /// The registry entries that runners maintain, by store key.
     entries: RefCell<BTreeMap<String, Value>>,
     next_runner: u64,
     version: u64,
@@ -109,7 +111,8 @@
 }
 
 impl SoakFleet {
-    /// Starts a store with a first configuration, and runners in each zone.
+    /// Starts the store with a first configuration, and runners in each zone. Fails if a stand-in
+    /// cannot listen.
     pub fn start(seed: u64, recorder: Recorder) -> std::io::Result<Self> {
         let store = StoreStandIn::start()?;
         if has_restores(seed) {
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Starts a runner under a new name and lists it.
+    /// Starts a runner under a new id and registers it.
     fn add_runner(
         &mut self,
         zone: &'static str,
@@ -185,7 +188,7 @@
             last_reported: Mutex::default(),
         };
         if has_reported_limits(self.seed) {
-            // What the life before it has named is over.
+            // A limit reported by the previous incarnation no longer applies.
             let change = Event::LimitChanged { runner: id.clone(), milli_requests_per_s: None };
             self.recorder.record(change);
         }
@@ -199,7 +202,7 @@
         );
         let stand_in = RunnerStandIn::start(&id, script)?;
         let link = Link::start(stand_in.address())?;
-        // Nothing has come yet: it is not listed.
+        // No request can have arrived yet, because the runner is not registered.
         let _ = own_link.set(link.clone());
         let service = if stage.is_some() { ENGINE_SERVICE } else { DESK_SERVICE };
         let runner =
@@ -223,8 +226,9 @@
         self.entries.borrow_mut().insert(key, entry);
     }
 
-    /// A runner says that it leaves; another one takes its place. Returns the one that leaves. Where runners say so
-    /// in their answers, the store hears of it later, by [`Self::acknowledge_leaving`].
+    /// Starts a replacement for a runner, then announces that the runner is leaving. Returns the
+    /// leaving runner. Where runners announce this in their responses, the registry learns of it
+    /// only from a later call of [`Self::register_leaving`]. Fails if the replacement cannot start.
     pub fn replace_runner(&mut self, index: usize) -> std::io::Result<SoakRunner> {
         let leaving = self.runners.swap_remove(index);
         self.add_runner(leaving.zone, leaving.stage)?;
@@ -235,24 +239,25 @@
         Ok(leaving)
     }
 
-    /// The store takes in that a runner leaves.
+    /// Marks a leaving runner as draining in the registry.
     pub fn register_leaving(&self, leaving: &SoakRunner) {
         self.register(leaving, true);
         self.recorder.record(Event::Draining { runner: leaving.id.clone() });
     }
 
-    /// Whether the store hears later than callers that a runner leaves.
+    /// Whether runners announce that they are leaving to nodes before the registry shows it.
     pub fn registers_leaving_late(&self) -> bool {
         has_self_reports(self.seed)
     }
 
-    /// Lists the runners anew whose roles have changed.
+    /// Updates the registry entries of runners whose role change has completed.
     pub fn register_changed_roles(&self) {
         let has_changed = |runner: &&SoakRunner| runner.role.as_ref().is_some_and(|it| it.settle());
         self.runners.iter().filter(has_changed).for_each(|runner| self.register(runner, false));
     }
 
-    /// Takes out the runners that have ended.
+    /// Removes the runners that have crashed from the list and returns them. Their registry entries
+    /// remain.
     pub fn take_crashed(&mut self) -> Vec<SoakRunner> {
         let (crashed, others) = std::mem::take(&mut self.runners)
             .into_iter()
@@ -261,7 +266,8 @@
         crashed
     }
 
-    /// Starts a runner in place of one that has ended: the same one, if runners have lives.
+    /// Starts a runner in place of a crashed one: a new incarnation under the same id if the seed
+    /// has incarnations, otherwise a runner with a new id. Fails if it cannot listen.
     pub fn restart_or_replace(&mut self, crashed: &SoakRunner) -> std::io::Result<()> {
         match crashed.born_ms {
             Some(_) => self.start_runner(crashed.id.clone(), crashed.zone, crashed.stage),
@@ -269,7 +275,8 @@
         }
     }
 
-    /// A life of a runner is over. Its entry is gone, unless the runner has started again.
+    /// Removes the registry entry of a runner's incarnation, unless a later incarnation has
+    /// registered.
     pub fn unregister(&self, runner: &SoakRunner) {
         let has_restarted =
             |other: &SoakRunner| other.id == runner.id && other.born_ms != runner.born_ms;
@@ -281,13 +288,15 @@
         self.entries.borrow_mut().remove(&key);
     }
 
-    /// The operator and the runners write theirs again, as the store has come back from an older copy.
+    /// Writes the configuration and all registry entries again, as operators and runners do after
+    /// the store was restored from an older backup.
     pub fn rewrite_documents(&self) {
         self.put_configuration();
         self.entries.borrow().iter().for_each(|(key, entry)| self.store.put(key, entry));
     }
 
-    /// Entries that an older copy of the store has brought back, and that nobody writes, are gone.
+    /// Removes registry entries that a restored backup has brought back and that no runner
+    /// maintains.
     pub fn remove_stale_entries(&self) {
         let entries = self.entries.borrow();
         let found = self.store.keys(&runner_key(""));
@@ -297,8 +306,8 @@
             .for_each(|key| self.store.remove(key));
     }
 
-    /// Puts the next configuration in force; each has a route of its own, and that of the one
-    /// before it.
+    /// Writes the next version of the configuration. Each version has a route of its own and keeps
+    /// the route of the previous version.
     pub fn configure(&mut self) {
         self.version += 1;
         self.put_configuration();
@@ -310,7 +319,8 @@
         self.store.put(CONFIGURATION_KEY, &document);
     }
 
-    /// Routes that nobody asks for. Large configurations grow to what a store's entry may hold.
+    /// Number of routes that receive no requests. In large configurations it grows with the version
+    /// up to the maximum size of a store entry.
     fn idle_routes(&self) -> usize {
         const ROUTES_PER_VERSION: u64 = 1_400;
         const MAX_IDLE_ROUTES: u64 = 4_200;
@@ -320,7 +330,7 @@
         usize::try_from(routes).unwrap_or(usize::MAX)
     }
 
-    /// Notes the usage reports that the platform has taken.
+    /// Records the usage reports that the cloud interface has accepted.
     pub fn record_usage_reports(&self) {
         const OK: u16 = 200;
         for call in self.cloud.calls().into_iter().filter(|call| call.status == OK) {
@@ -329,14 +339,16 @@
         }
     }
 
-    /// The version in force.
+    /// The configuration version written last.
     pub fn version(&self) -> u64 {
         self.version
     }
 }
 
-/// What the runners of a zone do at first. Where they take orders, nobody in the store's zone writes: a role is
-/// ordered there at the start, and whenever the runner that has it ends and is back in its first one.
+/// Stages with which the runners of a zone start; `None` for a runner without a language model.
+/// Where runners accept orders, the store's zone starts without a decode runner: nodes must order
+/// the role change at the start, and again whenever the runner that received it crashes and
+/// restarts in its initial stage.
 fn initial_stages(seed: u64, zone: &str) -> [Option<&'static str>; 5] {
     let starts_without_decode = has_self_reports(seed) && zone == ZONES[0];
     let others = if starts_without_decode { "prefill" } else { "decode" };
@@ -379,7 +391,7 @@
     documents::configuration(version, &routes, &services, &tenants)
 }
 
-/// The bytes of a request of a kind.
+/// The HTTP request of a kind, as bytes.
 pub fn request_bytes(request: &str, kind: RequestKind) -> Vec<u8> {
     let (method, path) = match kind {
         RequestKind::Repeatable => ("GET", "lookup".to_owned()),
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,205 +1,208 @@
-//! What callers, runners and the soak itself saw, on one clock.
+//! Records what clients, runners and the soak itself observe, with timestamps of one clock.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// What may be done with a request.
+/// How often and where a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
     AtMostOnce,
-    /// A stream that may go on at another runner.
+    /// A stream that may be resumed on another runner.
     ResumableStream,
-    /// Ends whatever runs it, and comes again and again with the same body.
+    /// Crashes every runner that runs it. Clients send it repeatedly with the same body.
     Poison {
-        /// Which of the seed's such requests.
+        /// Index among the seed's poison requests.
         number: usize,
     },
-    /// Asks which configuration is in force: the version whose own route it names.
+    /// Asks for the route that only a configuration version and its successor have, which shows the
+    /// version in force.
     Probe {
-        /// The version.
+        /// The configuration version whose route is requested.
         version: u64,
     },
 }
 
-/// How an exchange ended for the caller.
+/// Result of an exchange, as the client observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An answer that its framing calls whole.
+    /// A response that is complete according to its framing.
     Complete {
-        /// The status.
+        /// HTTP status code.
         status: u16,
-        /// The id that the answer echoes.
+        /// The request id that the response echoes.
         echoed_id: Option<String>,
-        /// The body.
+        /// Decoded body.
         body: Vec<u8>,
     },
-    /// The connection ended within an answer, or before one.
+    /// The connection failed or timed out before the response was complete.
     Disconnected,
-    /// What came is no answer.
+    /// The received bytes are not an HTTP response.
     Malformed,
-    /// No connection could be made; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     NotSent,
 }
 
-/// Something that was seen.
+/// An observed event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A caller sends a request to a node.
+    /// A client sends a request to a node.
     Sent {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// What may be done with it.
+        /// The kind of the request.
         kind: RequestKind,
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// The exchange has ended.
+    /// A client's exchange with a node has ended.
     Ended {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// How.
+        /// How the exchange ended.
         outcome: Outcome,
     },
-    /// A runner runs a request.
+    /// A runner starts to run a request.
     Ran {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// The runner.
+        /// Id of the runner.
         runner: String,
-        /// The body that it was given.
+        /// The request body that the runner received.
         body: Vec<u8>,
     },
-    /// A runner is going to break off the stream that it has begun for a request.
+    /// A runner will abort the stream that it has started for a request.
     StreamAborted {
-        /// The request's id.
+        /// Id of the request.
         request: String,
     },
-    /// A runner ends.
+    /// A runner crashes.
     RunnerCrashed {
-        /// The runner.
+        /// Id of the runner.
         runner: String,
-        /// The id and the number of the request that ended it; `None`: it ended by itself.
+        /// Id and index of the poison request that caused the crash; `None` if the crash had
+        /// another cause.
         cause: Option<(String, usize)>,
     },
-    /// A runner was given a request without the name of its tenant, or with its key.
+    /// A runner received a request without the name of its tenant, or with the tenant's API key.
     TenantIdentityFault {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// The runner.
+        /// Id of the runner.
         runner: String,
     },
-    /// A runner runs a request of a tenant with a limit.
+    /// A runner runs a request of a tenant that has a limit.
     Charged {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// The tenant.
+        /// Name of the tenant.
         tenant: &'static str,
-        /// What the run costs.
+        /// Units that the run costs.
         units: u64,
     },
-    /// From now on no more than so many units of a tenant may run in any window.
+    /// From now on, at most `max_units` of a tenant may run in any window.
     TenantLimitSet {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: &'static str,
-        /// Length of the windows, microseconds.
+        /// Length of a window, microseconds.
         window_us: u64,
-        /// The most.
+        /// Maximum number of units in a window.
         max_units: u64,
     },
-    /// Two regions are cut off from each other, or that ends.
+    /// The connection between the two regions is cut or restored.
     RegionsCut {
-        /// Whether it begins.
+        /// `true` if the cut begins, `false` if it ends.
         begins: bool,
     },
-    /// The platform has taken the usage report of a window.
+    /// The cloud interface has accepted the usage report of a window.
     UsageReported {
-        /// The window.
+        /// Number of the window.
         window: u64,
-        /// Its counts.
+        /// The reported counts, as text.
         counts: String,
     },
-    /// A runner takes an order.
+    /// A runner receives an order to change its role, whether or not it obeys.
     OrderReceived {
-        /// The runner.
+        /// Id of the runner.
         runner: String,
-        /// Who gives it.
+        /// The holder of the authority that sent the order.
         holder: String,
-        /// Its fencing token.
+        /// Fencing token of the order.
         fence: u64,
     },
     /// The store has acknowledged a configuration.
     Configured {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
     },
-    /// The store has acknowledged that a runner leaves.
+    /// The store has acknowledged that a runner is draining.
     Draining {
-        /// The runner.
+        /// Id of the runner.
         runner: String,
     },
-    /// A request arrives at a runner, whatever becomes of it there.
+    /// A request arrives at a runner, which may run or decline it.
     Arrived {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// The runner.
+        /// Id of the runner.
         runner: String,
     },
-    /// A runner says in its answer to a request that it leaves.
+    /// A runner announces in its response to a request that it is leaving.
     LeavingReported {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// The runner.
+        /// Id of the runner.
         runner: String,
     },
-    /// A runner turns a request away and says for how long it wants none from the node that has sent it.
+    /// A runner declines a request and asks the node that sent it for a pause.
     BackoffRequested {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// The runner.
+        /// Id of the runner.
         runner: String,
-        /// For how long, microseconds.
+        /// Length of the pause, microseconds.
         backoff_us: u64,
     },
-    /// A runner begins to name a limit, names another one, or (`None`) ceases to name one.
+    /// A runner starts to report a limit, changes it, or stops reporting one.
     LimitChanged {
-        /// The runner.
+        /// Id of the runner.
         runner: String,
-        /// What it takes from all nodes together, thousandths of a request a second.
+        /// The rate that the runner accepts from all nodes together, thousandths of a request per
+        /// second; `None` if it reports no limit.
         milli_requests_per_s: Option<u64>,
     },
-    /// A runner names its limit in the answer to a request.
+    /// A runner reports its limit in the response to a request.
     LimitReported {
-        /// The request's id.
+        /// Id of the request.
         request: String,
-        /// The runner.
+        /// Id of the runner.
         runner: String,
     },
-    /// A fault begins or ends at a node, at its links or at the store (`None`: at all nodes).
+    /// A fault begins or ends at a node, at one of its links or at the store.
     Disturbed {
-        /// The node.
+        /// Index of the node; `None` if the fault affects all nodes.
         node: Option<usize>,
     },
     /// A fault begins or ends at the link to a runner.
     RunnerLinkDisturbed,
-    /// A node's process starts.
+    /// The process of a node starts.
     NodeStarted {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// A node is told to stop, as planned.
+    /// A node is told to shut down gracefully.
     PlannedStop {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
 }
 
-/// An event and its time, microseconds.
+/// Time since the start of the recording, microseconds, and the event.
 pub type TimedEvent = (u64, Event);
 
-/// Records events.
+/// Records events of all threads. Clones share one list.
 #[derive(Clone)]
 pub struct Recorder {
     started: Instant,
@@ -213,14 +216,14 @@
 }
 
 impl Recorder {
-    /// Notes an event.
+    /// Appends an event with the current time.
     pub fn record(&self, event: Event) {
         let mut events = self.lock();
         let at_us = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
         events.push((at_us, event));
     }
 
-    /// All events so far.
+    /// A copy of all events recorded so far, in order of time.
     pub fn events(&self) -> Vec<TimedEvent> {
         self.lock().clone()
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,23 +1,28 @@
-//! A randomized soak of the real programs.
+//! A randomized soak test of the real programs.
 //!
-//! Nodes run as processes of their own; store, runners and callers are stand-ins in the soak's
-//! process, behind proxies that delay, reset, cut and silence connections. What callers and
-//! runners see goes into one history, which is checked promise by promise.
+//! Nodes run as separate processes. The store, the runners and the clients are stand-ins in the
+//! process of the soak, connected through proxies that delay, reset, cut or stall connections. The
+//! observations of clients and runners are recorded in one history, which is checked against each
+//! guarantee.
 //!
-//! | module | what it does |
+//! | module | contents |
 //! | --- | --- |
-//! | [`history`] | what was seen, in the order of one clock |
-//! | [`checks`] | one check for each promise |
-//! | [`plan`] | the faults of a seed |
-//! | [`proxy`] | a link that can be faulty or long |
-//! | [`client`] | sends a request and sees every byte of its answer |
+//! | [`history`] | the observed events, with timestamps of one clock |
+//! | [`checks`] | one check for each guarantee |
+//! | [`plan`] | the schedule of faults of a seed |
+//! | [`proxy`] | a link that can be faulty or slow |
+//! | [`client`] | sends a request and reads the complete response |
 //! | [`fleet`] | the stand-ins: store, runners, configuration |
-//! | [`tenants`] | for whom requests run, and what may be run for them |
-//! | [`regions`] | the way between two regions |
-//! | `runner_script` | what a runner does with a request, and what it says of itself |
-//! | [`tenant_limit_checks`], [`region_checks`], `self_report_checks` | the checks on limits, on regions that are cut off, and on what runners say of themselves |
+//! | [`tenants`] | the tenants that send requests, and their limits |
+//! | [`regions`] | the link between two regions |
+//! | `runner_script` | how a runner reacts to a request, and what it reports about itself |
+//! | `reported_limits` | the limits that a runner reports over time |
+//! | [`tenant_limit_checks`] | the checks on tenants' limits |
+//! | [`region_checks`] | the check on regions that are cut off |
+//! | `self_report_checks` | the checks on what runners report about themselves |
+//! | `reported_limit_checks` | the check on the limits that runners report |
 //!
-//! The processes themselves are started by the example `soak`, and end with it.
+//! The example `soak` starts the processes and terminates them when it ends.
 
 pub mod checks;
 pub mod client;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a seed: what strikes, where, when, for how long.
+//! The schedule of faults of a seed: which faults occur, where, when and for how long.
 
 use crate::proxy::LinkMode;
 use pitchstall_platform_standins::store::StoreMode;
@@ -7,89 +7,89 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Something that is done to the system from outside.
+/// An intervention from outside the system.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A node's process is killed and started again after the time.
+    /// Kills a node's process and restarts it after the step's duration.
     Kill {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// Many processes are killed at once.
+    /// Kills all nodes at once and restarts them after the step's duration.
     KillAll,
-    /// A node's process is paused for the time.
+    /// Pauses a node's process for the step's duration.
     Pause {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// A node is told to stop, as planned, and started again.
+    /// Shuts a node down gracefully, then restarts it.
     Stop {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// A node's link to the store is faulty for the time.
+    /// Makes a node's link to the store faulty for the step's duration.
     StoreLink {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// How.
+        /// The behaviour while the fault lasts.
         mode: LinkMode,
     },
-    /// A node's link to the interface for duties is faulty for the time.
+    /// Makes a node's link to the cloud interface faulty for the step's duration.
     CloudLink {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// How.
+        /// The behaviour while the fault lasts.
         mode: LinkMode,
     },
-    /// The link to a runner is faulty for the time.
+    /// Makes the link to a runner faulty for the step's duration.
     RunnerLink {
-        /// Which of the runners that are listed then, modulo their number.
+        /// Index into the runners registered at that time, modulo their number.
         runner: usize,
         /// How.
         mode: LinkMode,
     },
-    /// The store misbehaves for the time.
+    /// Makes the store faulty for the step's duration.
     StoreFault {
-        /// How.
+        /// The behaviour while the fault lasts.
         mode: StoreMode,
     },
-    /// The store forgets its history.
+    /// Discards the store's history of changes.
     ForgetHistory,
-    /// The store goes away for the time and comes back from an older copy. What was written meanwhile by the operator and
-    /// the runners is written again.
+    /// Makes the store unavailable for the step's duration, then restores it from an older backup.
+    /// The operator and the runners write their data again after the restore.
     RestoreBackup {
-        /// How old the copy is when the store goes away.
+        /// Age of the backup when the store becomes unavailable.
         backup_age: Duration,
     },
-    /// A runner is replaced: the new one starts first, the old one drains.
+    /// Replaces a runner: the new one starts first, then the old one drains.
     ReplaceRunner {
-        /// Which of the runners that are listed then, modulo their number.
+        /// Index into the runners registered at that time, modulo their number.
         runner: usize,
     },
-    /// The operators change the configuration.
+    /// Writes a new version of the configuration.
     Configure,
-    /// A node is told that its settings file has changed.
+    /// Tells a node that its settings file has changed.
     ReloadSettings {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// Two regions are cut off from each other for the time.
+    /// Cuts the two regions off from each other for the step's duration.
     CutRegions,
-    /// A runner ends by itself, with all that it has under way.
+    /// Crashes a runner with all requests in progress on it.
     CrashRunner {
-        /// Which of the runners that are listed then, modulo their number.
+        /// Index into the runners registered at that time, modulo their number.
         runner: usize,
     },
 }
 
-/// An action, its time since the start of the load, and how long it lasts.
+/// An action with its start and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When.
+    /// Start of the action, relative to the start of the load.
     pub at: Duration,
-    /// For how long.
+    /// Duration of the action; actions without an end ignore it.
     pub duration: Duration,
-    /// What.
+    /// The action to perform.
     pub action: Action,
 }
 
@@ -102,32 +102,36 @@
 ];
 const STORE_MODES: [StoreMode; 3] =
     [StoreMode::Silent, StoreMode::Unavailable, StoreMode::Throttling];
-/// Kinds of actions that are drawn from.
+/// Size of the range from which an action is drawn; some actions have two numbers in it.
 const ACTION_CHOICES: u32 = 12;
-/// Time between two actions, milliseconds.
+/// Time between two steps, milliseconds.
 const STEP_INTERVAL_MS: std::ops::Range<u64> = 200..1_800;
-/// Time between two actions of a series, milliseconds.
+/// Time between two steps of a series, milliseconds.
 const SERIES_INTERVAL_MS: std::ops::Range<u64> = 20..250;
 const FAULT_DURATION_MS: std::ops::Range<u64> = 300..4_000;
-/// Every so many seeds nothing unplanned happens, so that rules on planned work are tried.
+/// Every third seed has planned work only and no faults, so that the guarantees on planned work are
+/// tested.
 const PLANNED_ONLY_EVERY: u64 = 3;
-/// First seed with regions and limits.
+/// Later seeds have regions and limits of tenants; earlier ones never do, so that their schedules
+/// stay the same.
 const FIRST_SEED_WITH_REGIONS_AND_LIMITS: u64 = 1_000;
-/// First seed with runners that start again under their names, and with large configurations.
+/// Later seeds have runners that restart under the same id, and large configurations.
 const FIRST_SEED_WITH_INCARNATIONS: u64 = 2_000;
-/// First seed with runners that say of themselves that they leave, long before the store hears of it, or that
-/// they want rest.
+/// Later seeds have runners that announce that they are leaving long before the registry shows it,
+/// or ask for a pause.
 const FIRST_SEED_WITH_SELF_REPORTS: u64 = 3_000;
-/// First seed with runners that name for a time how many requests a second they take from all nodes together.
+/// Later seeds up to the first seed with restores have runners that temporarily report how many
+/// requests per second they accept from all nodes together.
 const FIRST_SEED_WITH_REPORTED_LIMITS: u64 = 6_000;
-/// First seed with a store that comes back from older copies.
+/// Later seeds have a store that is restored from older backups.
 const FIRST_SEED_WITH_RESTORES: u64 = 7_000;
-/// Time for which regions are cut off from each other.
+/// Maximum time for which the regions are cut off from each other.
 const REGION_CUT_DURATION: Duration = Duration::from_secs(10);
-/// Quiet time at the end, in which everything has to recover.
+/// Time without faults at the end of a run, in which the system has to recover.
 pub const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
-/// The steps of a seed, in order of time.
+/// The steps of a seed in order of time, for a load of the given length. The same arguments give
+/// the same steps.
 pub fn steps(seed: u64, length: Duration, nodes: usize) -> Vec<Step> {
     let mut steps = main_steps(seed, length, nodes);
     steps.extend(series_steps(seed, length, nodes));
@@ -155,8 +159,9 @@
     steps
 }
 
-/// The store comes back from an older copy once in the first half, and twice in quick succession in the second. They are
-/// drawn apart, so that a seed keeps its other steps.
+/// Restores the store from an older backup once in the first half, and twice in quick succession in
+/// the second half. A separate random generator draws these steps, so that the other steps of a
+/// seed stay the same.
 fn restore_steps(seed: u64, length: Duration) -> Vec<Step> {
     const SEED_SALT: u64 = 0x72_6574_7572;
     const BACKUP_AGE_MS: std::ops::Range<u64> = 300..3_000;
@@ -172,20 +177,22 @@
     vec![step(faults_end / 5), step(faults_end / 2), step(faults_end / 2 + SECOND_RESTORE_DELAY)]
 }
 
-/// Whether the store of a seed comes back from older copies.
+/// Whether the seed restores the store from older backups.
 pub fn has_restores(seed: u64) -> bool {
     seed >= FIRST_SEED_WITH_RESTORES
 }
 
-/// Whether after one return of the store nothing is disturbed until nodes are bound again by rules with a time, and
-/// neither answers of runners nor a cut tell or excuse anything.
+/// Whether the seed has one restore of the store after which no other fault occurs until the time
+/// bounds apply to nodes again. On such seeds, runners report nothing about themselves and regions
+/// are not cut off, so that nodes learn of changes from the store alone and no check is suspended.
 pub fn has_isolated_restore(seed: u64) -> bool {
     has_restores(seed) && !seed.is_multiple_of(2)
 }
 
-/// Time after the beginning of the judged return until which nothing else is disturbed.
+/// Time from the start of the isolated restore until other faults may start.
 const ISOLATION_TIME: Duration = Duration::from_secs(12);
-/// Time after it at which planned work begins: the store is back, and what it had lost was written again.
+/// Time from the start of the isolated restore until planned work starts. By then the store is back
+/// and the lost data has been written again.
 const PLANNED_WORK_DELAY: Duration = Duration::from_millis(3_200);
 
 fn isolated_restore(length: Duration) -> Step {
@@ -200,7 +207,7 @@
         && step.at + step.duration + PLANNED_WORK_DELAY > restore.at
 }
 
-/// Planned work of which nodes have to hear from the store alone.
+/// Planned work that nodes can learn of only from the store.
 fn planned_steps_after(restore: &Step) -> [Step; 4] {
     let planned = [
         Action::Configure,
@@ -215,39 +222,41 @@
     })
 }
 
-/// Whether the nodes of a seed lie in two regions. Seeds below the first are played as they always
-/// were.
+/// Whether the nodes of the seed lie in two regions.
 pub fn has_regions(seed: u64) -> bool {
     seed >= FIRST_SEED_WITH_REGIONS_AND_LIMITS && seed % 4 != 3 && !has_isolated_restore(seed)
 }
 
-/// Whether some tenants of a seed have limits.
+/// Whether some tenants of the seed have limits.
 pub fn has_limits(seed: u64) -> bool {
     seed >= FIRST_SEED_WITH_REGIONS_AND_LIMITS && seed % 4 != 2
 }
 
-/// Whether runners of a seed start again under their names, and tell when they started.
+/// Whether the runners of the seed restart under the same id and report when they started.
 pub fn has_incarnations(seed: u64) -> bool {
     seed >= FIRST_SEED_WITH_INCARNATIONS
 }
 
-/// Whether a seed's configurations are large, and its nodes read them over narrow links.
+/// Whether the configurations of the seed are large and nodes read them over links of low
+/// bandwidth.
 pub fn has_large_configurations(seed: u64) -> bool {
     seed >= FIRST_SEED_WITH_INCARNATIONS && seed.is_multiple_of(2)
 }
 
-/// Whether runners of a seed say in their answers that they leave or want rest.
+/// Whether the runners of the seed announce in their responses that they are leaving or ask for a
+/// pause.
 pub fn has_self_reports(seed: u64) -> bool {
     seed >= FIRST_SEED_WITH_SELF_REPORTS && !has_isolated_restore(seed)
 }
 
-/// Whether runners of a seed name for a time what they take from all nodes together.
+/// Whether the runners of the seed temporarily report the rate that they accept from all nodes
+/// together.
 pub fn has_reported_limits(seed: u64) -> bool {
     (FIRST_SEED_WITH_REPORTED_LIMITS..FIRST_SEED_WITH_RESTORES).contains(&seed)
 }
 
-/// The regions are cut off from each other in the middle, long enough for their nodes to be bound
-/// again by rules with a time.
+/// Cuts the regions off from each other after a third of the load, for long enough that the time
+/// bounds apply to their nodes again.
 fn region_cut_step(length: Duration) -> Step {
     let faults_end = length.saturating_sub(RECOVERY_TIME);
     Step {
@@ -257,15 +266,15 @@
     }
 }
 
-/// Whether a step would disturb nodes while the regions are cut off, so that what is seen then
-/// would prove nothing.
+/// Whether a step would disturb nodes while the regions are cut off, which would suspend the check
+/// of that period.
 fn overlaps_region_cut(step: &Step, cut: &Step) -> bool {
     const MARGIN: Duration = Duration::from_secs(2);
     step.at < cut.at + cut.duration && step.at + step.duration + MARGIN > cut.at
 }
 
-/// Nodes that keep limits are killed, paused and cut off from the store: any node may be one. They
-/// are drawn apart, so that a seed keeps its other steps.
+/// Kills, pauses and cuts off from the store nodes that may be quota keepers; any node may be one.
+/// A separate random generator draws these steps, so that the other steps of a seed stay the same.
 fn limit_steps(seed: u64, length: Duration, nodes: usize) -> Vec<Step> {
     const SEED_SALT: u64 = 0x6c_696d_6974;
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ SEED_SALT);
@@ -281,13 +290,14 @@
     ]
 }
 
-/// Whether a seed has unplanned faults.
+/// Whether the seed has faults in addition to planned work.
 fn has_faults(seed: u64) -> bool {
     !seed.is_multiple_of(PLANNED_ONLY_EVERY)
 }
 
 /// Signals, restarts and changes in quick succession, so that they overlap: one series in the first
-/// half, one in the second. They are drawn apart, so that older seeds keep their other steps.
+/// half, one in the second. A separate random generator draws these steps, so that the other steps
+/// of older seeds stay the same.
 fn series_steps(seed: u64, length: Duration, nodes: usize) -> Vec<Step> {
     const SEED_SALT: u64 = 0x73_6572_6965;
     const STEPS_PER_SERIES: u32 = 8;
@@ -321,8 +331,8 @@
     }
 }
 
-/// Faults on the way to the interface for duties. They are drawn apart, so that older seeds keep
-/// their other steps.
+/// Faults of nodes' links to the cloud interface. A separate random generator draws these steps, so
+/// that the other steps of older seeds stay the same.
 fn cloud_steps(seed: u64, length: Duration, nodes: usize) -> Vec<Step> {
     const SEED_SALT: u64 = 0x63_6c6f_7564;
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ SEED_SALT);
--- a/crates/soak/src/region_checks.rs
+++ b/crates/soak/src/region_checks.rs
@@ -1,22 +1,22 @@
-//! Whether callers of a region that is cut off are served by its own runners.
+//! Checks that clients of a region that is cut off are served by the region's own runners.
 
 use crate::checks::{Exchange, History, CONTACT_BOUND_US, SLACK_US};
 use crate::history::{Event, RequestKind};
 use crate::regions::zone_of;
 use std::collections::BTreeMap;
 
-/// Time within which a request has its answer while regions are cut off from each other: many
-/// times what a runner of the own region takes.
+/// Maximum response time that counts as served while regions are cut off from each other,
+/// microseconds. A runner of the same region takes a small fraction of it.
 const MAX_RESPONSE_US: u64 = 1_500_000;
-/// Fewest requests of a region and a service that are judged.
+/// Minimum number of requests of one region and type for a verdict.
 const MIN_REQUESTS: usize = 8;
-/// Share of them that is served at the least. Runners fail three in a hundred by themselves, and a
-/// region that uses the runners of both serves half.
+/// Minimum share of them that must be served. Runners fail 3 % of requests by themselves, and a
+/// region that also uses the remote region's runners serves only half.
 const MIN_SERVED_SHARE: f64 = 0.75;
 const OK: u16 = 200;
 
-/// Once nodes have had time to notice that the regions are cut off from each other, each serves
-/// its callers with the runners of its own region.
+/// Once nodes have had time to detect that the regions are cut off from each other, each region
+/// serves its clients with its own runners.
 pub(crate) fn unserved_in_cut_off_regions(history: &History) -> Vec<String> {
     let mut unserved = Vec::new();
     for (begins_us, ends_us) in cuts(history) {
@@ -42,7 +42,7 @@
     unserved
 }
 
-/// When the regions were cut off from each other, and until when.
+/// Start and end of each cut between the regions, microseconds.
 fn cuts(history: &History) -> Vec<(u64, u64)> {
     let mut cuts = Vec::new();
     let mut since_us = None;
@@ -59,8 +59,8 @@
     cuts
 }
 
-/// Whether a request without a limit was sent while the regions were cut off, and nothing else
-/// disturbed its node or the runners.
+/// Whether the request, of a tenant without a limit, was sent while the regions were cut off and no
+/// other fault affected its node or the runners.
 fn qualifies(
     history: &History,
     request: &str,
--- a/crates/soak/src/regions.rs
+++ b/crates/soak/src/regions.rs
@@ -1,8 +1,9 @@
-//! The way between two regions: what a runner gets over it comes late, and while the regions are
-//! cut off from each other it gets nothing.
+//! The link between two regions. Requests to a runner in the remote region are delayed, and are
+//! lost while the regions are cut off from each other.
 //!
-//! Callers name the node that they ask in the ids of their requests, so that a runner can tell from
-//! which region a request comes. Words between nodes pass by another way and are not held up.
+//! Clients put the index of the addressed node into the ids of their requests, so that a runner can
+//! tell which region a request comes from. Messages between nodes do not use this link and are not
+//! delayed.
 
 use crate::fleet::ZONES;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,19 +12,19 @@
 
 /// Region of each zone.
 pub const REGIONS: [(&str, &str); 2] = [(ZONES[0], "shore"), (ZONES[1], "hills")];
-/// Time that the way between the regions takes, each way.
+/// Delay of the link between the regions in one direction.
 pub const ONE_WAY_DELAY: Duration = Duration::from_millis(30);
-/// Stands before the node's number in an id.
+/// Separates a request id from the index of the node in it.
 const NODE_SEPARATOR: &str = "-n";
 
-/// The way between the regions.
+/// State of the link between the regions. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct RegionLink {
     is_cut: Arc<AtomicBool>,
 }
 
 impl RegionLink {
-    /// Cuts the regions off from each other, or ends that.
+    /// Cuts the regions off from each other, or restores the link.
     pub fn set_cut(&self, is_cut: bool) {
         self.is_cut.store(is_cut, Ordering::SeqCst);
     }
@@ -34,23 +35,23 @@
     }
 }
 
-/// The zone of a node.
+/// The zone of a node, by its index.
 pub fn zone_of(node: usize) -> &'static str {
     ZONES[node % ZONES.len()]
 }
 
-/// Whether a node lies in the region where the store is.
+/// Whether a node lies in the region of the store.
 pub fn is_in_store_region(node: usize) -> bool {
     zone_of(node) == ZONES[0]
 }
 
-/// An id that names the node that is asked.
+/// The request id with the index of the addressed node appended.
 pub fn id_with_node(id: &str, node: usize) -> String {
     format!("{id}{NODE_SEPARATOR}{node}")
 }
 
-/// Whether a request was sent to a node of another zone, which is another region here; `false` if
-/// its id does not tell.
+/// Whether a request was sent to a node outside the given zone, and so in the remote region.
+/// `false` if the id contains no node.
 pub fn is_from_other_zone(request: &str, zone: &str) -> bool {
     let node = request.rsplit_once(NODE_SEPARATOR).and_then(|(_, node)| node.parse::<usize>().ok());
     node.is_some_and(|node| zone_of(node) != zone)
--- a/crates/soak/src/reported_limit_checks.rs
+++ b/crates/soak/src/reported_limit_checks.rs
@@ -1,23 +1,25 @@
-//! A runner that names how many requests a second it takes from all nodes together gets no more.
+//! Checks that a runner that reports how many requests per second it accepts from all nodes
+//! together receives no more.
 
 use crate::checks::{History, CONTACT_BOUND_US};
 use crate::history::Event;
 use std::collections::{BTreeMap, HashMap};
 
-/// Length of the windows in which requests are counted, microseconds.
+/// Length of the windows in which arrivals are counted, microseconds.
 const WINDOW_US: u64 = 4_000_000;
-/// Time from an answer that names a limit until its node counts as told, microseconds.
+/// Time from the end of an exchange that carries a reported limit until its node must know the
+/// limit, microseconds.
 const PROPAGATION_US: u64 = 500_000;
 
-/// A time for which a runner named one limit.
+/// A period in which a runner reports one limit.
 struct LimitPeriod {
     from_us: u64,
     to_us: u64,
-    /// The most that may arrive in a window.
+    /// Maximum number of arrivals in a window.
     max_arrivals: usize,
 }
 
-/// In any 4 s: one and a half times what the limit allows, and five.
+/// Maximum number of arrivals in 4 s: one and a half times what the limit allows, plus 5.
 fn max_arrivals(milli_requests_per_s: u64) -> usize {
     const TOLERATED_SECONDS: u64 = 6;
     const ALLOWANCE: u64 = 5;
@@ -26,8 +28,10 @@
         .unwrap_or(usize::MAX)
 }
 
-/// From a contact time after a runner first named a limit, its arrivals in some window from nodes that had passed on such an
-/// answer half a second before. Windows that begin earlier count as well. A node that was disturbed is excused.
+/// Counts the arrivals at a runner from nodes that had passed on a response with a limit of the
+/// same period at least half a second before. Only windows that end at least the contact bound
+/// after the start of the period are checked; they may begin before that. Arrivals from a node that
+/// was recently disturbed do not count.
 pub(crate) fn exceeded_reported_limits(history: &History) -> Vec<String> {
     let periods_by_runner = limit_periods(history);
     let reports = reports(history);
@@ -69,7 +73,7 @@
     all
 }
 
-/// When each node had passed on an answer of each runner that names a limit.
+/// When each node had passed on responses of each runner that report a limit, microseconds.
 fn reports<'a>(history: &History<'a>) -> HashMap<(&'a str, usize), Vec<u64>> {
     let mut reports: HashMap<(&str, usize), Vec<u64>> = HashMap::new();
     for (_, event) in history.events {
--- a/crates/soak/src/reported_limits.rs
+++ b/crates/soak/src/reported_limits.rs
@@ -1,15 +1,16 @@
-//! When a runner of the soak names how many requests a second it takes from all nodes together.
+//! The limits that a runner reports over time: how many requests per second it accepts from all
+//! nodes together.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::{Duration, Instant};
 
-/// A limit that a runner may name.
+/// A limit that a runner may report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReportedLimit {
-    /// As the runner writes it, requests a second.
+    /// The value in the runner's response header, requests per second.
     pub(crate) text: &'static str,
-    /// Thousandths of a request a second.
+    /// The same value in thousandths of a request per second.
     pub(crate) milli_requests_per_s: u64,
 }
 
@@ -19,23 +20,24 @@
     ReportedLimit { text: "2.1", milli_requests_per_s: 2_100 },
     ReportedLimit { text: "8", milli_requests_per_s: 8_000 },
 ];
-/// A limit is named, or not, for so long; longer than a contact time and a window.
+/// Time for which a runner keeps reporting one limit, or none. It exceeds the sum of the contact
+/// bound and the window of the check, so that each phase can be checked.
 const PHASE_LENGTH: Duration = Duration::from_secs(9);
 const LIMIT_PROBABILITY: f64 = 0.6;
 
-/// What one runner names, by the time since it started.
+/// The limit that one runner reports, determined by the seed and the time since its start.
 pub(crate) struct LimitPhases {
     seed: u64,
     started: Instant,
 }
 
 impl LimitPhases {
-    /// A runner that starts now.
+    /// Phases of a runner that starts now.
     pub(crate) fn new(seed: u64) -> Self {
         Self { seed, started: Instant::now() }
     }
 
-    /// What it names now.
+    /// The limit in the current phase; `None` if the runner reports none.
     pub(crate) fn current(&self) -> Option<ReportedLimit> {
         let phase = self.started.elapsed().as_secs() / PHASE_LENGTH.as_secs();
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed.wrapping_add(phase));
--- a/crates/soak/src/runner_script.rs
+++ b/crates/soak/src/runner_script.rs
@@ -1,4 +1,4 @@
-//! What a runner of the soak does with a request, and what it says of itself.
+//! How a runner of the soak reacts to a request, and what it reports about itself.
 
 use crate::fleet::{response_body, LAST_EVENT};
 use crate::history::{Event, Recorder};
@@ -15,73 +15,77 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-/// Share of requests that a runner runs and does not answer, or answers with a failure.
+/// Probability that a runner fails a request that it runs: it closes or resets the connection,
+/// responds with an error, or aborts the stream.
 const FAULT_PROBABILITY: f64 = 0.03;
-/// Share of requests that a runner turns away to have rest, and for how long.
+/// Probability that a runner declines a request and asks for a pause.
 const DECLINE_PROBABILITY: f64 = 0.02;
+/// Length of that pause: seconds, as in the header, and the same in microseconds.
 const RETRY_AFTER: (&str, u64) = ("1.5", 1_500_000);
-/// Share of orders under which a runner ends: it is back, and nobody has an answer.
+/// Probability that a runner crashes on an order that it has accepted: it restarts, and nobody has
+/// received a response.
 const CRASH_ON_ORDER_PROBABILITY: f64 = 0.5;
-/// Beginning of the body of a request that ends runners.
+/// Prefix of the bodies of poison requests.
 const POISON_BODY_PREFIX: &str = "deadly ";
-/// Time for which such a request runs.
+/// Time for which a poison request runs before its runner crashes.
 const POISON_RUN_TIME: Duration = Duration::from_millis(40);
 
-/// Which runner it is, and where.
+/// Identity and location of a runner.
 pub(crate) struct RunnerLocation {
-    /// Its id.
+    /// Id of the runner.
     pub(crate) id: String,
-    /// Its zone.
+    /// Zone of the runner.
     pub(crate) zone: &'static str,
-    /// The way between its region and the other one.
+    /// The link between the runner's region and the other one.
     pub(crate) regions: RegionLink,
 }
 
-/// Which runner it is, and what it does.
+/// Identity and role of a runner.
 pub(crate) struct Worker {
-    /// Its id.
+    /// Id of the runner.
     pub(crate) id: String,
-    /// What it does at first, if it runs a language model.
+    /// Initial stage; `None` if it runs no language model.
     pub(crate) stage: Option<&'static str>,
-    /// What it does now, where it takes orders.
+    /// Current role; `None` if the runner does not accept orders.
     pub(crate) role: Option<Arc<Role>>,
 }
 
 impl RunnerLocation {
-    /// Holds up what comes from another region; `false` if it does not come.
+    /// Delays a request from the remote region; `false` if the request is lost because the regions
+    /// are cut off.
     fn delay_or_drop(&self, request: &ReceivedRequest) -> bool {
         let is_cross_region = request.id().is_some_and(|id| is_from_other_zone(id, self.zone));
         if is_cross_region && !self.regions.is_cut() {
-            // There and back: a runner's answer has as far to go.
+            // Covers both directions, because the response is not delayed separately.
             std::thread::sleep(ONE_WAY_DELAY * 2);
         }
         !(is_cross_region && self.regions.is_cut())
     }
 }
 
-/// What a runner is up to when a request comes.
+/// What a runner reports about itself in the response to one request.
 #[derive(Clone, Copy)]
 struct ReportingDecision {
-    /// It turns the request away to have rest.
+    /// Whether it declines the request and asks for a pause.
     is_declined: bool,
-    /// It may name a limit.
+    /// Whether it may report a limit.
     may_report_limit: bool,
 }
 
-/// What a runner says of itself.
+/// The reports of a runner about itself.
 pub(crate) struct SelfReporting {
-    /// Whether it says anything of itself: that it leaves, or now and then that it wants rest.
+    /// Whether the runner reports anything about itself, such as leaving or asking for a pause.
     pub(crate) is_enabled: bool,
-    /// Whether its answers say that it leaves.
+    /// Whether responses announce that the runner is leaving.
     pub(crate) reports_leaving: Arc<AtomicBool>,
-    /// What it takes from all nodes together; `None`: it never names a limit.
+    /// The limits that it reports; `None` if it never reports any.
     pub(crate) limits: Option<LimitPhases>,
-    /// The limit that it named last.
+    /// The limit reported last.
     pub(crate) last_reported: Mutex<Option<ReportedLimit>>,
 }
 
 impl SelfReporting {
-    /// What the runner takes now; notes when that changes.
+    /// The limit that the runner reports now. Records an event when it changes.
     fn current_limit(
         &self,
         runner: &str,
@@ -98,7 +102,8 @@
         limit
     }
 
-    /// Does as the runner does with a request, and says what it has to say of itself.
+    /// Declines the request or lets `work` handle it, and adds the runner's reports about itself to
+    /// the response.
     fn react_and_report(
         &self,
         request: &ReceivedRequest,
@@ -114,7 +119,7 @@
         let limit = self.current_limit(&runner, recorder, decision.may_report_limit);
         let is_declined = decision.is_declined;
         let reaction = if is_declined { Reaction::Decline } else { work() };
-        // What ends a runner, or is cut before its head, says nothing.
+        // Reactions that crash the runner or end before the response head carry no report.
         if !matches!(reaction, Reaction::Answer { .. } | Reaction::Stream(_) | Reaction::Decline) {
             return reaction;
         }
@@ -136,7 +141,8 @@
     }
 }
 
-/// What a runner does: it runs what it is given, notes it, and now and then fails.
+/// The reaction of a runner to each request: it records the request, runs it, and sometimes fails
+/// it.
 pub(crate) fn script(
     location: RunnerLocation,
     worker: Worker,
@@ -146,16 +152,19 @@
     own_link: Arc<OnceLock<Link>>,
 ) -> impl Fn(&ReceivedRequest) -> Reaction + Send + Sync {
     let work = work(worker, recorder.clone(), seed, own_link);
-    // What it says of itself is drawn apart, so that older seeds keep what they do.
+    // A separate random generator draws the reports, so that the reactions of older seeds stay the
+    // same.
     let rng = Mutex::new(ChaCha8Rng::seed_from_u64(!seed));
     move |request| {
         if !location.delay_or_drop(request) {
             return Reaction::Silent;
         }
-        // Where a region is cut off from the others, two rests of its two runners of a service leave nobody.
+        // If both runners of a service in a region that is cut off asked for a pause, the region
+        // would have no runner left.
         let may_decline = self_reporting.is_enabled && !location.regions.is_cut();
         let is_declined = may_decline && lock(&rng).random_bool(DECLINE_PROBABILITY);
-        // What two limited runners take is no measure of whether their region serves its callers alone.
+        // With limits, the two runners of a region that is cut off could not serve all its clients,
+        // so the check of the region would prove nothing.
         let decision =
             ReportingDecision { is_declined, may_report_limit: !location.regions.is_cut() };
         self_reporting
@@ -163,7 +172,7 @@
     }
 }
 
-/// What a runner does with a request, whatever it says of itself.
+/// The reaction to a request without the runner's reports about itself.
 fn work(
     worker: Worker,
     recorder: Recorder,
@@ -226,7 +235,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The runner ends under a request, a little after it has begun to run it.
+/// Crashes the runner a short time after it has started to run a request.
 fn crash(own_link: &Arc<OnceLock<Link>>, head: CrashHead) -> Reaction {
     let own_link = own_link.clone();
     std::thread::spawn(move || {
@@ -238,7 +247,7 @@
     Reaction::Crash { head, runs_for: POISON_RUN_TIME }
 }
 
-/// The body of a request that ends runners: the same each time it comes.
+/// The body of a poison request, which is the same at each repeat.
 pub(crate) fn poison_body(number: usize) -> String {
     format!("{POISON_BODY_PREFIX}{number}")
 }
--- a/crates/soak/src/self_report_checks.rs
+++ b/crates/soak/src/self_report_checks.rs
@@ -1,15 +1,17 @@
-//! What runners say of themselves binds the node to which they have said it, whatever the store says.
+//! Checks that a node respects what a runner has reported to it about itself, even if the store
+//! does not show it yet.
 
 use crate::checks::{History, CONTACT_BOUND_US, DRAIN_BOUND_US};
 use crate::history::Event;
 use std::collections::HashMap;
 
-/// Time from an answer that asks for rest until it counts, microseconds: what is under way then may arrive.
+/// Time from a response that asks for a pause until arrivals count, microseconds. Requests already
+/// in flight may arrive before.
 const IN_FLIGHT_US: u64 = 500_000;
-/// Requests that may arrive in the time of a rest.
+/// Number of requests that may still arrive during a pause.
 const MAX_ARRIVALS_IN_BACKOFF: usize = 2;
 
-/// Arrivals at each runner from each node, in order of time.
+/// Time and id of the arrivals by runner and node, in order of time.
 type Arrivals<'a> = HashMap<(&'a str, usize), Vec<(u64, &'a str)>>;
 
 fn arrivals<'a>(history: &History<'a>) -> Arrivals<'a> {
@@ -22,8 +24,9 @@
     all
 }
 
-/// Requests that callers sent later than the time to drain after a node had passed on an answer whose runner says
-/// in it that it leaves, and which that node sent to that runner.
+/// Finds requests that a node sent to a runner although it had passed on a response in which the
+/// runner announced that it is leaving, and although clients sent them later than the drain bound
+/// after that.
 pub(crate) fn requests_after_leaving(history: &History) -> Vec<String> {
     let arrivals = arrivals(history);
     let mut broken = Vec::new();
@@ -44,7 +47,8 @@
     broken
 }
 
-/// More than a few requests that reached a runner from a node in the time for which it wanted none.
+/// Finds runners that received more than a few requests from one node during the pause that they
+/// had asked it for.
 pub(crate) fn requests_during_backoff(history: &History) -> Vec<String> {
     let arrivals = arrivals(history);
     let mut broken = Vec::new();
@@ -52,7 +56,7 @@
         let Event::BackoffRequested { request, runner, backoff_us } = event else { continue };
         let Some(node) = history.node_of(request) else { continue };
         let (from_us, to_us) = (asked_us + IN_FLIGHT_US, asked_us + backoff_us);
-        // A node that was cut off or held up may not have heard it yet.
+        // A node that was cut off or paused may not have received the response yet.
         if history.was_disturbed(node, asked_us.saturating_sub(CONTACT_BOUND_US), to_us) {
             continue;
         }
--- a/crates/soak/src/tenant_limit_checks.rs
+++ b/crates/soak/src/tenant_limit_checks.rs
@@ -1,19 +1,20 @@
-//! Whether tenants ran more than they may, by what runners saw.
+//! Checks tenants' limits against the requests that runners observed.
 
 use crate::checks::History;
 use crate::history::Event;
 use std::collections::{BTreeMap, HashMap};
 
-/// A run of a tenant with a limit.
+/// A run of a request whose tenant has a limit.
 struct Charge {
     at_us: u64,
     units: u64,
-    /// When its caller sent it, if it may have been held up on the way to the runner.
+    /// When the client sent the request, microseconds, if a fault may have delayed it on the way to
+    /// the runner; otherwise `None`.
     delayed_since_us: Option<u64>,
 }
 
-/// In no window may a tenant's runs, summed over all runners, be more than its limit allows. A run
-/// counts in windows in which it was both sent and came to its runner.
+/// In no window may the units of a tenant's runs, summed over all runners, exceed its limit. A
+/// delayed run counts only in windows in which the client sent the request as well.
 pub(crate) fn exceeded_tenant_limits(history: &History) -> Vec<String> {
     let charges = charges(history);
     let mut broken = Vec::new();
@@ -31,7 +32,7 @@
     broken
 }
 
-/// Units of the window that ends with a run.
+/// Units of the runs in the window that ends with `last`.
 fn units_in_window(charges: &[Charge], last: &Charge, window_us: u64) -> u64 {
     let is_in = |at_us: u64| at_us <= last.at_us && at_us + window_us > last.at_us;
     let counts =
@@ -63,8 +64,8 @@
     charges
 }
 
-/// A tenant that asks for less than it may is not refused as if it had asked for more, by a node in
-/// touch. `below` tells which tenants do.
+/// Finds requests of tenants below their limit that a node in contact refused because of the limit.
+/// `is_below_limit` decides by the request id.
 pub(crate) fn false_limit_refusals(
     history: &History,
     is_below_limit: impl Fn(&str) -> bool,
--- a/crates/soak/src/tenants.rs
+++ b/crates/soak/src/tenants.rs
@@ -1,29 +1,30 @@
-//! The tenants of a soak: one without a limit, and on some seeds others with one.
+//! The tenants of a soak: one without a limit, and on some seeds others with limits.
 
 use pitchstall_platform_standins::documents::{LimitDocument, TenantDocument};
 
-/// Length of the windows in which limits are judged, seconds, and the share by which the runs in
-/// one may lie above what the limit allows: told to the nodes and used by the check.
+/// Length of the windows over which limits apply, seconds. Nodes get it in their settings, and the
+/// check uses it.
 pub const WINDOW_S: f64 = 2.0;
-/// See [`WINDOW_S`].
+/// Share by which the runs in a window may exceed the limit. Nodes get it in their settings, and
+/// the check uses it.
 pub const OVERAGE: f64 = 0.25;
 
-/// Tokens in and out that each request tells.
+/// Sum of prompt and output tokens that each request states.
 const REQUEST_TOKENS: u64 = 900 + 20;
 
-/// What a tenant with a limit may have run.
+/// The limit of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoakLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate_per_s: u64,
-    /// Units above that which may come at once.
+    /// Units that may run at once in addition to the rate.
     pub burst: u64,
-    /// Whether units are tokens; they are requests otherwise.
+    /// Whether a unit is a token; otherwise it is a request.
     pub counts_tokens: bool,
 }
 
 impl SoakLimit {
-    /// Units of one run.
+    /// Units that one run costs.
     pub fn units_per_run(&self) -> u64 {
         if self.counts_tokens {
             REQUEST_TOKENS
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Units that may run in any window.
+    /// Maximum number of units that may run in any window, with the overage.
     pub fn max_units_per_window(&self) -> f64 {
         (self.rate_per_s as f64 * WINDOW_S + self.burst as f64) * (1.0 + OVERAGE)
     }
@@ -47,20 +48,21 @@
     }
 }
 
-/// A tenant.
+/// A tenant and the load that its clients send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoakTenant {
-    /// Its name.
+    /// Name of the tenant, also the prefix of its request ids.
     pub name: &'static str,
-    /// Its only key.
+    /// Its only API key.
     pub key: &'static str,
-    /// Its limit, if it has one.
+    /// Its limit; `None` if it is unlimited.
     pub limit: Option<SoakLimit>,
-    /// Milliseconds between two requests of its own callers, who ask at all nodes in turn.
+    /// Time between two requests of the tenant's own clients, which address all nodes in turn,
+    /// milliseconds.
     pub request_interval_ms: u64,
 }
 
-/// The tenant without a limit, whose callers send the load that every seed has.
+/// The tenant without a limit, which sends the load that every seed has.
 pub const UNLIMITED: SoakTenant = SoakTenant {
     name: "taxis",
     key: "soak-m82thhkmgjqnirth5mgj",
@@ -72,7 +74,8 @@
     Some(SoakLimit { rate_per_s, burst, counts_tokens })
 }
 
-/// Tenants with limits: two that ask for some three times what they may, one that stays below.
+/// Tenants with limits: two that request about three times their limit, and one that stays below
+/// it.
 pub const LIMITED: [SoakTenant; 3] = [
     SoakTenant {
         name: "couriers",
@@ -94,7 +97,7 @@
     },
 ];
 
-/// The one that stays below.
+/// Name of the tenant that stays below its limit.
 pub const BELOW_LIMIT: &str = "cranes";
 
 /// The tenants of a seed.
@@ -103,7 +106,7 @@
     [UNLIMITED].iter().chain(limited).copied().collect()
 }
 
-/// The tenant whose name an id begins with; the usual one if there is none.
+/// The tenant whose name is the prefix of a request id; [`UNLIMITED`] if there is none.
 pub fn tenant_of(request: &str) -> SoakTenant {
     let has_prefix = |tenant: &&SoakTenant| {
         request.strip_prefix(tenant.name).is_some_and(|rest| rest.starts_with('-'))
@@ -111,7 +114,7 @@
     LIMITED.iter().find(has_prefix).copied().unwrap_or(UNLIMITED)
 }
 
-/// A tenant as it stands in the configuration.
+/// The tenant's entry in the configuration.
 pub fn document(tenant: &SoakTenant) -> TenantDocument<'static> {
     let limit = tenant.limit.map(SoakLimit::document);
     TenantDocument { name: tenant.name, key: tenant.key, limit }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each check finds the promise broken in a history that breaks it, and in no sound one.
+//! Each check finds a violation in a history that contains one, and none in a correct history.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pitchstall_platform_standins::runner::event_text;
@@ -162,7 +162,8 @@
     (at_us, Event::Arrived { request: request.to_owned(), runner: runner.to_owned() })
 }
 
-/// The store was away when the runner said so: that excuses nothing. A restart of the node does.
+/// A fault of the store does not excuse a node that sends work to a runner which announced that it
+/// is leaving; a restart of the node does.
 #[test]
 fn work_for_a_runner_that_said_it_leaves_is_found() {
     let reported = Event::LeavingReported { request: "a".to_owned(), runner: "i-1".to_owned() };
@@ -216,8 +217,9 @@
     assert_eq!(broken_promises(&cut), ["a planned stop cuts nothing"]);
 }
 
-/// Seed 18: a runner broke four streams off just after planned stops, and the new processes had
-/// not earned a repeat yet. What another runner then takes up is the node's to finish again.
+/// Guards against blaming a planned stop for streams that a runner aborted. With seed 18, a runner
+/// aborted four streams just after planned stops, when the new processes had no retry budget yet. A
+/// stream that another runner has resumed must still be completed by the node.
 #[test]
 fn a_stream_that_its_runner_broke_off_is_not_cut_by_the_stop() {
     let broken_off = (9 * SECOND, Event::StreamAborted { request: "r".to_owned() });
@@ -334,7 +336,8 @@
     assert_eq!(violations(&[disturbed, refused("cranes-1")].concat()), []);
 }
 
-/// Thirty requests at node 0 while the regions are cut off from each other, some of them unserved.
+/// Thirty requests at node 0 while the regions are cut off from each other, of which the given
+/// number is not served.
 fn asked_when_cut(unserved: usize, sent_after: u64) -> Vec<TimedEvent> {
     let mut events = vec![(0, Event::RegionsCut { begins: true })];
     for number in 0..30 {
@@ -411,7 +414,8 @@
     assert_eq!(tenant_of("r-17").limit, None);
 }
 
-/// A runner names two requests a second, and gets some from a node that it has told.
+/// A runner reports a limit of two requests per second and receives requests from a node to which
+/// it has reported it, if `reported`.
 fn named_limit(reported: bool, disturbed: bool, arrivals: u64) -> Vec<TimedEvent> {
     let text = str::to_owned;
     let named = Event::LimitChanged { runner: text("i-1"), milli_requests_per_s: Some(2_000) };
