--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -52,21 +52,21 @@
 #[test_case(RequestKind::AtMostOnce, Outcome::Disconnected; "a failure")]
 #[test_case(RequestKind::ResumableStream, stream(0..=LAST_EVENT); "a stream")]
 #[test_case(RequestKind::Repeatable, whole("r", 503, String::new()); "a repeatable request that was refused")]
-fn a_sound_history_breaks_nothing(kind: RequestKind, outcome: Outcome) {
+fn a_correct_history_has_no_violations(kind: RequestKind, outcome: Outcome) {
     assert_eq!(violations(&exchange(kind, outcome)), []);
 }
 
 #[test_case(RequestKind::Repeatable, own_response("other"); "another answer")]
 #[test_case(RequestKind::Repeatable, whole("r", 200, "answer".to_owned()); "half an answer")]
 #[test_case(RequestKind::Repeatable, Outcome::Malformed; "no answer")]
-fn an_answer_that_is_not_its_own_is_found(kind: RequestKind, outcome: Outcome) {
+fn a_wrong_response_is_found(kind: RequestKind, outcome: Outcome) {
     assert_eq!(broken_promises(&exchange(kind, outcome)), ["the whole answer to its own request"]);
 }
 
 #[test_case(stream(0..LAST_EVENT); "cut short")]
 #[test_case(stream((0..=LAST_EVENT).filter(|id| *id != 3)); "a gap")]
 #[test_case(stream((0..=LAST_EVENT).chain([LAST_EVENT])); "doubled")]
-fn a_torn_stream_is_found(outcome: Outcome) {
+fn an_incomplete_stream_is_found(outcome: Outcome) {
     assert_eq!(
         broken_promises(&exchange(RequestKind::ResumableStream, outcome)),
         ["a stream whole and in order"]
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_doubled_run_is_found() {
+fn a_second_run_of_an_at_most_once_request_is_found() {
     let mut events = exchange(RequestKind::AtMostOnce, own_response("r"));
     events.push(ran(9, "r", "i-2"));
     assert_eq!(broken_promises(&events), ["at most once"]);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_run_that_nobody_asked_for_is_found() {
+fn a_run_without_a_request_is_found() {
     assert_eq!(broken_promises(&[ran(1, "r", "i-1")]), ["runners run only what was asked"]);
 }
 
@@ -105,15 +105,15 @@
 }
 
 #[test]
-fn two_reports_of_one_window_are_found_unless_they_are_alike() {
-    let alike = [report(1, 7, 3), report(2, 8, 4), report(3, 7, 3)];
-    assert_eq!(violations(&alike), []);
+fn different_usage_reports_of_one_window_are_found() {
+    let identical = [report(1, 7, 3), report(2, 8, 4), report(3, 7, 3)];
+    assert_eq!(violations(&identical), []);
     let different = [report(1, 7, 3), report(2, 7, 4)];
     assert_eq!(broken_promises(&different), ["one usage report for a window"]);
 }
 
 #[test]
-fn faults_on_the_way_to_the_duties_are_played_beside_the_others() {
+fn schedules_with_faults_include_faults_of_the_cloud_link() {
     let is_cloud = |step: &Step| matches!(step.action, Action::CloudLink { .. });
     let length = Duration::from_secs(25);
     assert_eq!(steps(22, length, 4).iter().filter(|step| is_cloud(step)).count(), 3);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_configuration_that_reverts_is_found_within_one_life() {
+fn a_configuration_that_reverts_within_one_incarnation_is_found() {
     let started = |at| (at, Event::NodeStarted { node: 0 });
     let [new, new_end] = probe(SECOND, "a", 7, 200);
     let [old, old_end] = probe(2 * SECOND, "b", 4, 200);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn work_for_a_runner_that_left_is_found() {
+fn work_for_a_draining_runner_is_found() {
     let mut events = vec![(0, Event::Draining { runner: "i-1".to_owned() })];
     events.push(sent(9 * SECOND, "r", RequestKind::Repeatable));
     events.push(ran(9 * SECOND, "r", "i-1"));
@@ -165,7 +165,7 @@
 /// A fault of the store does not excuse a node that sends work to a runner which announced that it
 /// is leaving; a restart of the node does.
 #[test]
-fn work_for_a_runner_that_said_it_leaves_is_found() {
+fn work_for_a_runner_that_announced_leaving_is_found() {
     let reported = Event::LeavingReported { request: "a".to_owned(), runner: "i-1".to_owned() };
     let exchange = |at_us, request: &str| {
         let answer = own_response(request);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_third_request_in_a_rest_is_found() {
+fn a_third_request_during_a_pause_is_found() {
     let rest = |backoff_us| {
         let (request, runner) = ("a".to_owned(), "i-1".to_owned());
         (0, Event::BackoffRequested { request, runner, backoff_us })
@@ -221,21 +221,21 @@
 /// aborted four streams just after planned stops, when the new processes had no retry budget yet. A
 /// stream that another runner has resumed must still be completed by the node.
 #[test]
-fn a_stream_that_its_runner_broke_off_is_not_cut_by_the_stop() {
-    let broken_off = (9 * SECOND, Event::StreamAborted { request: "r".to_owned() });
+fn a_stream_aborted_by_its_runner_is_not_blamed_on_the_planned_stop() {
+    let aborted = (9 * SECOND, Event::StreamAborted { request: "r".to_owned() });
     let stop = (9 * SECOND, Event::PlannedStop { node: 0 });
     let begun =
         [sent(9 * SECOND - 1, "r", RequestKind::Repeatable), ran(9 * SECOND - 1, "r", "i-1")];
     let cut = ended(9 * SECOND + 5, "r", Outcome::Disconnected);
-    let by_runner = [&begun[..], &[broken_off.clone(), stop.clone(), cut.clone()]].concat();
+    let by_runner = [&begun[..], &[aborted.clone(), stop.clone(), cut.clone()]].concat();
     assert_eq!(broken_promises(&by_runner), Vec::<&str>::new());
     let again = ran(9 * SECOND + 1, "r", "i-2");
-    let by_stop = [&begun[..], &[broken_off, stop, again, cut]].concat();
+    let by_stop = [&begun[..], &[aborted, stop, again, cut]].concat();
     assert_eq!(broken_promises(&by_stop), ["a planned stop cuts nothing"]);
 }
 
 #[test]
-fn a_token_of_two_holders_is_found() {
+fn a_fencing_token_of_two_holders_is_found() {
     let order = |at, holder: &str| {
         let (runner, holder) = ("i-1".to_owned(), holder.to_owned());
         (at, Event::OrderReceived { runner, holder, fence: 7 })
@@ -259,7 +259,7 @@
 
 #[test_case(&[1, 2, 3, 4, 5, 6, 30, 31, 32], false; "within the time to hear of it, and three more")]
 #[test_case(&[1, 2, 3, 30, 31, 32, 33], true; "four more")]
-fn a_request_that_goes_on_ending_runners_is_found(seconds: &[u64], is_broken: bool) {
+fn a_poison_request_that_keeps_crashing_runners_is_found(seconds: &[u64], is_broken: bool) {
     let ids: Vec<String> = seconds.iter().map(|second| format!("d-{second}")).collect();
     let ends = seconds.iter().zip(&ids).flat_map(|(at, id)| crashed_runner(at * SECOND, id));
     let found = broken_promises(&ends.collect::<Vec<_>>());
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_node_that_was_not_in_touch_is_not_bound() {
+fn poison_repeats_from_a_disturbed_node_are_excused() {
     let seconds = [1, 2, 3, 30, 31, 32, 33];
     let ids: Vec<String> = seconds.iter().map(|second| format!("d-{second}")).collect();
     let ends = seconds.iter().zip(&ids).flat_map(|(at, id)| crashed_runner(at * SECOND, id));
@@ -278,7 +278,7 @@
 
 const MAX_UNITS: u64 = 10;
 
-fn limited() -> TimedEvent {
+fn tenant_limit() -> TimedEvent {
     let (tenant, window_us) = ("couriers", 2 * SECOND);
     (0, Event::TenantLimitSet { tenant, window_us, max_units: MAX_UNITS })
 }
@@ -289,40 +289,40 @@
 
 fn charges(times: impl Iterator<Item = u64>) -> Vec<TimedEvent> {
     let charge = |at| charged(at, &format!("couriers-{at}"), 1);
-    [limited()].into_iter().chain(times.map(charge)).collect()
+    [tenant_limit()].into_iter().chain(times.map(charge)).collect()
 }
 
 #[test_case((0..10).map(|it| it * 1_000).collect(), false; "all that may run, at once")]
 #[test_case((0..11).map(|it| it * 1_000).collect(), true; "one more")]
 #[test_case((0..40).map(|it| it * SECOND / 5).collect(), false; "all that may run, for long")]
 #[test_case((0..40).map(|it| it * SECOND / 6).collect(), true; "a little faster, for long")]
-fn a_tenant_that_runs_more_than_it_may_is_found(times: Vec<u64>, is_broken: bool) {
+fn a_tenant_that_exceeds_its_limit_is_found(times: Vec<u64>, is_broken: bool) {
     let found = broken_promises(&charges(times.into_iter()));
     assert_eq!(found == ["no tenant runs more than it may"], is_broken, "{found:?}");
 }
 
 #[test]
 fn a_run_counts_by_its_units() {
-    let many = [limited(), charged(1, "couriers-1", 6), charged(2, "couriers-2", 5)];
+    let many = [tenant_limit(), charged(1, "couriers-1", 6), charged(2, "couriers-2", 5)];
     assert_eq!(broken_promises(&many), ["no tenant runs more than it may"]);
 }
 
 #[test]
-fn runs_that_a_faulty_link_held_up_count_only_where_they_were_sent_too() {
+fn runs_delayed_by_a_faulty_link_count_only_in_windows_in_which_they_were_sent() {
     let id = |number: u64| format!("couriers-{number}");
     let sent = |number| sent(number * SECOND / 2, &id(number), RequestKind::Repeatable);
-    let held = (0..12).map(sent);
+    let delayed = (0..12).map(sent);
     let released = (0..12).map(|number| charged(6 * SECOND + number, &id(number), 1));
-    let mut events: Vec<TimedEvent> = [limited()].into_iter().chain(held).collect();
+    let mut events: Vec<TimedEvent> = [tenant_limit()].into_iter().chain(delayed).collect();
     events.push((6 * SECOND - 1, Event::RunnerLinkDisturbed));
     events.extend(released.clone());
     assert_eq!(violations(&events), []);
-    let unheld: Vec<TimedEvent> = [limited()].into_iter().chain(released).collect();
-    assert_eq!(broken_promises(&unheld), ["no tenant runs more than it may"]);
+    let not_delayed: Vec<TimedEvent> = [tenant_limit()].into_iter().chain(released).collect();
+    assert_eq!(broken_promises(&not_delayed), ["no tenant runs more than it may"]);
 }
 
 #[test]
-fn a_tenant_below_its_limit_that_is_refused_is_found_unless_the_node_was_disturbed() {
+fn a_refusal_below_the_limit_is_found_unless_the_node_was_disturbed() {
     let refused = |request: &str| {
         let answer = whole(request, 429, String::new());
         vec![
@@ -338,7 +338,7 @@
 
 /// Thirty requests at node 0 while the regions are cut off from each other, of which the given
 /// number is not served.
-fn asked_when_cut(unserved: usize, sent_after: u64) -> Vec<TimedEvent> {
+fn requests_during_region_cut(unserved: usize, sent_after: u64) -> Vec<TimedEvent> {
     let mut events = vec![(0, Event::RegionsCut { begins: true })];
     for number in 0..30 {
         let (request, at) = (format!("r-{number}-n0"), sent_after + number as u64);
@@ -355,14 +355,14 @@
 #[test_case(13, 6 * SECOND, true; "four in ten are not served")]
 #[test_case(13, SECOND, false; "before nodes had time to notice")]
 #[test_case(13, 19 * SECOND, false; "when it is just over")]
-fn a_region_that_does_not_serve_its_callers_is_found(unserved: usize, at: u64, is_broken: bool) {
-    let found = broken_promises(&asked_when_cut(unserved, at));
+fn a_region_that_does_not_serve_its_clients_is_found(unserved: usize, at: u64, is_broken: bool) {
+    let found = broken_promises(&requests_during_region_cut(unserved, at));
     assert_eq!(found == ["a region that is cut off serves its callers"], is_broken, "{found:?}");
 }
 
 #[test]
-fn a_late_answer_is_no_service_in_a_region_that_is_cut_off() {
-    let late: Vec<TimedEvent> = asked_when_cut(0, 6 * SECOND)
+fn a_late_response_does_not_count_as_served_in_a_region_that_is_cut_off() {
+    let late: Vec<TimedEvent> = requests_during_region_cut(0, 6 * SECOND)
         .into_iter()
         .map(|(at, event)| match event {
             Event::Ended { .. } => (at + 2 * SECOND, event),
@@ -373,14 +373,14 @@
 }
 
 #[test]
-fn a_region_whose_runner_ended_is_not_judged() {
-    let mut events = asked_when_cut(13, 6 * SECOND);
+fn a_region_with_a_crashed_runner_is_not_checked() {
+    let mut events = requests_during_region_cut(13, 6 * SECOND);
     events.insert(1, (5 * SECOND, Event::RunnerCrashed { runner: "i-9".to_owned(), cause: None }));
     assert_eq!(violations(&events), []);
 }
 
 #[test]
-fn regions_and_limits_are_played_on_seeds_of_their_own() {
+fn only_later_seeds_have_regions_and_limits() {
     let length = Duration::from_secs(25);
     let cuts = |seed| {
         let steps = steps(seed, length, 4);
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn returns_of_the_store_are_played_on_seeds_of_their_own() {
+fn only_later_seeds_restore_the_store() {
     let returns = |seed| {
         let steps = steps(seed, Duration::from_secs(25), 4);
         let is_return = |step: &&Step| matches!(step.action, Action::RestoreBackup { .. });
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn an_id_tells_the_tenant_and_the_node() {
+fn a_request_id_contains_the_tenant_and_the_node() {
     let id = id_with_node("couriers-17", 3);
     assert_eq!(tenant_of(&id), LIMITED[0]);
     assert!(is_from_other_zone(&id, "east") && !is_from_other_zone(&id, "west"));
@@ -416,7 +416,11 @@
 
 /// A runner reports a limit of two requests per second and receives requests from a node to which
 /// it has reported it, if `reported`.
-fn named_limit(reported: bool, disturbed: bool, arrivals: u64) -> Vec<TimedEvent> {
+fn arrivals_under_reported_limit(
+    reported: bool,
+    disturbed: bool,
+    arrivals: u64,
+) -> Vec<TimedEvent> {
     let text = str::to_owned;
     let named = Event::LimitChanged { runner: text("i-1"), milli_requests_per_s: Some(2_000) };
     let mut events = vec![(1, named)];
@@ -444,19 +448,22 @@
 #[test_case(true, false, 17, false; "as many as that")]
 #[test_case(false, false, 18, false; "from a node that it has not told")]
 #[test_case(true, true, 18, false; "from a node that was disturbed")]
-fn a_runner_gets_no_more_than_it_names(
+fn a_runner_that_receives_more_than_its_reported_limit_is_found(
     reported: bool,
     disturbed: bool,
     arrivals: u64,
     breaks: bool,
 ) {
     let expected = if breaks { vec!["a runner gets no more than it names"] } else { vec![] };
-    assert_eq!(broken_promises(&named_limit(reported, disturbed, arrivals)), expected);
+    assert_eq!(
+        broken_promises(&arrivals_under_reported_limit(reported, disturbed, arrivals)),
+        expected
+    );
 }
 
 #[test]
-fn a_limit_that_is_over_binds_nobody() {
-    let mut events = named_limit(true, false, 30);
+fn a_limit_that_is_no_longer_reported_is_not_checked() {
+    let mut events = arrivals_under_reported_limit(true, false, 30);
     let over = Event::LimitChanged { runner: "i-1".to_owned(), milli_requests_per_s: None };
     events.insert(5, (3 * SECOND, over));
     assert_eq!(broken_promises(&events), Vec::<&str>::new());
