--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -48,24 +48,24 @@
     vec![sent(1, "r", kind), ran(2, "r", "i-1"), ended(3, "r", outcome)]
 }
 
-#[test_case(RequestKind::Repeatable, own_response("r"); "an answer")]
-#[test_case(RequestKind::AtMostOnce, Outcome::Disconnected; "a failure")]
+#[test_case(RequestKind::Repeatable, own_response("r"); "a response")]
+#[test_case(RequestKind::AtMostOnce, Outcome::Disconnected; "a lost connection")]
 #[test_case(RequestKind::ResumableStream, stream(0..=LAST_EVENT); "a stream")]
-#[test_case(RequestKind::Repeatable, whole("r", 503, String::new()); "a repeatable request that was refused")]
+#[test_case(RequestKind::Repeatable, whole("r", 503, String::new()); "a refused repeatable request")]
 fn a_correct_history_has_no_violations(kind: RequestKind, outcome: Outcome) {
     assert_eq!(violations(&exchange(kind, outcome)), []);
 }
 
 #[test_case(RequestKind::Repeatable, own_response("other"); "another answer")]
-#[test_case(RequestKind::Repeatable, whole("r", 200, "answer".to_owned()); "half an answer")]
-#[test_case(RequestKind::Repeatable, Outcome::Malformed; "no answer")]
+#[test_case(RequestKind::Repeatable, whole("r", 200, "answer".to_owned()); "an incomplete response")]
+#[test_case(RequestKind::Repeatable, Outcome::Malformed; "not an HTTP response")]
 fn a_wrong_response_is_found(kind: RequestKind, outcome: Outcome) {
     assert_eq!(broken_promises(&exchange(kind, outcome)), ["the whole answer to its own request"]);
 }
 
-#[test_case(stream(0..LAST_EVENT); "cut short")]
-#[test_case(stream((0..=LAST_EVENT).filter(|id| *id != 3)); "a gap")]
-#[test_case(stream((0..=LAST_EVENT).chain([LAST_EVENT])); "doubled")]
+#[test_case(stream(0..LAST_EVENT); "the last event is missing")]
+#[test_case(stream((0..=LAST_EVENT).filter(|id| *id != 3)); "another event is missing")]
+#[test_case(stream((0..=LAST_EVENT).chain([LAST_EVENT])); "the last event is repeated")]
 fn an_incomplete_stream_is_found(outcome: Outcome) {
     assert_eq!(
         broken_promises(&exchange(RequestKind::ResumableStream, outcome)),
@@ -179,7 +179,7 @@
     events.extend(exchange(SECOND, "a"));
     events.extend(exchange(2 * SECOND, "b"));
     events.push(arrived(2 * SECOND, "b", "i-1"));
-    assert_eq!(violations(&events), [], "within the time to drain");
+    assert_eq!(violations(&events), [], "within the drain bound");
     events.extend(exchange(4 * SECOND, "c"));
     events.push(arrived(4 * SECOND, "c", "i-1"));
     assert_eq!(broken_promises(&events), ["a runner that says that it leaves gets no work"]);
@@ -199,7 +199,7 @@
         events.push(sent(at_us, &request, RequestKind::Repeatable));
         events.push(arrived(at_us, &request, "i-1"));
     }
-    assert_eq!(violations(&events), [], "two, and others before and after");
+    assert_eq!(violations(&events), [], "two during the pause, others before and after");
     events.push(sent(SECOND, "third", RequestKind::Repeatable));
     events.push(arrived(SECOND + 2, "third", "i-1"));
     assert_eq!(broken_promises(&events), ["a runner that asks for rest gets it"]);
@@ -257,8 +257,8 @@
     [sent(at, request, RequestKind::Poison { number: 0 }), crashed]
 }
 
-#[test_case(&[1, 2, 3, 4, 5, 6, 30, 31, 32], false; "within the time to hear of it, and three more")]
-#[test_case(&[1, 2, 3, 30, 31, 32, 33], true; "four more")]
+#[test_case(&[1, 2, 3, 4, 5, 6, 30, 31, 32], false; "within the contact bound, and three later")]
+#[test_case(&[1, 2, 3, 30, 31, 32, 33], true; "four later")]
 fn a_poison_request_that_keeps_crashing_runners_is_found(seconds: &[u64], is_broken: bool) {
     let ids: Vec<String> = seconds.iter().map(|second| format!("d-{second}")).collect();
     let ends = seconds.iter().zip(&ids).flat_map(|(at, id)| crashed_runner(at * SECOND, id));
@@ -292,10 +292,10 @@
     [tenant_limit()].into_iter().chain(times.map(charge)).collect()
 }
 
-#[test_case((0..10).map(|it| it * 1_000).collect(), false; "all that may run, at once")]
-#[test_case((0..11).map(|it| it * 1_000).collect(), true; "one more")]
-#[test_case((0..40).map(|it| it * SECOND / 5).collect(), false; "all that may run, for long")]
-#[test_case((0..40).map(|it| it * SECOND / 6).collect(), true; "a little faster, for long")]
+#[test_case((0..10).map(|it| it * 1_000).collect(), false; "the whole limit at once")]
+#[test_case((0..11).map(|it| it * 1_000).collect(), true; "one above the limit")]
+#[test_case((0..40).map(|it| it * SECOND / 5).collect(), false; "the whole limit, sustained")]
+#[test_case((0..40).map(|it| it * SECOND / 6).collect(), true; "slightly above the limit, sustained")]
 fn a_tenant_that_exceeds_its_limit_is_found(times: Vec<u64>, is_broken: bool) {
     let found = broken_promises(&charges(times.into_iter()));
     assert_eq!(found == ["no tenant runs more than it may"], is_broken, "{found:?}");
@@ -331,7 +331,7 @@
         ]
     };
     assert_eq!(broken_promises(&refused("cranes-1")), ["a tenant below its limit is not refused"]);
-    assert_eq!(violations(&refused("couriers-1")), [], "it asks for more");
+    assert_eq!(violations(&refused("couriers-1")), [], "this tenant exceeds its limit");
     let disturbed = vec![(8 * SECOND, Event::Disturbed { node: Some(0) })];
     assert_eq!(violations(&[disturbed, refused("cranes-1")].concat()), []);
 }
@@ -354,7 +354,7 @@
 #[test_case(3, 6 * SECOND, false; "runners fail now and then")]
 #[test_case(13, 6 * SECOND, true; "four in ten are not served")]
 #[test_case(13, SECOND, false; "before nodes had time to notice")]
-#[test_case(13, 19 * SECOND, false; "when it is just over")]
+#[test_case(13, 19 * SECOND, false; "when the cut is about to end")]
 fn a_region_that_does_not_serve_its_clients_is_found(unserved: usize, at: u64, is_broken: bool) {
     let found = broken_promises(&requests_during_region_cut(unserved, at));
     assert_eq!(found == ["a region that is cut off serves its callers"], is_broken, "{found:?}");
@@ -389,7 +389,7 @@
     assert!((0..1_000).all(|seed| !has_regions(seed) && !has_limits(seed) && cuts(seed) == 0));
     assert!(has_regions(1_000) && has_limits(1_000));
     assert_eq!(cuts(1_000), 1);
-    assert_eq!(cuts(1_003), 0, "limits alone");
+    assert_eq!(cuts(1_003), 0, "limits without regions");
 }
 
 #[test]
@@ -445,8 +445,8 @@
 }
 
 #[test_case(true, false, 18, true; "more than one and a half times the limit and five")]
-#[test_case(true, false, 17, false; "as many as that")]
-#[test_case(false, false, 18, false; "from a node that it has not told")]
+#[test_case(true, false, 17, false; "exactly one and a half times the limit and five")]
+#[test_case(false, false, 18, false; "from a node that has not received the limit")]
 #[test_case(true, true, 18, false; "from a node that was disturbed")]
 fn a_runner_that_receives_more_than_its_reported_limit_is_found(
     reported: bool,
