--- a/crates/soak/examples/soak/run/mod.rs
+++ b/crates/soak/examples/soak/run/mod.rs
@@ -346,13 +346,13 @@
                 unserved.push(Violation { promise: "no process ends by itself", detail });
             }
             for kind in kinds {
-                let answers = || {
+                let is_served = || {
                     matches!(
                         self.send(&mut Client::default(), number, kind),
                         Outcome::Complete { status: 200, .. }
                     )
                 };
-                while !answers() {
+                while !is_served() {
                     if Instant::now() >= deadline {
                         let detail = format!("node {number} does not answer {kind:?}");
                         unserved.push(Violation { promise: "recovery", detail });
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -291,11 +291,11 @@
 }
 
 fn incomplete_streams(history: &History) -> Vec<String> {
-    let whole: String = (0..=LAST_EVENT).map(event_text).collect();
+    let expected: String = (0..=LAST_EVENT).map(event_text).collect();
     let streams =
         history.exchanges.iter().filter(|(_, it)| it.kind == RequestKind::ResumableStream);
     let is_incomplete = |outcome: &Outcome| match outcome {
-        Outcome::Complete { status: OK, body, .. } => *body != whole.as_bytes(),
+        Outcome::Complete { status: OK, body, .. } => *body != expected.as_bytes(),
         _ => false,
     };
     let incomplete = streams.filter(|(_, exchange)| is_incomplete(exchange.outcome));
--- a/crates/soak/src/runner_script.rs
+++ b/crates/soak/src/runner_script.rs
@@ -265,14 +265,14 @@
 ) -> Reaction {
     let is_faulty = rng.random_bool(FAULT_PROBABILITY);
     if stage.is_none() {
-        let answer = Reaction::Answer { status: 200, body: response_body(name).into_bytes() };
+        let response = Reaction::Answer { status: 200, body: response_body(name).into_bytes() };
         let faults = [
             Reaction::RawThenClose(Vec::new()),
             Reaction::RawThenReset(Vec::new()),
             Reaction::Answer { status: 500, body: b"failed".to_vec() },
         ];
         let index = rng.random_range(0..faults.len());
-        return if is_faulty { faults[index].clone() } else { answer };
+        return if is_faulty { faults[index].clone() } else { response };
     }
     match engine(request) {
         Reaction::Stream(mut stream) => {
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -26,16 +26,16 @@
     (at, Event::Ended { request: request.to_owned(), outcome })
 }
 
-fn whole(request: &str, status: u16, body: String) -> Outcome {
+fn complete(request: &str, status: u16, body: String) -> Outcome {
     Outcome::Complete { status, echoed_id: Some(request.to_owned()), body: body.into_bytes() }
 }
 
 fn own_response(request: &str) -> Outcome {
-    whole(request, 200, response_body(request))
+    complete(request, 200, response_body(request))
 }
 
 fn stream(ids: impl Iterator<Item = u64>) -> Outcome {
-    whole("r", 200, ids.map(event_text).collect())
+    complete("r", 200, ids.map(event_text).collect())
 }
 
 fn broken_promises(events: &[TimedEvent]) -> Vec<&'static str> {
@@ -51,13 +51,13 @@
 #[test_case(RequestKind::Repeatable, own_response("r"); "a response")]
 #[test_case(RequestKind::AtMostOnce, Outcome::Disconnected; "a lost connection")]
 #[test_case(RequestKind::ResumableStream, stream(0..=LAST_EVENT); "a stream")]
-#[test_case(RequestKind::Repeatable, whole("r", 503, String::new()); "a refused repeatable request")]
+#[test_case(RequestKind::Repeatable, complete("r", 503, String::new()); "a refused repeatable request")]
 fn a_correct_history_has_no_violations(kind: RequestKind, outcome: Outcome) {
     assert_eq!(violations(&exchange(kind, outcome)), []);
 }
 
 #[test_case(RequestKind::Repeatable, own_response("other"); "another answer")]
-#[test_case(RequestKind::Repeatable, whole("r", 200, "answer".to_owned()); "an incomplete response")]
+#[test_case(RequestKind::Repeatable, complete("r", 200, "answer".to_owned()); "an incomplete response")]
 #[test_case(RequestKind::Repeatable, Outcome::Malformed; "not an HTTP response")]
 fn a_wrong_response_is_found(kind: RequestKind, outcome: Outcome) {
     assert_eq!(broken_promises(&exchange(kind, outcome)), ["the whole answer to its own request"]);
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_false_refusal_is_found_also_if_the_run_comes_later() {
-    let refused = ended(2, "r", whole("r", 503, String::new()));
+    let refused = ended(2, "r", complete("r", 503, String::new()));
     let events = [sent(1, "r", RequestKind::AtMostOnce), refused, ran(9, "r", "i-1")];
     assert_eq!(broken_promises(&events), ["a refusal is true"]);
 }
@@ -121,19 +121,22 @@
 }
 
 fn probe(at: u64, request: &str, version: u64, status: u16) -> [TimedEvent; 2] {
-    let answer =
-        if status == 200 { own_response(request) } else { whole(request, status, String::new()) };
-    [sent(at, request, RequestKind::Probe { version }), ended(at + 1, request, answer)]
+    let response = if status == 200 {
+        own_response(request)
+    } else {
+        complete(request, status, String::new())
+    };
+    [sent(at, request, RequestKind::Probe { version }), ended(at + 1, request, response)]
 }
 
 #[test]
 fn a_configuration_that_is_late_is_found_unless_the_node_was_disturbed() {
     let configured = (0, Event::Configured { version: 4 });
-    let [asked, answered] = probe(9 * SECOND, "r", 4, 404);
-    let late = [configured.clone(), asked.clone(), answered.clone()];
+    let [probe_sent, probe_ended] = probe(9 * SECOND, "r", 4, 404);
+    let late = [configured.clone(), probe_sent.clone(), probe_ended.clone()];
     assert_eq!(broken_promises(&late), ["a configuration is in force in time"]);
     let disturbed = (7 * SECOND, Event::Disturbed { node: Some(0) });
-    assert_eq!(violations(&[configured, disturbed, asked, answered]), []);
+    assert_eq!(violations(&[configured, disturbed, probe_sent, probe_ended]), []);
 }
 
 #[test]
@@ -168,11 +171,11 @@
 fn work_for_a_runner_that_announced_leaving_is_found() {
     let reported = Event::LeavingReported { request: "a".to_owned(), runner: "i-1".to_owned() };
     let exchange = |at_us, request: &str| {
-        let answer = own_response(request);
+        let response = own_response(request);
         [
             sent(at_us, request, RequestKind::Repeatable),
             ran(at_us, request, "i-1"),
-            ended(at_us + 1, request, answer),
+            ended(at_us + 1, request, response),
         ]
     };
     let mut events = vec![(SECOND / 2, Event::Disturbed { node: None }), (SECOND, reported)];
@@ -189,11 +192,11 @@
 
 #[test]
 fn a_third_request_during_a_pause_is_found() {
-    let rest = |backoff_us| {
+    let backoff = |backoff_us| {
         let (request, runner) = ("a".to_owned(), "i-1".to_owned());
         (0, Event::BackoffRequested { request, runner, backoff_us })
     };
-    let mut events = vec![sent(0, "a", RequestKind::Repeatable), rest(2 * SECOND)];
+    let mut events = vec![sent(0, "a", RequestKind::Repeatable), backoff(2 * SECOND)];
     for (number, at_us) in [SECOND / 4, SECOND, SECOND + 1, 3 * SECOND].into_iter().enumerate() {
         let request = format!("r-{number}");
         events.push(sent(at_us, &request, RequestKind::Repeatable));
@@ -324,10 +327,10 @@
 #[test]
 fn a_refusal_below_the_limit_is_found_unless_the_node_was_disturbed() {
     let refused = |request: &str| {
-        let answer = whole(request, 429, String::new());
+        let response = complete(request, 429, String::new());
         vec![
             sent(9 * SECOND, request, RequestKind::Repeatable),
-            ended(9 * SECOND + 1, request, answer),
+            ended(9 * SECOND + 1, request, response),
         ]
     };
     assert_eq!(broken_promises(&refused("cranes-1")), ["a tenant below its limit is not refused"]);
@@ -342,10 +345,11 @@
     let mut events = vec![(0, Event::RegionsCut { begins: true })];
     for number in 0..30 {
         let (request, at) = (format!("r-{number}-n0"), sent_after + number as u64);
-        let answer = if number < unserved { Outcome::Disconnected } else { own_response(&request) };
+        let response =
+            if number < unserved { Outcome::Disconnected } else { own_response(&request) };
         let times = [sent(at, &request, RequestKind::Repeatable), ran(at, &request, "i-1")];
         events.extend(times);
-        events.push(ended(at + 1, &request, answer));
+        events.push(ended(at + 1, &request, response));
     }
     events.push((20 * SECOND, Event::RegionsCut { begins: false }));
     events
