--- a/crates/soak/src/runner_script.rs
+++ b/crates/soak/src/runner_script.rs
@@ -1,10 +1,10 @@
-//! What a runner of the soak does with a request, and what it says of itself.
+//! How a runner of the soak reacts to a request, and what it reports about itself.
 
-use crate::fleet::{answer_body, LAST_EVENT};
+use crate::fleet::{response_body, LAST_EVENT};
 use crate::history::{Event, Recorder};
-use crate::named_limits::{LimitPhases, NamedLimit};
 use crate::proxy::Link;
-use crate::regions::{comes_from_afar, RegionLink, DELAY};
+use crate::regions::{is_from_other_zone, RegionLink, ONE_WAY_DELAY};
+use crate::reported_limits::{LimitPhases, ReportedLimit};
 use crate::tenants::tenant_of;
 use pitchstall_platform_standins::http::ReceivedRequest;
 use pitchstall_platform_standins::role::{OrderOutcome, Role};
@@ -15,147 +15,164 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-/// Share of requests that a runner runs and does not answer, or answers with a failure.
-const FAULTY_SHARE: f64 = 0.03;
-/// Share of requests that a runner turns away to have rest, and for how long.
-const REST_SHARE: f64 = 0.02;
-const REST: (&str, u64) = ("1.5", 1_500_000);
-/// Share of orders under which a runner ends: it is back, and nobody has an answer.
-const ENDS_UNDER_ORDERS: f64 = 0.5;
-/// Beginning of the body of a request that ends runners.
-const DEADLY: &str = "deadly ";
-/// Time for which such a request runs.
-const DEADLY_RUNS_FOR: Duration = Duration::from_millis(40);
+/// Probability that a runner fails a request that it runs: it closes or resets the connection,
+/// responds with an error, or aborts the stream.
+const FAULT_PROBABILITY: f64 = 0.03;
+/// Probability that a runner declines a request and asks for a pause.
+const DECLINE_PROBABILITY: f64 = 0.02;
+/// Length of that pause: seconds, as in the header, and the same in microseconds.
+const RETRY_AFTER: (&str, u64) = ("1.5", 1_500_000);
+/// Probability that a runner crashes on an order that it has accepted: it restarts, and nobody has
+/// received a response.
+const CRASH_ON_ORDER_PROBABILITY: f64 = 0.5;
+/// Prefix of the bodies of poison requests.
+const POISON_BODY_PREFIX: &str = "deadly ";
+/// Time for which a poison request runs before its runner crashes.
+const POISON_RUN_TIME: Duration = Duration::from_millis(40);
 
-/// Which runner it is, and where.
-pub(crate) struct Place {
-    /// Its id.
+/// Identity and location of a runner.
+pub(crate) struct RunnerLocation {
+    /// Id of the runner.
     pub(crate) id: String,
-    /// Its zone.
+    /// Zone of the runner.
     pub(crate) zone: &'static str,
-    /// The way between its region and the other one.
+    /// The link between the runner's region and the other one.
     pub(crate) regions: RegionLink,
 }
 
-/// Which runner it is, and what it does.
+/// Identity and role of a runner.
 pub(crate) struct Worker {
-    /// Its id.
+    /// Id of the runner.
     pub(crate) id: String,
-    /// What it does at first, if it runs a language model.
+    /// Initial stage; `None` if it runs no language model.
     pub(crate) stage: Option<&'static str>,
-    /// What it does now, where it takes orders.
+    /// Current role; `None` if the runner does not accept orders.
     pub(crate) role: Option<Arc<Role>>,
 }
 
-impl Place {
-    /// Holds up what comes from another region; `false` if it does not come.
-    fn let_in(&self, request: &ReceivedRequest) -> bool {
-        let from_afar = request.id().is_some_and(|id| comes_from_afar(id, self.zone));
-        if from_afar && !self.regions.is_cut() {
-            // There and back: a runner's answer has as far to go.
-            std::thread::sleep(DELAY * 2);
+impl RunnerLocation {
+    /// Delays a request from the remote region; `false` if the request is lost because the regions
+    /// are cut off.
+    fn delay_or_drop(&self, request: &ReceivedRequest) -> bool {
+        let is_cross_region = request.id().is_some_and(|id| is_from_other_zone(id, self.zone));
+        if is_cross_region && !self.regions.is_cut() {
+            // Covers both directions, because the response is not delayed separately.
+            std::thread::sleep(ONE_WAY_DELAY * 2);
         }
-        !(from_afar && self.regions.is_cut())
+        !(is_cross_region && self.regions.is_cut())
     }
 }
 
-/// What a runner is up to when a request comes.
+/// What a runner reports about itself in the response to one request.
 #[derive(Clone, Copy)]
-struct Mood {
-    /// It turns the request away to have rest.
-    rests: bool,
-    /// It may name a limit.
-    may_name_limits: bool,
+struct ReportingDecision {
+    /// Whether it declines the request and asks for a pause.
+    is_declined: bool,
+    /// Whether it may report a limit.
+    may_report_limit: bool,
 }
 
-/// What a runner says of itself.
-pub(crate) struct Voice {
-    /// Whether it says anything of itself: that it leaves, or now and then that it wants rest.
-    pub(crate) speaks: bool,
-    /// Whether its answers say that it leaves.
-    pub(crate) says_that_it_leaves: Arc<AtomicBool>,
-    /// What it takes from all nodes together; `None`: it never names a limit.
+/// The reports of a runner about itself.
+pub(crate) struct SelfReporting {
+    /// Whether the runner reports anything about itself, such as leaving or asking for a pause.
+    pub(crate) is_enabled: bool,
+    /// Whether responses announce that the runner is leaving.
+    pub(crate) reports_leaving: Arc<AtomicBool>,
+    /// The limits that it reports; `None` if it never reports any.
     pub(crate) limits: Option<LimitPhases>,
-    /// The limit that it named last.
-    pub(crate) named: Mutex<Option<NamedLimit>>,
+    /// The limit reported last.
+    pub(crate) last_reported: Mutex<Option<ReportedLimit>>,
 }
 
-impl Voice {
-    /// What the runner takes now; notes when that changes.
-    fn limit_now(&self, runner: &str, recorder: &Recorder, may_name: bool) -> Option<NamedLimit> {
-        let limit = self.limits.as_ref().filter(|_| may_name).and_then(LimitPhases::now);
-        let before = std::mem::replace(&mut *lock(&self.named), limit);
+impl SelfReporting {
+    /// The limit that the runner reports now. Records an event when it changes.
+    fn current_limit(
+        &self,
+        runner: &str,
+        recorder: &Recorder,
+        may_report: bool,
+    ) -> Option<ReportedLimit> {
+        let limit = self.limits.as_ref().filter(|_| may_report).and_then(LimitPhases::current);
+        let before = std::mem::replace(&mut *lock(&self.last_reported), limit);
         if before != limit {
-            let thousandths = limit.map(|limit| limit.thousandths);
-            recorder.note(Event::LimitChanged { runner: runner.to_owned(), thousandths });
+            let milli_requests_per_s = limit.map(|limit| limit.milli_requests_per_s);
+            recorder
+                .record(Event::LimitChanged { runner: runner.to_owned(), milli_requests_per_s });
         }
         limit
     }
 
-    /// Does as the runner does with a request, and says what it has to say of itself.
-    fn say(
+    /// Declines the request or lets `work` handle it, and adds the runner's reports about itself to
+    /// the response.
+    fn react_and_report(
         &self,
         request: &ReceivedRequest,
         runner: &str,
         recorder: &Recorder,
-        mood: Mood,
+        decision: ReportingDecision,
         work: impl FnOnce() -> Reaction,
     ) -> Reaction {
-        let Some(name) = request.id().filter(|_| self.speaks) else { return work() };
+        let Some(name) = request.id().filter(|_| self.is_enabled) else { return work() };
         let (request, runner) = (name.to_owned(), runner.to_owned());
-        recorder.note(Event::Arrived { request: request.clone(), runner: runner.clone() });
-        let leaving = self.says_that_it_leaves.load(Ordering::SeqCst);
-        let limit = self.limit_now(&runner, recorder, mood.may_name_limits);
-        let rests = mood.rests;
-        let reaction = if rests { Reaction::Decline } else { work() };
-        // What ends a runner, or is cut before its head, says nothing.
+        recorder.record(Event::Arrived { request: request.clone(), runner: runner.clone() });
+        let leaving = self.reports_leaving.load(Ordering::SeqCst);
+        let limit = self.current_limit(&runner, recorder, decision.may_report_limit);
+        let is_declined = decision.is_declined;
+        let reaction = if is_declined { Reaction::Decline } else { work() };
+        // Reactions that crash the runner or end before the response head carry no report.
         if !matches!(reaction, Reaction::Respond { .. } | Reaction::Stream(_) | Reaction::Decline) {
             return reaction;
         }
         if leaving {
             let (request, runner) = (request.clone(), runner.clone());
-            recorder.note(Event::ToldLeaving { request, runner });
+            recorder.record(Event::LeavingReported { request, runner });
         }
         if limit.is_some() {
             let (request, runner) = (request.clone(), runner.clone());
-            recorder.note(Event::NamedLimit { request, runner });
+            recorder.record(Event::LimitReported { request, runner });
         }
-        let (seconds, rest_us) = REST;
-        if rests {
-            recorder.note(Event::AskedForRest { request, runner, rest_us });
+        let (seconds, backoff_us) = RETRY_AFTER;
+        if is_declined {
+            recorder.record(Event::BackoffRequested { request, runner, backoff_us });
         }
         let limit = limit.map(|limit| limit.text);
-        let report = NoticeHeaders { leaving, retry_after: rests.then_some(seconds), limit };
+        let report = NoticeHeaders { leaving, retry_after: is_declined.then_some(seconds), limit };
         Reaction::WithNotice(report, Box::new(reaction))
     }
 }
 
-/// What a runner does: it runs what it is given, notes it, and now and then fails.
+/// The reaction of a runner to each request: it records the request, runs it, and sometimes fails
+/// it.
 pub(crate) fn script(
-    place: Place,
+    location: RunnerLocation,
     worker: Worker,
-    voice: Voice,
+    self_reporting: SelfReporting,
     recorder: Recorder,
     seed: u64,
     own_link: Arc<OnceLock<Link>>,
 ) -> impl Fn(&ReceivedRequest) -> Reaction + Send + Sync {
     let work = work(worker, recorder.clone(), seed, own_link);
-    // What it says of itself is drawn apart, so that older seeds keep what they do.
-    let chance = Mutex::new(ChaCha8Rng::seed_from_u64(!seed));
+    // A separate random generator draws the reports, so that the reactions of older seeds stay the
+    // same.
+    let rng = Mutex::new(ChaCha8Rng::seed_from_u64(!seed));
     move |request| {
-        if !place.let_in(request) {
+        if !location.delay_or_drop(request) {
             return Reaction::Silent;
         }
-        // Where a region is cut off from the others, two rests of its two runners of a service leave nobody.
-        let may_rest = voice.speaks && !place.regions.is_cut();
-        let rests = may_rest && lock(&chance).random_bool(REST_SHARE);
-        // What two limited runners take is no measure of whether their region serves its callers alone.
-        let mood = Mood { rests, may_name_limits: !place.regions.is_cut() };
-        voice.say(request, &place.id, &recorder, mood, || work(request))
+        // If both runners of a service in a region that is cut off asked for a pause, the region
+        // would have no runner left.
+        let may_decline = self_reporting.is_enabled && !location.regions.is_cut();
+        let is_declined = may_decline && lock(&rng).random_bool(DECLINE_PROBABILITY);
+        // With limits, the two runners of a region that is cut off could not serve all its clients,
+        // so the check of the region would prove nothing.
+        let decision =
+            ReportingDecision { is_declined, may_report_limit: !location.regions.is_cut() };
+        self_reporting
+            .react_and_report(request, &location.id, &recorder, decision, || work(request))
     }
 }
 
-/// What a runner does with a request, whatever it says of itself.
+/// The reaction to a request without the runner's reports about itself.
 fn work(
     worker: Worker,
     recorder: Recorder,
@@ -163,20 +180,20 @@
     own_link: Arc<OnceLock<Link>>,
 ) -> impl Fn(&ReceivedRequest) -> Reaction + Send + Sync {
     let engine = engine_script(LAST_EVENT);
-    let chance = Mutex::new(ChaCha8Rng::seed_from_u64(seed));
+    let rng = Mutex::new(ChaCha8Rng::seed_from_u64(seed));
     let (id, stage) = (worker.id.clone(), worker.stage);
     move |request| {
         if let Some(role) = worker.role.as_ref().filter(|_| request.is_report()) {
             return role.report();
         }
         if let Some((holder, fence)) = request.order() {
-            recorder.note(Event::Ordered { runner: id.clone(), holder, fence });
+            recorder.record(Event::OrderReceived { runner: id.clone(), holder, fence });
             let Some(role) = &worker.role else { return OrderOutcome::Taken.response() };
             let outcome = role.order(request);
-            let ends =
-                outcome == OrderOutcome::Taken && lock(&chance).random_bool(ENDS_UNDER_ORDERS);
-            if ends {
-                recorder.note(Event::Crashed { runner: id.clone(), under: None });
+            let crashes = outcome == OrderOutcome::Taken
+                && lock(&rng).random_bool(CRASH_ON_ORDER_PROBABILITY);
+            if crashes {
+                recorder.record(Event::RunnerCrashed { runner: id.clone(), cause: None });
                 return crash(&own_link, CrashHead::None);
             }
             return outcome.response();
@@ -187,9 +204,9 @@
         if request.expected_runner().is_some_and(|expected| expected != id) {
             return Reaction::Misdirected;
         }
-        if let Some(number) = deadly_number(&request.body) {
-            let under = Some((name.to_owned(), number));
-            recorder.note(Event::Crashed { runner: id.clone(), under });
+        if let Some(number) = poison_number(&request.body) {
+            let cause = Some((name.to_owned(), number));
+            recorder.record(Event::RunnerCrashed { runner: id.clone(), cause });
             let head = if stage.is_some() { CrashHead::Chunked } else { CrashHead::None };
             return crash(&own_link, head);
         }
@@ -197,18 +214,18 @@
         let shows_key = request.headers.iter().any(|(_, value)| value.contains(tenant.key));
         if shows_key || request.tenant() != Some(tenant.name) {
             let (request, runner) = (name.to_owned(), id.clone());
-            recorder.note(Event::Unguarded { request, runner });
+            recorder.record(Event::TenantIdentityFault { request, runner });
         }
         let (request_id, body) = (name.to_owned(), request.body.clone());
-        recorder.note(Event::Ran { request: request_id, runner: id.clone(), body });
+        recorder.record(Event::Ran { request: request_id, runner: id.clone(), body });
         if let Some(limit) = tenant.limit {
             let (request, tenant) = (name.to_owned(), tenant.name);
-            recorder.note(Event::Charged { request, tenant, units: limit.units_of_a_run() });
+            recorder.record(Event::Charged { request, tenant, units: limit.units_per_run() });
         }
-        let mut chance = lock(&chance);
-        let reaction = react(&mut *chance, request, name, stage, &engine);
+        let mut rng = lock(&rng);
+        let reaction = react(&mut *rng, request, name, stage, &engine);
         if matches!(&reaction, Reaction::Stream(stream) if stream.cut_after_event.is_some()) {
-            recorder.note(Event::BrokenOff { request: name.to_owned() });
+            recorder.record(Event::StreamAborted { request: name.to_owned() });
         }
         reaction
     }
@@ -218,50 +235,50 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The runner ends under a request, a little after it has begun to run it.
+/// Crashes the runner a short time after it has started to run a request.
 fn crash(own_link: &Arc<OnceLock<Link>>, head: CrashHead) -> Reaction {
     let own_link = own_link.clone();
     std::thread::spawn(move || {
-        std::thread::sleep(DEADLY_RUNS_FOR);
+        std::thread::sleep(POISON_RUN_TIME);
         if let Some(link) = own_link.get() {
             link.close();
         }
     });
-    Reaction::Crash { head, crash_after: DEADLY_RUNS_FOR }
+    Reaction::Crash { head, crash_after: POISON_RUN_TIME }
 }
 
-/// The body of a request that ends runners: the same each time it comes.
-pub(crate) fn deadly_body(number: usize) -> String {
-    format!("{DEADLY}{number}")
+/// The body of a poison request, which is the same at each repeat.
+pub(crate) fn poison_body(number: usize) -> String {
+    format!("{POISON_BODY_PREFIX}{number}")
 }
 
-fn deadly_number(body: &[u8]) -> Option<usize> {
-    std::str::from_utf8(body).ok()?.strip_prefix(DEADLY)?.parse().ok()
+fn poison_number(body: &[u8]) -> Option<usize> {
+    std::str::from_utf8(body).ok()?.strip_prefix(POISON_BODY_PREFIX)?.parse().ok()
 }
 
 fn react(
-    chance: &mut impl Rng,
+    rng: &mut impl Rng,
     request: &ReceivedRequest,
     name: &str,
     stage: Option<&str>,
     engine: &impl Fn(&ReceivedRequest) -> Reaction,
 ) -> Reaction {
-    let is_faulty = chance.random_bool(FAULTY_SHARE);
+    let is_faulty = rng.random_bool(FAULT_PROBABILITY);
     if stage.is_none() {
-        let answer = Reaction::Respond { status: 200, body: answer_body(name).into_bytes() };
+        let response = Reaction::Respond { status: 200, body: response_body(name).into_bytes() };
         let faults = [
             Reaction::RawThenClose(Vec::new()),
             Reaction::RawThenReset(Vec::new()),
             Reaction::Respond { status: 500, body: b"failed".to_vec() },
         ];
-        let index = chance.random_range(0..faults.len());
-        return if is_faulty { faults[index].clone() } else { answer };
+        let index = rng.random_range(0..faults.len());
+        return if is_faulty { faults[index].clone() } else { response };
     }
     match engine(request) {
         Reaction::Stream(mut stream) => {
-            stream.pause = Duration::from_millis(chance.random_range(1..15));
+            stream.pause = Duration::from_millis(rng.random_range(1..15));
             if is_faulty {
-                stream.cut_after_event = Some(chance.random_range(0..LAST_EVENT));
+                stream.cut_after_event = Some(rng.random_range(0..LAST_EVENT));
             }
             Reaction::Stream(stream)
         }
--- a/crates/soak/src/tenants.rs
+++ b/crates/soak/src/tenants.rs
@@ -1,30 +1,31 @@
-//! The tenants of a soak: one without a limit, and on some seeds others with one.
+//! The tenants of a soak: one without a limit, and on some seeds others with limits.
 
 use pitchstall_platform_standins::documents::{LimitDocument, TenantDocument};
 
-/// Length of the windows in which limits are judged, seconds, and the share by which the runs in
-/// one may lie above what the limit allows: told to the nodes and used by the check.
+/// Length of the windows over which limits apply, seconds. Nodes get it in their settings, and the
+/// check uses it.
 pub const WINDOW_S: f64 = 2.0;
-/// See [`WINDOW_S`].
+/// Share by which the runs in a window may exceed the limit. Nodes get it in their settings, and
+/// the check uses it.
 pub const OVERAGE: f64 = 0.25;
 
-/// Tokens in and out that each request tells.
+/// Sum of prompt and output tokens that each request states.
 const REQUEST_TOKENS: u64 = 900 + 20;
 
-/// What a tenant with a limit may have run.
+/// The limit of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoakLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate_per_s: u64,
-    /// Units above that which may come at once.
+    /// Units that may run at once in addition to the rate.
     pub burst: u64,
-    /// Whether units are tokens; they are requests otherwise.
+    /// Whether a unit is a token; otherwise it is a request.
     pub counts_tokens: bool,
 }
 
 impl SoakLimit {
-    /// Units of one run.
-    pub fn units_of_a_run(&self) -> u64 {
+    /// Units that one run costs.
+    pub fn units_per_run(&self) -> u64 {
         if self.counts_tokens {
             REQUEST_TOKENS
         } else {
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Units that may run in any window.
-    pub fn most_in_a_window(&self) -> f64 {
+    /// Maximum number of units that may run in any window, with the overage.
+    pub fn max_units_per_window(&self) -> f64 {
         (self.rate_per_s as f64 * WINDOW_S + self.burst as f64) * (1.0 + OVERAGE)
     }
 
@@ -47,67 +48,73 @@
     }
 }
 
-/// A tenant.
+/// A tenant and the load that its clients send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoakTenant {
-    /// Its name.
+    /// Name of the tenant, also the prefix of its request ids.
     pub name: &'static str,
-    /// Its only key.
+    /// Its only API key.
     pub key: &'static str,
-    /// Its limit, if it has one.
+    /// Its limit; `None` if it is unlimited.
     pub limit: Option<SoakLimit>,
-    /// Milliseconds between two requests of its own callers, who ask at all nodes in turn.
-    pub asks_every_ms: u64,
+    /// Time between two requests of the tenant's own clients, which address all nodes in turn,
+    /// milliseconds.
+    pub request_interval_ms: u64,
 }
 
-/// The tenant without a limit, whose callers send the load that every seed has.
-pub const USUAL: SoakTenant =
-    SoakTenant { name: "taxis", key: "soak-m82thhkmgjqnirth5mgj", limit: None, asks_every_ms: 15 };
+/// The tenant without a limit, which sends the load that every seed has.
+pub const UNLIMITED: SoakTenant = SoakTenant {
+    name: "taxis",
+    key: "soak-m82thhkmgjqnirth5mgj",
+    limit: None,
+    request_interval_ms: 15,
+};
 
 const fn limit(rate_per_s: u64, burst: u64, counts_tokens: bool) -> Option<SoakLimit> {
     Some(SoakLimit { rate_per_s, burst, counts_tokens })
 }
 
-/// Tenants with limits: two that ask for some three times what they may, one that stays below.
+/// Tenants with limits: two that request about three times their limit, and one that stays below
+/// it.
 pub const LIMITED: [SoakTenant; 3] = [
     SoakTenant {
         name: "couriers",
         key: "soak-q6v1nmrsd4p8zwkhy3tx",
         limit: limit(20, 10, false),
-        asks_every_ms: 16,
+        request_interval_ms: 16,
     },
     SoakTenant {
         name: "planners",
         key: "soak-t9b5gxc2fj7lqa0eunvr",
         limit: limit(9_200, 9_200, true),
-        asks_every_ms: 33,
+        request_interval_ms: 33,
     },
     SoakTenant {
         name: "cranes",
         key: "soak-w3yk8dhz1m6ocs5pibfj",
         limit: limit(60, 60, false),
-        asks_every_ms: 100,
+        request_interval_ms: 100,
     },
 ];
 
-/// The one that stays below.
-pub const BELOW: &str = "cranes";
+/// Name of the tenant that stays below its limit.
+pub const BELOW_LIMIT: &str = "cranes";
 
 /// The tenants of a seed.
 pub fn tenants(with_limits: bool) -> Vec<SoakTenant> {
     let limited = LIMITED.iter().filter(|_| with_limits);
-    [USUAL].iter().chain(limited).copied().collect()
+    [UNLIMITED].iter().chain(limited).copied().collect()
 }
 
-/// The tenant whose name an id begins with; the usual one if there is none.
+/// The tenant whose name is the prefix of a request id; [`UNLIMITED`] if there is none.
 pub fn tenant_of(request: &str) -> SoakTenant {
-    let begins = |tenant: &&SoakTenant| {
+    let has_prefix = |tenant: &&SoakTenant| {
         request.strip_prefix(tenant.name).is_some_and(|rest| rest.starts_with('-'))
     };
-    LIMITED.iter().find(begins).copied().unwrap_or(USUAL)
+    LIMITED.iter().find(has_prefix).copied().unwrap_or(UNLIMITED)
 }
 
-/// A tenant as it stands in the configuration.
+/// The tenant's entry in the configuration.
 pub fn document(tenant: &SoakTenant) -> TenantDocument<'static> {
     let limit = tenant.limit.map(SoakLimit::document);
     TenantDocument { name: tenant.name, key: tenant.key, limit }
