--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -308,10 +308,10 @@
     // What is not signed by a runner is no runner's answer, whatever its status.
     if !is_own || facts.encoded || !(facts.signed || only_read) {
         log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "no answer");
-        node.fleet.borrow_mut().on_answered(&runner, true, node.now_us());
+        node.fleet.borrow_mut().on_response(&runner, true, node.now_us());
         return AttemptEnd::Lost;
     }
-    node.fleet.borrow_mut().on_answered(&runner, status >= 500, node.now_us());
+    node.fleet.borrow_mut().on_response(&runner, status >= 500, node.now_us());
     node.fleet.borrow_mut().on_accepted(&runner);
     let decoder = BodyDecoder::new(head.framing);
     let Prepared { connection, record, flight, .. } = prepared;
--- a/crates/gateway/src/node/configuration.rs
+++ b/crates/gateway/src/node/configuration.rs
@@ -79,7 +79,7 @@
     }
 
     /// Time that a move of KV cache between regions takes, milliseconds a token; `None`: not told.
-    pub fn region_move_ms(&self, service: &ServiceName) -> Option<f64> {
+    pub fn cross_region_ms_per_token(&self, service: &ServiceName) -> Option<f64> {
         self.with_engine(service, EngineSpec::cross_region_ms_per_token).flatten()
     }
 
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -368,7 +368,7 @@
     /// Takes in another node's digest.
     pub fn on_peer_digest(&self, digest: &Digest) {
         let now_us = self.now_us();
-        self.fleet.borrow_mut().on_role_changes_reported(&digest.changing, now_us);
+        self.fleet.borrow_mut().on_role_transitions_reported(&digest.changing, now_us);
         digest.limits.iter().for_each(|word| self.on_limit_word(word));
         self.freshness.borrow_mut().on_report(&digest.store, &self.eras.borrow(), now_us);
         self.wall_clock.borrow_mut().on_peer_clock(&digest.node, digest.wall_ms, now_us);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -216,7 +216,7 @@
             sequence: state.sequence,
             member: self.node.members.borrow().own().clone(),
             store: self.node.freshness.borrow().report(now_us),
-            changing: self.node.fleet.borrow().role_changes(now_us),
+            changing: self.node.fleet.borrow().role_transitions(now_us),
             held_keepers: self.node.quotas.held_keepers(),
             limits: self.node.runner_limits.words(now_us),
             is_stopping: self.node.is_stopping(),
--- a/crates/gateway/src/quota/candidate.rs
+++ b/crates/gateway/src/quota/candidate.rs
@@ -11,9 +11,9 @@
 use pitchstall_platform_adapter::store::{self, Item, StoreStatus};
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyAction};
-use pitchstall_serving::quota_keeper::Keeper;
+use pitchstall_serving::quota_keeper::QuotaKeeper;
 use pitchstall_serving::quota_slots::{all_keepers, KeeperId};
-use pitchstall_serving::quota_term::KeeperTerm;
+use pitchstall_serving::quota_term::QuotaKeeperTerm;
 use pitchstall_serving::store_revision::{RevisionNumber, StoreEra, StoreLease, StoreRevision};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -173,9 +173,10 @@
         let Some(current_lease) = self.valid_lease().filter(is_same_lease) else { return };
         let now_us = self.node.now_us();
         let term =
-            KeeperTerm::new(revision, current_lease.renewed_us, now_us, current_lease.ttl_us);
+            QuotaKeeperTerm::new(revision, current_lease.renewed_us, now_us, current_lease.ttl_us);
         let settings = self.node.settings();
-        let held = Keeper::new(keeper.clone(), term, bounds(&settings), topology_of(&settings));
+        let held =
+            QuotaKeeper::new(keeper.clone(), term, bounds(&settings), topology_of(&settings));
         let quotas = &self.node.quotas;
         quotas.keepers.borrow_mut().insert(keeper.clone(), held);
         let mut holders = quotas.holders.borrow_mut();
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -5,7 +5,7 @@
 //! store revision counts.
 
 use super::LastReceivedUs;
-use pitchstall_serving::digest::{silence_timeout_us, HeldKeeper};
+use pitchstall_serving::digest::{digest_timeout_us, HeldKeeper};
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::quota_candidacy::KeeperKey;
 use pitchstall_serving::quota_slots::KeeperId;
@@ -177,7 +177,7 @@
     pub fn key(&self, keeper: &KeeperId, nodes: usize, now_us: u64) -> Option<KeeperKey> {
         let holder = self.by_keeper.get(keeper)?;
         let last_known_us = holder.last_received_us.max(holder.last_confirmed_us);
-        let is_current = now_us < last_known_us + silence_timeout_us(nodes);
+        let is_current = now_us < last_known_us + digest_timeout_us(nodes);
         let key = KeeperKey { holder: holder.address, revision: holder.revision };
         is_current.then_some(key)
     }
@@ -186,7 +186,7 @@
     pub fn is_up(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
         let last_received_us = self.last_digest_us.get(node).copied().or(self.observing_since_us);
         last_received_us
-            .is_none_or(|last_received_us| now_us < last_received_us + silence_timeout_us(nodes))
+            .is_none_or(|last_received_us| now_us < last_received_us + digest_timeout_us(nodes))
     }
 
     /// Records that a query is forwarded to a keeper.
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -28,7 +28,7 @@
 use pitchstall_serving::digest::HeldKeeper;
 use pitchstall_serving::ids::NodeId;
 use pitchstall_serving::quota::QuotaBounds;
-use pitchstall_serving::quota_keeper::Keeper;
+use pitchstall_serving::quota_keeper::QuotaKeeper;
 use pitchstall_serving::quota_requester::QuotaRequester;
 use pitchstall_serving::quota_slots::KeeperId;
 use pitchstall_serving::store_revision::StoreLease;
@@ -55,7 +55,7 @@
     requester: RefCell<Option<QuotaRequester>>,
     pending: RefCell<PendingQueries>,
     holders: RefCell<Holders>,
-    keepers: RefCell<BTreeMap<KeeperId, Keeper>>,
+    keepers: RefCell<BTreeMap<KeeperId, QuotaKeeper>>,
     lease: Cell<Option<RegistrationLease>>,
     last_alarm_us: Cell<Option<u64>>,
     /// Notified when this node has acquired, lost or released a keeper.
@@ -100,7 +100,7 @@
 
     /// The keepers that this node holds, as announced in its digests.
     pub fn held_keepers(&self) -> Vec<HeldKeeper> {
-        let to_held = |(keeper, held): (&KeeperId, &Keeper)| {
+        let to_held = |(keeper, held): (&KeeperId, &QuotaKeeper)| {
             HeldKeeper::new(keeper.clone(), held.term().revision)
         };
         self.keepers.borrow().iter().map(to_held).collect()
--- a/crates/gateway/src/quota/report.rs
+++ b/crates/gateway/src/quota/report.rs
@@ -2,7 +2,7 @@
 
 use super::has_limits;
 use crate::node::Node;
-use pitchstall_serving::quota_keeper::{Keeper, TenantLevel};
+use pitchstall_serving::quota_keeper::{QuotaKeeper, TenantLevel};
 use serde_json::{json, Value};
 
 const MICROS_PER_MILLI: u64 = 1_000;
@@ -32,7 +32,7 @@
     json!({ "has_limits": has_limits(node), "held": held, "keepers": known })
 }
 
-fn held_keeper_report(keeper: &mut Keeper, now_us: u64) -> Value {
+fn held_keeper_report(keeper: &mut QuotaKeeper, now_us: u64) -> Value {
     let tenants: Vec<Value> = keeper.levels(now_us).iter().map(level).collect();
     json!({
         "keeper": keeper.id().to_string(),
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -8,10 +8,10 @@
 use crate::node::Node;
 use crate::peer_messages::PeerMessage;
 use crate::shard_scheduler::possible_shards;
-use pitchstall_serving::digest::silence_timeout_us;
+use pitchstall_serving::digest::digest_timeout_us;
 use pitchstall_serving::ids::{NodeId, RunnerId};
 use pitchstall_serving::limit_keeper::{
-    KeeperShare, LimitKeeper, LimitKeeperTerm, GRANT_TTL_US, MAX_KEEPERS,
+    LimitKeeper, LimitKeeperShare, LimitKeeperTerm, GRANT_TTL_US, MAX_KEEPERS,
 };
 use pitchstall_serving::request::ResponseMetadata;
 use pitchstall_serving::runner_limit::{
@@ -72,7 +72,7 @@
 
     fn is_there(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
         let heard_us = self.last_heard_us.borrow().get(node).copied().unwrap_or(Some(0));
-        heard_us.is_some_and(|heard_us| now_us < heard_us + silence_timeout_us(nodes))
+        heard_us.is_some_and(|heard_us| now_us < heard_us + digest_timeout_us(nodes))
     }
 }
 
@@ -259,7 +259,7 @@
     members.scheduler_rank_of(&node.own_name(), shard, is_there)
 }
 
-fn own_share(node: &Node, shard: &Shard) -> Option<KeeperShare> {
+fn own_share(node: &Node, shard: &Shard) -> Option<LimitKeeperShare> {
     if node.is_stopping() {
         return None;
     }
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -212,7 +212,7 @@
     log_told(demand.request, &scheduler, shard, &answer, took);
     node.metrics.placements.inc();
     node.scheduling.missed.on_answered(&scheduler);
-    if let Some(elsewhere) = answer.elsewhere {
+    if let Some(elsewhere) = answer.remote_region {
         return Told::Elsewhere(elsewhere);
     }
     told_placement(node, answer, follow_up_to(from)).map_or(Told::Nothing, Told::Plan)
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -57,7 +57,7 @@
             prompt: &prompt,
             zone: &question.zone,
             cache_tokens: node.cache_tokens(&question.service),
-            region_move_ms: node.region_move_ms(&question.service),
+            cross_region_ms_per_token: node.cross_region_ms_per_token(&question.service),
             now_us: node.now_us(),
         },
         target_ms: question.target_ms,
@@ -101,7 +101,7 @@
     let (region, shard) = (question.shard.region.as_str(), question.shard.number);
     let other_region = elsewhere.as_ref().map_or("", |elsewhere| elsewhere.region.as_str());
     log::info!(target: "scheduling", request = question.request.as_str(), region, shard, reader, writer, other_region; "placed");
-    let answer = PlacementReply { ticket: question.ticket, plan, elsewhere };
+    let answer = PlacementReply { ticket: question.ticket, plan, remote_region: elsewhere };
     node.scheduling.socket.send(&PeerMessage::PlacementReply(answer), &[question.reply_to]);
 }
 
@@ -156,12 +156,12 @@
     node.on_progress(&read.prefill.runner);
     let tokens = read.prefill.demand.prefill_tokens + read.prefill.demand.overdue_tokens;
     // What it held, or took over, is known where it was read.
-    if tokens >= read.shared_prefixes.iter().map(|part| part.tokens).sum() {
-        held_parts::on_read(node, &read.prefill.runner, &read.shared_prefixes);
+    if tokens >= read.shared_prefix.iter().map(|part| part.tokens).sum() {
+        held_parts::on_read(node, &read.prefill.runner, &read.shared_prefix);
     }
-    node.on_parts_held(&read.prefill.runner, &read.shared_prefixes);
+    node.on_parts_held(&read.prefill.runner, &read.shared_prefix);
     if let Some(writer) = &read.decode {
-        node.on_parts_held(&writer.runner, &read.shared_prefixes);
+        node.on_parts_held(&writer.runner, &read.shared_prefix);
     }
     if is_apart {
         let was_unqueued = read.was_unqueued;
--- a/crates/gateway/tests/runner_load.rs
+++ b/crates/gateway/tests/runner_load.rs
@@ -9,16 +9,17 @@
     let load = RunnerLoad {
         runner: RunnerId::new("d0"),
         in_flight: 2,
-        unread_requests: 0,
-        unread_tokens: 0,
-        late_tokens: 0,
+        pending_prefills: 0,
+        prefill_tokens: 0,
+        overdue_tokens: 0,
         held_tokens: 7,
         prefill_tokens_per_s: 0,
     };
     let told = serde_json::to_string(&load).unwrap();
     assert_eq!(told, r#"{"r":"d0","n":2,"t":0,"k":7}"#);
     assert_eq!(serde_json::from_str::<RunnerLoad>(&told).unwrap(), load);
-    let whole = RunnerLoad { unread_requests: 1, late_tokens: 5, prefill_tokens_per_s: 9, ..load };
+    let whole =
+        RunnerLoad { pending_prefills: 1, overdue_tokens: 5, prefill_tokens_per_s: 9, ..load };
     let told = serde_json::to_string(&whole).unwrap();
     assert_eq!(told, r#"{"r":"d0","n":2,"w":1,"t":0,"l":5,"k":7,"a":9}"#);
     assert_eq!(serde_json::from_str::<RunnerLoad>(&told).unwrap(), whole);
--- a/crates/serving/src/capacity_planner.rs
+++ b/crates/serving/src/capacity_planner.rs
@@ -59,7 +59,7 @@
     pub surplus_retention_us: u64,
     /// Maximum number of runners added or given up per second, over all zones: every node receives
     /// several messages about each change.
-    pub max_changes_per_second: f64,
+    pub max_changes_per_s: f64,
     /// Maximum number of runners added or given up at once.
     pub max_change_burst: f64,
     /// Time until a zone without available preemptible runners is asked again, microseconds.
@@ -78,7 +78,7 @@
             // node: 90 KB a second in total, a tenth of the narrowest supported links (10 Mbit/s).
             // Without a limit, a fleet of 3,000 runners and 300 nodes violated its guarantees while
             // its runners were exchanged.
-            max_changes_per_second: 100.0,
+            max_changes_per_s: 100.0,
             max_change_burst: 200.0,
             unavailable_pause_us: 3_000_000,
         }
@@ -212,7 +212,7 @@
         let (remaining, since_us) =
             self.allowance.unwrap_or((self.policy.max_change_burst, now_us));
         let seconds = now_us.saturating_sub(since_us) as f64 / MICROS_PER_SECOND;
-        let refilled = remaining + seconds * self.policy.max_changes_per_second;
+        let refilled = remaining + seconds * self.policy.max_changes_per_s;
         let mut remaining = refilled.min(self.policy.max_change_burst);
         let mut allowed = Vec::new();
         for order in orders {
--- a/crates/serving/src/digest.rs
+++ b/crates/serving/src/digest.rs
@@ -132,7 +132,7 @@
 const REMOTE_FAN_OUT: usize = 2;
 
 /// Time without a digest after which a node counts as gone in a fleet of `nodes`, in microseconds.
-pub fn silence_timeout_us(nodes: usize) -> u64 {
+pub fn digest_timeout_us(nodes: usize) -> u64 {
     /// Time between two digests of a node, and the number of lost digests that is tolerated.
     const DIGEST_INTERVAL_US: u64 = 1_000_000;
     const MAX_LOST_DIGESTS: u64 = 3;
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -82,10 +82,10 @@
     pub fn on_prefill_measured(
         &mut self,
         id: &RunnerId,
-        reading: PrefillTiming,
+        timing: PrefillTiming,
         now_us: u64,
     ) -> Option<PrefillDuration> {
-        self.runners.get_mut(id)?.speed.on_prefilled(reading, now_us)
+        self.runners.get_mut(id)?.speed.on_prefilled(timing, now_us)
     }
 
     /// Reserves the demand of a request on a runner that this node schedules.
@@ -131,17 +131,14 @@
             let Some(runner) = self.runners.get_mut(&load.runner) else { continue };
             let reported = Load {
                 in_flight: load.in_flight,
-                pending_prefills: load.unread_requests,
-                prefill_tokens: load.unread_tokens,
-                overdue_tokens: load.late_tokens,
+                pending_prefills: load.pending_prefills,
+                prefill_tokens: load.prefill_tokens,
+                overdue_tokens: load.overdue_tokens,
                 held_tokens: load.held_tokens,
             };
-            let prefill_tokens_per_second = load.prefill_tokens_per_s;
-            runner.reported_load = Some(ReportedLoad {
-                load: reported,
-                prefill_tokens_per_second,
-                reported_at_us: now_us,
-            });
+            let prefill_tokens_per_s = load.prefill_tokens_per_s;
+            runner.reported_load =
+                Some(ReportedLoad { load: reported, prefill_tokens_per_s, reported_at_us: now_us });
         }
     }
 
@@ -151,11 +148,11 @@
         let load = |runner: &Runner| RunnerLoad {
             runner: runner.record.id.clone(),
             in_flight: runner.in_flight + runner.reserved.in_flight,
-            unread_requests: runner.pending_prefills + runner.reserved.pending_prefills,
-            unread_tokens: runner.prefill_tokens + runner.reserved.prefill_tokens,
-            late_tokens: runner.local_overdue_tokens(),
+            pending_prefills: runner.pending_prefills + runner.reserved.pending_prefills,
+            prefill_tokens: runner.prefill_tokens + runner.reserved.prefill_tokens,
+            overdue_tokens: runner.local_overdue_tokens(),
             held_tokens: runner.held_tokens + runner.reserved.held_tokens,
-            prefill_tokens_per_s: runner.prefill_demand.tokens_per_second(now_us) as u64,
+            prefill_tokens_per_s: runner.prefill_demand.tokens_per_s(now_us) as u64,
         };
         let of_shard = self.runners.values().filter(|runner| shard.contains(runner));
         of_shard.map(load).filter(|load| load.in_flight > 0).collect()
@@ -172,7 +169,7 @@
     }
 
     /// Records a response of a runner. `failed` is true if the runner itself failed.
-    pub fn on_answered(&mut self, id: &RunnerId, failed: bool, now_us: u64) {
+    pub fn on_response(&mut self, id: &RunnerId, failed: bool, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.suspicion.on_progress(now_us);
             runner.failures.on_response(failed, now_us);
@@ -194,13 +191,13 @@
         let is_same_order = |(known, known_until_us): (Stage, u64)| {
             known == stage && until_us < known_until_us + NEW_ORDER_MIN_DELAY_US
         };
-        if !runner.role_change.is_some_and(is_same_order) {
-            runner.role_change = Some((stage, until_us));
+        if !runner.role_transition.is_some_and(is_same_order) {
+            runner.role_transition = Some((stage, until_us));
         }
     }
 
     /// Applies another node's report of runners that are changing their roles.
-    pub fn on_role_changes_reported(&mut self, changes: &[RoleTransition], now_us: u64) {
+    pub fn on_role_transitions_reported(&mut self, changes: &[RoleTransition], now_us: u64) {
         for change in changes {
             let until_us = now_us + change.remaining_ms * MICROS_PER_MILLI;
             self.on_role_change_ordered(&change.runner, change.stage, until_us);
@@ -208,14 +205,14 @@
     }
 
     /// The runners that are changing their roles, with the time left for it.
-    pub fn role_changes(&self, now_us: u64) -> Vec<RoleTransition> {
+    pub fn role_transitions(&self, now_us: u64) -> Vec<RoleTransition> {
         let changing = self.runners.values().filter(|runner| runner.is_changing_role(now_us));
-        let role_change = |runner: &Runner| {
-            let (stage, until_us) = runner.role_change?;
+        let role_transition = |runner: &Runner| {
+            let (stage, until_us) = runner.role_transition?;
             let remaining_ms = until_us.saturating_sub(now_us) / MICROS_PER_MILLI;
             Some(RoleTransition { runner: runner.record.id.clone(), stage, remaining_ms })
         };
-        changing.filter_map(role_change).collect()
+        changing.filter_map(role_transition).collect()
     }
 
     /// Applies what a runner reported about itself in a response to this node. The notice is kept
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -108,7 +108,7 @@
     store_back_at_us: Option<u64>,
     /// The latest change that another node has seen and this one has not, and the time of its first
     /// report or of the last query of the store, in microseconds.
-    ahead_elsewhere: Option<(StoreRevision, u64)>,
+    peer_ahead: Option<(StoreRevision, u64)>,
     /// Later changes that other nodes have reported, in the order of their first report.
     reported: Vec<ReportedChange>,
 }
@@ -125,7 +125,7 @@
         // The store itself has no later change, so earlier reports refer to another store.
         self.reported.clear();
         self.confirm(now_us, now_us);
-        self.ahead_elsewhere = self.ahead_elsewhere.filter(|(revision, _)| *revision > known_to);
+        self.peer_ahead = self.peer_ahead.filter(|(revision, _)| *revision > known_to);
     }
 
     /// All entries have been read from the store.
@@ -159,7 +159,7 @@
         self.known_to = self.known_to.max(update.known_to());
         let known_to = self.known_to;
         self.reported.retain(|change| change.revision > known_to);
-        self.ahead_elsewhere = self.ahead_elsewhere.filter(|(revision, _)| *revision > known_to);
+        self.peer_ahead = self.peer_ahead.filter(|(revision, _)| *revision > known_to);
         let Some(age_ms) = age_ms else { return };
         let confirmed_at_us =
             now_us.saturating_sub((age_ms + AGE_ADDED_PER_HOP_MS) * MICROS_PER_MILLI);
@@ -209,9 +209,9 @@
         let changed_at = report.changed_at(eras);
         if changed_at > self.known_to {
             self.on_reported_change(changed_at, now_us);
-            let first_us = self.ahead_elsewhere.map_or(now_us, |(_, first_us)| first_us);
-            let highest = self.ahead_elsewhere.map_or(changed_at, |(revision, _)| revision);
-            self.ahead_elsewhere = Some((highest.max(changed_at), first_us));
+            let first_us = self.peer_ahead.map_or(now_us, |(_, first_us)| first_us);
+            let highest = self.peer_ahead.map_or(changed_at, |(revision, _)| revision);
+            self.peer_ahead = Some((highest.max(changed_at), first_us));
             return;
         }
         if changed_at.era() < self.known_to.era() {
@@ -260,7 +260,7 @@
     pub fn is_behind(&self, now_us: u64) -> bool {
         let is_overdue =
             |(_, first_us): (StoreRevision, u64)| now_us >= first_us + WATCH_DELIVERY_TIMEOUT_US;
-        self.ahead_elsewhere.is_some_and(is_overdue)
+        self.peer_ahead.is_some_and(is_overdue)
     }
 
     /// Whether the replica can be relied on, if a confirmation holds for `confirmation_ttl_us`.
@@ -277,8 +277,8 @@
     /// The node queries the store because another node is ahead; the time for delivery starts
     /// again.
     pub fn on_store_queried(&mut self, now_us: u64) {
-        if let Some((revision, _)) = self.ahead_elsewhere {
-            self.ahead_elsewhere = Some((revision, now_us));
+        if let Some((revision, _)) = self.peer_ahead {
+            self.peer_ahead = Some((revision, now_us));
         }
     }
 }
--- a/crates/serving/src/limit_keeper.rs
+++ b/crates/serving/src/limit_keeper.rs
@@ -53,42 +53,42 @@
 
 /// The part of a limit that one keeper grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeeperShare {
+pub struct LimitKeeperShare {
     per_mille: u64,
     /// Minimum refill, in millionths of a request per second.
-    min_per_second: u64,
+    min_per_s: u64,
 }
 
-impl KeeperShare {
+impl LimitKeeperShare {
     /// The share of the first keeper.
-    pub const FIRST: Self = Self { per_mille: 1_000, min_per_second: 100_000 };
+    pub const FIRST: Self = Self { per_mille: 1_000, min_per_s: 100_000 };
 
     /// The share of the keeper with `rank` others before it; `None` if a node of this rank is not a
     /// keeper.
     pub fn at_rank(rank: usize) -> Option<Self> {
-        const SECOND: KeeperShare = KeeperShare { per_mille: 100, min_per_second: 80_000 };
-        const MIN_PER_SECOND_OF_OTHERS: u64 = 16_000;
+        const SECOND: LimitKeeperShare = LimitKeeperShare { per_mille: 100, min_per_s: 80_000 };
+        const MIN_PER_S_OF_OTHERS: u64 = 16_000;
         match rank {
             0 => Some(Self::FIRST),
             1 => Some(SECOND),
             rank if rank < MAX_KEEPERS => {
                 let per_mille = SECOND.per_mille >> (rank - 1);
-                Some(Self { per_mille, min_per_second: MIN_PER_SECOND_OF_OTHERS })
+                Some(Self { per_mille, min_per_s: MIN_PER_S_OF_OTHERS })
             }
             _ => None,
         }
     }
 
     /// Refill in millionths of a request per second.
-    fn per_second(self, rate: RequestRate) -> u128 {
+    fn per_s(self, rate: RequestRate) -> u128 {
         const THOUSAND: u128 = 1_000;
         let share = u128::from(rate.0) * u128::from(self.per_mille) / THOUSAND;
-        share.max(u128::from(self.min_per_second))
+        share.max(u128::from(self.min_per_s))
     }
 
     /// Refill within `time_us` microseconds, in millionths of a request.
     fn refill(self, rate: RequestRate, time_us: u64) -> u64 {
-        let total = self.per_second(rate) * u128::from(time_us);
+        let total = self.per_s(rate) * u128::from(time_us);
         u64::try_from(total / MICROS_PER_SECOND).unwrap_or(u64::MAX)
     }
 
@@ -100,7 +100,7 @@
     /// Time that it takes to refill `millionths` of a request, in microseconds.
     fn time_to_refill(self, rate: RequestRate, millionths: u64) -> u64 {
         let needed = u128::from(millionths) * MICROS_PER_SECOND;
-        u64::try_from(needed.div_ceil(self.per_second(rate))).unwrap_or(u64::MAX)
+        u64::try_from(needed.div_ceil(self.per_s(rate))).unwrap_or(u64::MAX)
     }
 }
 
@@ -126,12 +126,12 @@
     }
 
     /// The share that the node may grant at its rank; `None` if it is not a keeper.
-    pub fn share(&self, rank: usize, now_us: u64) -> Option<KeeperShare> {
+    pub fn share(&self, rank: usize, now_us: u64) -> Option<LimitKeeperShare> {
         let is_check_recent = now_us.saturating_sub(self.checked_at_us) <= MAX_CHECK_GAP_US;
         let is_settled =
             self.first_since_us.is_some_and(|since| now_us >= since + SETTLING_PERIOD_US);
         let is_first = rank == 0 && is_check_recent && is_settled;
-        KeeperShare::at_rank(if is_first { 0 } else { rank.max(1) })
+        LimitKeeperShare::at_rank(if is_first { 0 } else { rank.max(1) })
     }
 }
 
@@ -177,14 +177,19 @@
         self.rate = message.rate;
     }
 
-    fn refill(&mut self, rate: RequestRate, share: KeeperShare, now_us: u64) {
+    fn refill(&mut self, rate: RequestRate, share: LimitKeeperShare, now_us: u64) {
         let elapsed_us = now_us.saturating_sub(self.updated_at_us);
         self.updated_at_us = self.updated_at_us.max(now_us);
         let refilled = self.level.saturating_add(share.refill(rate, elapsed_us));
         self.level = refilled.min(share.capacity(rate));
     }
 
-    fn try_take(&mut self, rate: RequestRate, share: KeeperShare, now_us: u64) -> LimitVerdict {
+    fn try_take(
+        &mut self,
+        rate: RequestRate,
+        share: LimitKeeperShare,
+        now_us: u64,
+    ) -> LimitVerdict {
         self.refill(rate, share, now_us);
         if self.level >= ONE_REQUEST {
             self.level -= ONE_REQUEST;
@@ -223,7 +228,7 @@
     pub fn on_query(
         &mut self,
         query: &LimitQuery,
-        share: KeeperShare,
+        share: LimitKeeperShare,
         now_us: u64,
     ) -> LimitVerdict {
         self.on_message(&query.message, now_us);
@@ -245,7 +250,7 @@
     }
 
     /// Runners with less than one request left at `now_us`, for a keeper with this share.
-    pub fn exhausted(&self, share: KeeperShare, now_us: u64) -> Vec<RunnerId> {
+    pub fn exhausted(&self, share: LimitKeeperShare, now_us: u64) -> Vec<RunnerId> {
         let is_exhausted = |(runner, bucket): (&RunnerId, &Bucket)| {
             let mut bucket = *bucket;
             bucket.refill(capped(bucket.rate?), share, now_us);
--- a/crates/serving/src/prefill_demand.rs
+++ b/crates/serving/src/prefill_demand.rs
@@ -21,7 +21,7 @@
     }
 
     /// Requested tokens per second at a time.
-    pub(crate) fn tokens_per_second(&self, now_us: u64) -> f64 {
+    pub(crate) fn tokens_per_s(&self, now_us: u64) -> f64 {
         self.remaining_tokens(now_us) * MICROS_PER_SECOND / TIME_CONSTANT_US
     }
 
--- a/crates/serving/src/quota_keeper.rs
+++ b/crates/serving/src/quota_keeper.rs
@@ -13,7 +13,7 @@
 use crate::quota_bucket::{Bucket, Demand};
 use crate::quota_share::SlotShare;
 use crate::quota_slots::{keepers_of, query_order, KeeperId};
-use crate::quota_term::KeeperTerm;
+use crate::quota_term::QuotaKeeperTerm;
 use crate::topology::Topology;
 use std::collections::HashMap;
 
@@ -45,9 +45,9 @@
 
 /// The state of a keeper at the node that holds it.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct QuotaKeeper {
     id: KeeperId,
-    term: KeeperTerm,
+    term: QuotaKeeperTerm,
     bounds: QuotaBounds,
     topology: Topology,
     buckets: HashMap<TenantName, Bucket>,
@@ -57,9 +57,14 @@
     evicted_at_us: u64,
 }
 
-impl Keeper {
+impl QuotaKeeper {
     /// A keeper that has just been taken over by this node.
-    pub fn new(id: KeeperId, term: KeeperTerm, bounds: QuotaBounds, topology: Topology) -> Self {
+    pub fn new(
+        id: KeeperId,
+        term: QuotaKeeperTerm,
+        bounds: QuotaBounds,
+        topology: Topology,
+    ) -> Self {
         let started_at_us = term.started_at_us();
         Self {
             id,
@@ -79,7 +84,7 @@
     }
 
     /// The term for which this node holds the keeper.
-    pub fn term(&self) -> &KeeperTerm {
+    pub fn term(&self) -> &QuotaKeeperTerm {
         &self.term
     }
 
--- a/crates/serving/src/quota_term.rs
+++ b/crates/serving/src/quota_term.rs
@@ -14,14 +14,14 @@
 
 /// A node's term as holder of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeeperTerm {
+pub struct QuotaKeeperTerm {
     /// Revision of the store at which the key was written; identifies the term.
     pub revision: StoreRevision,
     started_at_us: u64,
     valid_until_us: u64,
 }
 
-impl KeeperTerm {
+impl QuotaKeeperTerm {
     /// The term of a key that was written and confirmed at `now_us`. The lease was last renewed by
     /// a call sent at `renewed_sent_at_us` and lasts for `ttl_us` from when the store processed
     /// that call.
--- a/crates/serving/src/reservations.rs
+++ b/crates/serving/src/reservations.rs
@@ -35,7 +35,7 @@
     /// Reservation at the decode runner; `None` if the same runner prefills and decodes.
     pub decode: Option<RunnerReservation>,
     /// Shared prefixes of the prompt.
-    pub shared_prefixes: Vec<PromptPart>,
+    pub shared_prefix: Vec<PromptPart>,
     /// Whether the prefill runner was estimated to have no other prefill.
     pub was_unqueued: bool,
     /// Deadline of the request, microseconds.
--- a/crates/serving/src/role_view.rs
+++ b/crates/serving/src/role_view.rs
@@ -79,7 +79,7 @@
         let demanded: f64 = fleet
             .iter()
             .filter(is_of_service)
-            .map(|runner| runner.prefill_tokens_per_second(now_us))
+            .map(|runner| runner.prefill_tokens_per_s(now_us))
             .sum();
         // Decode runners prefill too when the prefill runners are busy, at half the speed.
         let prefill_capacity = prefill.len() as f64 + decode.len() as f64 / 2.0;
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -129,7 +129,7 @@
     pub(crate) full_until_us: u64,
     /// Role that the runner was ordered to take, and the time until which the order counts as
     /// pending, microseconds.
-    pub(crate) role_change: Option<(Stage, u64)>,
+    pub(crate) role_transition: Option<(Stage, u64)>,
     /// Whether the address answered as another runner, or in another role, than this entry says. A
     /// newer entry resets it.
     pub(crate) misdirected: bool,
@@ -168,7 +168,7 @@
             suspicion: Suspicion::default(),
             availability,
             full_until_us: 0,
-            role_change: None,
+            role_transition: None,
             misdirected: false,
             lapsed: None,
             cache: PrefixCacheModel::default(),
@@ -235,12 +235,12 @@
     /// Whether a role change is pending for the runner.
     pub fn is_changing_role(&self, now_us: u64) -> bool {
         let has_role = |stage: Stage| self.record.stage == Some(stage);
-        self.role_change.is_some_and(|(stage, until_us)| now_us < until_us && !has_role(stage))
+        self.role_transition.is_some_and(|(stage, until_us)| now_us < until_us && !has_role(stage))
     }
 
     /// Role that the runner is changing to; `None` if no change is pending.
     pub fn next_stage(&self, now_us: u64) -> Option<Stage> {
-        self.role_change.filter(|_| self.is_changing_role(now_us)).map(|(stage, _)| stage)
+        self.role_transition.filter(|_| self.is_changing_role(now_us)).map(|(stage, _)| stage)
     }
 
     /// Whether the runner could not be reached and has not responded since.
@@ -304,10 +304,10 @@
 
     /// Prompt tokens per second that the runner has recently been asked to prefill, as far as this
     /// node knows.
-    pub fn prefill_tokens_per_second(&self, now_us: u64) -> f64 {
+    pub fn prefill_tokens_per_s(&self, now_us: u64) -> f64 {
         let reported = self.reported_load.filter(|reported| reported.is_fresh(now_us));
-        self.prefill_demand.tokens_per_second(now_us)
-            + reported.map_or(0.0, |reported| reported.prefill_tokens_per_second as f64)
+        self.prefill_demand.tokens_per_s(now_us)
+            + reported.map_or(0.0, |reported| reported.prefill_tokens_per_s as f64)
     }
 
     /// Estimated tokens of KV cache that the attempts of all nodes occupy.
@@ -375,7 +375,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
     pub(crate) load: Load,
-    pub(crate) prefill_tokens_per_second: u64,
+    pub(crate) prefill_tokens_per_s: u64,
     pub(crate) reported_at_us: u64,
 }
 
--- a/crates/serving/src/runner_notice.rs
+++ b/crates/serving/src/runner_notice.rs
@@ -22,7 +22,7 @@
 impl RequestRate {
     /// Converts a rate in requests per second; a rate that is too large saturates. `None` if the
     /// number is negative or not finite.
-    pub fn from_requests_per_second(requests: f64) -> Option<Self> {
+    pub fn from_requests_per_s(requests: f64) -> Option<Self> {
         const MICRO: f64 = 1_000_000.0;
         let is_rate = requests.is_finite() && requests >= 0.0;
         is_rate.then_some(Self((requests * MICRO) as u64))
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -161,10 +161,10 @@
     pub runner: RunnerId,
     /// Prompt tokens to prefill.
     #[serde(rename = "u")]
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// Prompt tokens to prefill after all work that can still meet its target.
     #[serde(rename = "l")]
-    pub late_tokens: u64,
+    pub overdue_tokens: u64,
     /// KV cache that the request takes, in tokens.
     #[serde(rename = "k")]
     pub held_tokens: u64,
@@ -186,8 +186,8 @@
     fn from(choice: &RunnerChoice) -> Self {
         Self {
             runner: choice.runner.clone(),
-            unread_tokens: choice.demand.prefill_tokens,
-            late_tokens: choice.demand.overdue_tokens,
+            prefill_tokens: choice.demand.prefill_tokens,
+            overdue_tokens: choice.demand.overdue_tokens,
             held_tokens: choice.demand.held_tokens,
             fetch_from: choice.fetch_from.clone(),
             expected_prefill_us: choice.expected_prefill_us,
@@ -201,8 +201,8 @@
         Self {
             runner: wire.runner,
             demand: AttemptDemand {
-                prefill_tokens: wire.unread_tokens,
-                overdue_tokens: wire.late_tokens,
+                prefill_tokens: wire.prefill_tokens,
+                overdue_tokens: wire.overdue_tokens,
                 held_tokens: wire.held_tokens,
             },
             fetch_from: wire.fetch_from,
@@ -266,7 +266,7 @@
     pub plan: Option<WirePlan>,
     /// The region to ask instead; nothing has been reserved here in that case.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
-    pub elsewhere: Option<RemoteRegion>,
+    pub remote_region: Option<RemoteRegion>,
 }
 
 /// The progress of a placed request.
@@ -313,13 +313,13 @@
     /// Number of requests in flight whose prompt has not been prefilled yet, here or at the runner
     /// that prefills it for this one.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
-    pub unread_requests: u32,
+    pub pending_prefills: u32,
     /// Prompt tokens to prefill.
     #[serde(rename = "t")]
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// Prompt tokens to prefill after all work that can still meet its target.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
-    pub late_tokens: u64,
+    pub overdue_tokens: u64,
     /// KV cache that the requests take, in tokens.
     #[serde(rename = "k")]
     pub held_tokens: u64,
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -213,7 +213,7 @@
     /// When each query was sent, by query number, in milliseconds since 1970.
     sent_ms: BTreeMap<u64, u64>,
     /// For each node, when the latest query that it has replied to was sent.
-    last_answered_ms: HashMap<NodeId, u64>,
+    last_replied_query_ms: HashMap<NodeId, u64>,
     /// Windows whose counts are finalized.
     finalized: BTreeSet<u64>,
 }
@@ -232,7 +232,7 @@
     /// Records a node's reply. Replies to unknown queries are ignored.
     pub fn on_reply(&mut self, node: &NodeId, number: u64) {
         let Some(sent_ms) = self.sent_ms.get(&number) else { return };
-        let latest = self.last_answered_ms.entry(node.clone()).or_default();
+        let latest = self.last_replied_query_ms.entry(node.clone()).or_default();
         *latest = (*latest).max(*sent_ms);
     }
 
@@ -257,13 +257,14 @@
         let is_complete = |window: u64| {
             let settled_ms = schedule.windows.end_ms(window) + COUNT_SETTLING_MS;
             nodes.clone().all(|node| {
-                let last_answered_ms = self.last_answered_ms.get(node).copied();
-                let has_reported = last_answered_ms.is_some_and(|sent_ms| sent_ms >= settled_ms);
+                let last_replied_query_ms = self.last_replied_query_ms.get(node).copied();
+                let has_reported =
+                    last_replied_query_ms.is_some_and(|sent_ms| sent_ms >= settled_ms);
                 // A node that has been silent for this long is gone; waiting for it would delay
                 // every window.
-                let silent_since_ms = last_answered_ms.or(self.first_query_ms);
+                let last_contact_ms = last_replied_query_ms.or(self.first_query_ms);
                 has_reported
-                    || silent_since_ms.is_some_and(|since_ms| now_ms > since_ms + schedule.due_ms)
+                    || last_contact_ms.is_some_and(|since_ms| now_ms > since_ms + schedule.due_ms)
             })
         };
         let max_wait_ms = schedule.due_ms * MAX_WAIT_PERCENT / 100;
--- a/crates/serving/tests/limit_keeper.rs
+++ b/crates/serving/tests/limit_keeper.rs
@@ -3,7 +3,7 @@
 
 use pitchstall_serving::ids::{NodeId, RunnerId, ZoneId};
 use pitchstall_serving::limit_keeper::{
-    KeeperShare, LimitKeeper, LimitKeeperTerm, GRANT_TTL_US, MAX_KEEPERS,
+    LimitKeeper, LimitKeeperShare, LimitKeeperTerm, GRANT_TTL_US, MAX_KEEPERS,
 };
 use pitchstall_serving::membership::{Member, Membership};
 use pitchstall_serving::runner_limit::{LimitMessage, LimitQuery, LimitVerdict};
@@ -21,8 +21,8 @@
     RunnerId::new("i-1")
 }
 
-fn rate(requests_per_second: f64) -> RequestRate {
-    RequestRate::from_requests_per_second(requests_per_second).unwrap()
+fn rate(requests_per_s: f64) -> RequestRate {
+    RequestRate::from_requests_per_s(requests_per_s).unwrap()
 }
 
 fn message(rate: Option<RequestRate>, age_us: u64) -> LimitMessage {
@@ -35,8 +35,8 @@
 }
 
 /// Requests that may arrive in any window: one and a half times the limit, plus five.
-fn max_arrivals(requests_per_second: f64) -> usize {
-    (6.0 * requests_per_second + 5.0) as usize
+fn max_arrivals(requests_per_s: f64) -> usize {
+    (6.0 * requests_per_s + 5.0) as usize
 }
 
 /// The maximum number of arrivals in any window.
@@ -73,7 +73,7 @@
         let mut arrivals = Vec::new();
         for (at_ms, rank, send_delay_us) in queries {
             let now_us = at_ms * 1_000;
-            let share = KeeperShare::at_rank(rank).unwrap();
+            let share = LimitKeeperShare::at_rank(rank).unwrap();
             let verdict = keepers[rank].on_query(&query(rate(limit), 0), share, now_us);
             if verdict == LimitVerdict::Granted {
                 arrivals.push(now_us + send_delay_us);
@@ -96,7 +96,7 @@
                     let limit = rate(f64::from(edge));
                     let queries = (0..20).map(|_| query(limit, 0));
                     let grants = queries.filter(|query| {
-                        let verdict = keeper.on_query(query, KeeperShare::FIRST, now_us);
+                        let verdict = keeper.on_query(query, LimitKeeperShare::FIRST, now_us);
                         verdict == LimitVerdict::Granted
                     });
                     granted.extend(grants.map(|_| now_us));
@@ -125,7 +125,7 @@
     for now_us in (0..TIME_US).step_by(1_000) {
         for next_query_us in next_query_us.iter_mut().filter(|at_us| **at_us <= now_us) {
             query_count += 1;
-            match keeper.on_query(&query(rate(limit), 0), KeeperShare::FIRST, now_us) {
+            match keeper.on_query(&query(rate(limit), 0), LimitKeeperShare::FIRST, now_us) {
                 LimitVerdict::Granted => granted.push(now_us),
                 LimitVerdict::Refused { wait_us } => *next_query_us = now_us + wait_us.max(5_000),
                 verdict => panic!("{verdict:?}"),
@@ -148,26 +148,30 @@
             term.on_rank_checked(rank, now_us);
         }
     };
-    assert_eq!(term.share(0, 0), KeeperShare::at_rank(1));
+    assert_eq!(term.share(0, 0), LimitKeeperShare::at_rank(1));
     check_rank(&mut term, 0, 2 * SECOND, 3 * SECOND);
-    assert_eq!(term.share(0, 3 * SECOND), KeeperShare::at_rank(1));
+    assert_eq!(term.share(0, 3 * SECOND), LimitKeeperShare::at_rank(1));
     check_rank(&mut term, 0, 3 * SECOND, 6 * SECOND);
-    assert_eq!(term.share(0, 6 * SECOND), Some(KeeperShare::FIRST));
-    assert_eq!(term.share(1, 6 * SECOND), KeeperShare::at_rank(1), "one node is ranked before it");
+    assert_eq!(term.share(0, 6 * SECOND), Some(LimitKeeperShare::FIRST));
+    assert_eq!(
+        term.share(1, 6 * SECOND),
+        LimitKeeperShare::at_rank(1),
+        "one node is ranked before it"
+    );
     assert_eq!(term.share(4, 6 * SECOND), None);
     // The node was paused and may have been replaced: before its next rank check, and after it.
-    assert_eq!(term.share(0, 8 * SECOND), KeeperShare::at_rank(1));
+    assert_eq!(term.share(0, 8 * SECOND), LimitKeeperShare::at_rank(1));
     check_rank(&mut term, 0, 8 * SECOND, 9 * SECOND);
-    assert_eq!(term.share(0, 9 * SECOND), KeeperShare::at_rank(1));
+    assert_eq!(term.share(0, 9 * SECOND), LimitKeeperShare::at_rank(1));
     check_rank(&mut term, 0, 9 * SECOND, 11 * SECOND);
-    assert_eq!(term.share(0, 11 * SECOND), Some(KeeperShare::FIRST));
+    assert_eq!(term.share(0, 11 * SECOND), Some(LimitKeeperShare::FIRST));
 }
 
 #[test]
 fn the_latest_report_of_a_runner_wins() {
     let mut keeper = LimitKeeper::default();
     let query_after = |keeper: &mut LimitKeeper, age_us, now_us| {
-        keeper.on_query(&query(rate(2.0), age_us), KeeperShare::FIRST, now_us)
+        keeper.on_query(&query(rate(2.0), age_us), LimitKeeperShare::FIRST, now_us)
     };
     assert!(matches!(query_after(&mut keeper, 0, SECOND), LimitVerdict::Refused { .. }));
     keeper.on_message(&message(None, 0), 2 * SECOND);
@@ -193,7 +197,7 @@
 fn the_wait_after_a_refusal_is_bounded() {
     let mut keeper = LimitKeeper::default();
     for _ in 0..100 {
-        let verdict = keeper.on_query(&query(rate(0.0), 0), KeeperShare::FIRST, SECOND);
+        let verdict = keeper.on_query(&query(rate(0.0), 0), LimitKeeperShare::FIRST, SECOND);
         let LimitVerdict::Refused { wait_us } = verdict else { panic!("{verdict:?}") };
         assert!(wait_us <= 2 * SECOND);
     }
@@ -204,8 +208,11 @@
     let mut keeper = LimitKeeper::default();
     keeper.on_message(&message(Some(rate(2.0)), 0), SECOND);
     assert_eq!(keeper.messages(8, SECOND).len(), 1);
-    assert_eq!(keeper.exhausted(KeeperShare::FIRST, SECOND), vec![runner()]);
-    assert!(keeper.exhausted(KeeperShare::FIRST, 2 * SECOND).is_empty(), "one request is left");
+    assert_eq!(keeper.exhausted(LimitKeeperShare::FIRST, SECOND), vec![runner()]);
+    assert!(
+        keeper.exhausted(LimitKeeperShare::FIRST, 2 * SECOND).is_empty(),
+        "one request is left"
+    );
     keeper.remove_idle(40 * SECOND);
     assert!(keeper.messages(8, 40 * SECOND).is_empty());
 }
@@ -238,7 +245,7 @@
 #[test_case(1, 13; "the second keeper")]
 fn a_runner_with_limit_zero_is_probed_within_seconds(rank: usize, within_s: u64) {
     let mut keeper = LimitKeeper::default();
-    let share = KeeperShare::at_rank(rank).unwrap();
+    let share = LimitKeeperShare::at_rank(rank).unwrap();
     keeper.on_message(&message(Some(rate(0.0)), 0), 0);
     let is_granted = |keeper: &mut LimitKeeper, now_us| {
         keeper.on_query(&query(rate(0.0), 0), share, now_us) == LimitVerdict::Granted
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -170,7 +170,7 @@
             prompt: &self.prompt,
             zone: &self.zone,
             cache_tokens: CACHE_TOKENS,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us: 1_000,
         }
     }
@@ -205,9 +205,9 @@
     let load = RunnerLoad {
         runner: RunnerId::new(&home),
         in_flight: 3,
-        unread_requests: 3,
-        unread_tokens: 90_000,
-        late_tokens: 0,
+        pending_prefills: 3,
+        prefill_tokens: 90_000,
+        overdue_tokens: 0,
         held_tokens: 90_000,
         prefill_tokens_per_s: 0,
     };
@@ -345,7 +345,7 @@
     assert!(!fleet.get(&a).unwrap().is_avoided(much_later));
     fleet.on_sent(&a, AttemptDemand::default());
     assert!(fleet.get(&a).unwrap().is_avoided(much_later), "other requests wait for the probe");
-    fleet.on_answered(&a, false, much_later);
+    fleet.on_response(&a, false, much_later);
     assert!(!fleet.get(&a).unwrap().is_avoided(much_later));
 }
 
@@ -371,7 +371,7 @@
     let pace = PrefillSpeed::default();
     let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
     for _ in 0..5 {
-        fleet.on_answered(&RunnerId::new(&home), true, 1_000);
+        fleet.on_response(&RunnerId::new(&home), true, 1_000);
     }
     assert_ne!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
     let later = Demand { now_us: 60_000_000, ..case.demand() };
@@ -406,9 +406,9 @@
     let load = RunnerLoad {
         runner: id.clone(),
         in_flight: 4,
-        unread_requests: 1,
-        unread_tokens: 1_000,
-        late_tokens: 0,
+        pending_prefills: 1,
+        prefill_tokens: 1_000,
+        overdue_tokens: 0,
         held_tokens: 50,
         prefill_tokens_per_s: 0,
     };
--- a/crates/serving/tests/quota_fleet/leases.rs
+++ b/crates/serving/tests/quota_fleet/leases.rs
@@ -69,9 +69,13 @@
         self.revision += 1;
         self.keys.insert(keeper.clone(), Key { node, incarnation, revision: self.revision });
         let sent_us = self.nodes[node].renewed_sent_us;
-        let term =
-            KeeperTerm::new(StoreRevision::without_era(self.revision), sent_us, now_us, LEASE_US);
-        let held = Keeper::new(keeper.clone(), term, BOUNDS, self.topology.clone());
+        let term = QuotaKeeperTerm::new(
+            StoreRevision::without_era(self.revision),
+            sent_us,
+            now_us,
+            LEASE_US,
+        );
+        let held = QuotaKeeper::new(keeper.clone(), term, BOUNDS, self.topology.clone());
         self.nodes[node].keepers.insert(keeper, held);
     }
 
--- a/crates/serving/tests/quota_fleet/mod.rs
+++ b/crates/serving/tests/quota_fleet/mod.rs
@@ -10,11 +10,11 @@
     QuotaBounds, QuotaQuery, QuotaRefund, QuotaReply, QuotaUnit, TenantLimit,
 };
 use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyAction, KeeperKey};
-use pitchstall_serving::quota_keeper::{Keeper, KeeperAction};
+use pitchstall_serving::quota_keeper::{KeeperAction, QuotaKeeper};
 use pitchstall_serving::quota_outcome::QuotaOutcome;
 use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
 use pitchstall_serving::quota_slots::{all_keepers, KeeperId};
-use pitchstall_serving::quota_term::KeeperTerm;
+use pitchstall_serving::quota_term::QuotaKeeperTerm;
 use pitchstall_serving::scheduling::Ticket;
 use pitchstall_serving::store_revision::StoreRevision;
 use pitchstall_serving::topology::Topology;
@@ -85,7 +85,7 @@
     has_store: bool,
     knows_no_keepers: bool,
     requester: QuotaRequester,
-    keepers: BTreeMap<KeeperId, Keeper>,
+    keepers: BTreeMap<KeeperId, QuotaKeeper>,
     candidacies: BTreeMap<KeeperId, Candidacy>,
     replica: BTreeMap<KeeperId, usize>,
     renewed_sent_us: u64,
--- a/crates/serving/tests/quota_keeper.rs
+++ b/crates/serving/tests/quota_keeper.rs
@@ -6,11 +6,11 @@
 use pitchstall_serving::quota::{
     QuotaBounds, QuotaQuery, QuotaRefund, QuotaReply, QuotaUnit, QuotaVerdict, TenantLimit,
 };
-use pitchstall_serving::quota_keeper::{Keeper, KeeperAction};
+use pitchstall_serving::quota_keeper::{KeeperAction, QuotaKeeper};
 use pitchstall_serving::quota_outcome::QuotaOutcome;
 use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
 use pitchstall_serving::quota_slots::{all_keepers, keepers_of, KeeperId};
-use pitchstall_serving::quota_term::KeeperTerm;
+use pitchstall_serving::quota_term::QuotaKeeperTerm;
 use pitchstall_serving::scheduling::Ticket;
 use pitchstall_serving::store_revision::StoreRevision;
 use pitchstall_serving::topology::Topology;
@@ -44,15 +44,15 @@
 
 /// All keepers, with terms that do not end during a test.
 struct Keepers {
-    held: BTreeMap<KeeperId, Keeper>,
+    held: BTreeMap<KeeperId, QuotaKeeper>,
     messages: usize,
 }
 
 impl Keepers {
     fn new() -> Self {
         let held = all_keepers(&topology()).into_iter().map(|id| {
-            let term = KeeperTerm::new(StoreRevision::without_era(1), 0, 0, 1_000 * SECOND);
-            (id.clone(), Keeper::new(id, term, BOUNDS, topology()))
+            let term = QuotaKeeperTerm::new(StoreRevision::without_era(1), 0, 0, 1_000 * SECOND);
+            (id.clone(), QuotaKeeper::new(id, term, BOUNDS, topology()))
         });
         Self { held: held.collect(), messages: 0 }
     }
@@ -177,8 +177,8 @@
 #[test]
 fn a_node_whose_term_may_have_ended_is_not_a_keeper() {
     let id = Keepers::slots(&limit(300_000))[0].clone();
-    let term = KeeperTerm::new(StoreRevision::without_era(1), 0, 0, 15 * SECOND);
-    let mut keeper = Keeper::new(id.clone(), term, BOUNDS, topology());
+    let term = QuotaKeeperTerm::new(StoreRevision::without_era(1), 0, 0, 15 * SECOND);
+    let mut keeper = QuotaKeeper::new(id.clone(), term, BOUNDS, topology());
     let mut query_at = |number, now_us| match keeper.on_query(
         &query(number, 200, limit(300_000), 1),
         all_reachable,
@@ -237,8 +237,8 @@
 #[test]
 fn idle_tenants_are_evicted() {
     let id = KeeperId { zone: ZoneId::new("a1"), number: 0 };
-    let term = KeeperTerm::new(StoreRevision::without_era(1), 0, 0, 1_000 * SECOND);
-    let mut keeper = Keeper::new(id.clone(), term, BOUNDS, topology());
+    let term = QuotaKeeperTerm::new(StoreRevision::without_era(1), 0, 0, 1_000 * SECOND);
+    let mut keeper = QuotaKeeper::new(id.clone(), term, BOUNDS, topology());
     let mut query_at = |name: String, number, now_us| {
         let mut query = query(number, 200, limit(300_000), 1);
         query.tenant = TenantName::new(name);
--- a/crates/serving/tests/quota_slots.rs
+++ b/crates/serving/tests/quota_slots.rs
@@ -7,7 +7,7 @@
 use pitchstall_serving::quota::{QuotaBounds, QuotaUnit, TenantLimit};
 use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyAction, KeeperKey};
 use pitchstall_serving::quota_slots::{all_keepers, keepers_of, query_order, KeeperId};
-use pitchstall_serving::quota_term::KeeperTerm;
+use pitchstall_serving::quota_term::QuotaKeeperTerm;
 use pitchstall_serving::store_revision::StoreRevision;
 use pitchstall_serving::topology::Topology;
 use std::collections::{BTreeMap, BTreeSet};
@@ -182,7 +182,8 @@
 #[test]
 fn a_term_ends_before_the_lease_counted_from_sending_its_renewal() {
     let ttl_us = 15 * SECOND;
-    let mut term = KeeperTerm::new(StoreRevision::without_era(7), 2 * SECOND, 6 * SECOND, ttl_us);
+    let mut term =
+        QuotaKeeperTerm::new(StoreRevision::without_era(7), 2 * SECOND, 6 * SECOND, ttl_us);
     assert_eq!(term.started_at_us(), 6 * SECOND);
     assert!(term.is_valid(14 * SECOND) && !term.is_valid(15 * SECOND));
     term.renew(10 * SECOND, ttl_us);
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -84,7 +84,7 @@
             prompt: &self.prompt,
             zone: &self.zone,
             cache_tokens: 400_000,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us: SECOND,
         }
     }
--- a/crates/serving/tests/reservations.rs
+++ b/crates/serving/tests/reservations.rs
@@ -43,7 +43,7 @@
         service: ServiceName::new("s"),
         prefill: reserved("p", 400),
         decode: Some(reserved("d", 0)),
-        shared_prefixes: Vec::new(),
+        shared_prefix: Vec::new(),
         was_unqueued: true,
         deadline_us,
         is_prefilled: false,
@@ -59,7 +59,7 @@
     let loads = fleet.shard_loads(&only_shard(), 0);
     let of = |id: &str| {
         let load = loads.iter().find(|load| load.runner.as_str() == id);
-        load.map_or((0, 0), |load| (load.in_flight, load.unread_tokens))
+        load.map_or((0, 0), |load| (load.in_flight, load.prefill_tokens))
     };
     [of("p"), of("d")]
 }
--- a/crates/serving/tests/role_view.rs
+++ b/crates/serving/tests/role_view.rs
@@ -62,7 +62,7 @@
         service: ServiceName::new("llm"),
         prefill: reserved("p0", 3_000),
         decode: Some(reserved(decode_runner, 0)),
-        shared_prefixes: Vec::new(),
+        shared_prefix: Vec::new(),
         was_unqueued: false,
         deadline_us: 9 * SECOND_US,
         is_prefilled: false,
@@ -113,7 +113,7 @@
     reserve(&mut fleet, &mut reservations, 2, "d0");
     reservations.end(&mut fleet, Ticket { incarnation: 1, number: 1 });
     let loads = fleet.shard_loads(&only_shard(), SECOND_US);
-    assert!(loads.iter().all(|load| (load.in_flight, load.unread_requests) == (1, 1)));
+    assert!(loads.iter().all(|load| (load.in_flight, load.pending_prefills) == (1, 1)));
     reservations.on_prefilled(&mut fleet, Ticket { incarnation: 1, number: 2 });
     reservations.end(&mut fleet, Ticket { incarnation: 1, number: 2 });
     assert!(fleet.shard_loads(&only_shard(), SECOND_US).is_empty());
@@ -125,9 +125,9 @@
     let load = RunnerLoad {
         runner: RunnerId::new("p0"),
         in_flight: 40,
-        unread_requests: 40,
-        unread_tokens: 0,
-        late_tokens: 120_000,
+        pending_prefills: 40,
+        prefill_tokens: 0,
+        overdue_tokens: 120_000,
         held_tokens: 0,
         prefill_tokens_per_s: 0,
     };
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -241,11 +241,11 @@
     nodes[0].on_role_change_ordered(&id, Stage::Prefill, 2 * SECOND_US);
     for round in 0..60 {
         let now_us = round * REPORT_INTERVAL_US;
-        let reports: Vec<_> = nodes.iter().map(|node| node.role_changes(now_us)).collect();
+        let reports: Vec<_> = nodes.iter().map(|node| node.role_transitions(now_us)).collect();
         for (from, report) in reports.iter().enumerate() {
             for (to, node) in nodes.iter_mut().enumerate() {
                 if from != to {
-                    node.on_role_changes_reported(report, now_us + DELAY_US);
+                    node.on_role_transitions_reported(report, now_us + DELAY_US);
                 }
             }
         }
--- a/crates/serving/tests/roles_world/mod.rs
+++ b/crates/serving/tests/roles_world/mod.rs
@@ -182,10 +182,10 @@
         self.joining.push((self.now_us + SECOND_US, joins));
     }
 
-    pub fn step(&mut self, requests_per_second: f64) {
+    pub fn step(&mut self, requests_per_s: f64) {
         self.now_us += STEP_US;
         self.update_registry();
-        self.requested += requests_per_second * STEP_US as f64 / SECOND_US as f64;
+        self.requested += requests_per_s * STEP_US as f64 / SECOND_US as f64;
         while self.requested >= 1.0 {
             self.requested -= 1.0;
             self.place();
@@ -244,7 +244,7 @@
             prompt: &prompt,
             zone: &zone,
             cache_tokens: 900_000,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us: self.now_us,
         };
         let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
@@ -280,7 +280,7 @@
             return self.end(&request, false);
         };
         let queue =
-            if prefill.late_tokens > 0 { &mut engine.overdue_queue } else { &mut engine.queue };
+            if prefill.overdue_tokens > 0 { &mut engine.overdue_queue } else { &mut engine.queue };
         queue.push_back(request);
     }
 
--- a/crates/serving/tests/runner_incarnations.rs
+++ b/crates/serving/tests/runner_incarnations.rs
@@ -50,9 +50,9 @@
     RunnerLoad {
         runner: id.clone(),
         in_flight: 4,
-        unread_requests: 2,
-        unread_tokens: 700,
-        late_tokens: 100,
+        pending_prefills: 2,
+        prefill_tokens: 700,
+        overdue_tokens: 100,
         held_tokens: 900,
         prefill_tokens_per_s: 50,
     }
@@ -73,7 +73,7 @@
         "load reported by the runner" => {
             fleet.on_load(id, LoadReport { running: 5, waiting: 2 }, SECOND_US)
         }
-        "failures" => (0..20).for_each(|_| fleet.on_answered(id, true, SECOND_US)),
+        "failures" => (0..20).for_each(|_| fleet.on_response(id, true, SECOND_US)),
         "suspicion" => fleet.on_unreachable(id, SECOND_US),
         "full" => fleet.on_full(id, SECOND_US),
         "pending role change" => fleet.on_role_change_ordered(id, Stage::Prefill, 9 * SECOND_US),
@@ -110,12 +110,12 @@
         runner.is_suspected(),
         runner.occupancy(now_us),
         runner.peer_prefill_tokens(now_us),
-        runner.prefill_tokens_per_second(now_us),
+        runner.prefill_tokens_per_s(now_us),
         runner.next_stage(now_us),
         runner.total_held_tokens(now_us),
         runner.cached_tokens(&prompt()),
         runner.slowdown_factor(now_us),
-        fleet.role_changes(now_us),
+        fleet.role_transitions(now_us),
     )
 }
 
@@ -178,7 +178,7 @@
     fleet.on_reservation_ended(&incarnation(1_000), DEMAND);
     let report =
         RoleTransition { runner: incarnation(1_000), stage: Stage::Prefill, remaining_ms: 5_000 };
-    fleet.on_role_changes_reported(&[report], SECOND_US);
+    fleet.on_role_transitions_reported(&[report], SECOND_US);
     assert_eq!(
         observable_state(&fleet, &incarnation(2_000)),
         known,
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -165,7 +165,7 @@
             prompt: &prompt,
             zone: &zone,
             cache_tokens: 400_000,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us,
         };
         let shards = match self.strategy {
@@ -326,7 +326,7 @@
         prompt: &prompt,
         zone: &query.zone,
         cache_tokens: 400_000,
-        region_move_ms: None,
+        cross_region_ms_per_token: None,
         now_us: 0,
     };
     let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
