--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -95,13 +95,14 @@
     node: &Node,
     question: &PlacementQuery,
     plan: Option<WirePlan>,
-    elsewhere: Option<RemoteRegion>,
+    remote_region: Option<RemoteRegion>,
 ) {
     let (reader, writer) = named(plan.as_ref());
     let (region, shard) = (question.shard.region.as_str(), question.shard.number);
-    let other_region = elsewhere.as_ref().map_or("", |elsewhere| elsewhere.region.as_str());
+    let other_region =
+        remote_region.as_ref().map_or("", |remote_region| remote_region.region.as_str());
     log::info!(target: "scheduling", request = question.request.as_str(), region, shard, reader, writer, other_region; "placed");
-    let answer = PlacementReply { ticket: question.ticket, plan, remote_region: elsewhere };
+    let answer = PlacementReply { ticket: question.ticket, plan, remote_region };
     node.scheduling.socket.send(&PeerMessage::PlacementReply(answer), &[question.reply_to]);
 }
 
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -66,7 +66,7 @@
 /// Time without a response of the store after which the store counts as having been unavailable, in
 /// microseconds. In normal operation a response comes within 1.8 s on the users' deployments, and
 /// the first entries lapse after three missed heartbeats of more than a second each.
-const STORE_AWAY_AFTER_US: u64 = 2_200_000;
+const STORE_UNAVAILABLE_AFTER_US: u64 = 2_200_000;
 /// Time after the store's return within which lapsed entries are written again, in microseconds.
 /// The platform promises about two seconds. The value is a little lower, since a runner that is
 /// gone for good must receive no request two seconds after its entry was found missing.
@@ -168,7 +168,10 @@
 
     /// Records that the store confirmed the replica at `at_us`, as learned at `now_us`.
     fn confirm(&mut self, at_us: u64, now_us: u64) {
-        if self.confirmed_at_us.is_some_and(|before_us| at_us > before_us + STORE_AWAY_AFTER_US) {
+        if self
+            .confirmed_at_us
+            .is_some_and(|before_us| at_us > before_us + STORE_UNAVAILABLE_AFTER_US)
+        {
             self.store_back_at_us = Some(now_us);
         }
         self.confirmed_at_us = self.confirmed_at_us.max(Some(at_us));
@@ -182,7 +185,7 @@
     /// Time until which a missing entry may only have lapsed while the store was unavailable, in
     /// microseconds; `None` if the store was available, so that a missing entry was removed.
     pub fn lapse_grace_until_us(&self, now_us: u64) -> Option<u64> {
-        if self.confirmed_at_us.is_some_and(|at_us| now_us > at_us + STORE_AWAY_AFTER_US) {
+        if self.confirmed_at_us.is_some_and(|at_us| now_us > at_us + STORE_UNAVAILABLE_AFTER_US) {
             return Some(now_us + LAPSE_GRACE_US);
         }
         let until_us = self.store_back_at_us.map(|at_us| at_us + LAPSE_GRACE_US);
