--- a/crates/serving/src/authority.rs
+++ b/crates/serving/src/authority.rs
@@ -13,9 +13,9 @@
 //! fencing token, which is the store revision of the acquisition and so higher for each later
 //! holder.
 //!
-//! A store that is restored from an older copy grants its leases and revisions a second time. A
-//! term therefore ends at the first sign of a later era. A holder that has not yet observed the new
-//! era may go on for the length of its lease, so a new holder waits for that time as well. Fencing
+//! A store that is restored from a backup grants its leases and revisions a second time. A term
+//! therefore ends at the first sign of a later era. A holder that has not yet observed the new era
+//! may go on for the length of its lease, so a new holder waits for that time as well. Fencing
 //! tokens compare eras before revisions.
 
 use crate::ids::RegionId;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The region whose runners it covers; `None` for all.
+    /// The region whose runners the subject covers; `None` for the whole fleet.
     pub fn region(&self) -> Option<&RegionId> {
         match self {
             Self::Fleet => None,
@@ -83,7 +83,7 @@
     }
 }
 
-/// One term of authority.
+/// A period in which one node holds the authority, and the fencing token of its orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AuthorityTerm {
     /// Fencing token of every order in this term.
@@ -149,7 +149,7 @@
 /// added. Each poll is a call that costs money.
 const POLL_INTERVAL_US: u64 = 2_000_000;
 const POLL_JITTER_US: f64 = 2_000_000.0;
-/// The same as long as this node has not observed any holder, since the fleet has just started.
+/// The same bounds while this node has not observed any holder, when the fleet has just started.
 const INITIAL_POLL_INTERVAL_US: u64 = 300_000;
 const INITIAL_POLL_JITTER_US: f64 = 600_000.0;
 /// Time between two checks of a held lease, in microseconds.
@@ -166,7 +166,7 @@
     Wait(u64),
     /// Check whether a node holds the authority, and acquire it if none does.
     Poll,
-    /// Renew the lease.
+    /// Renew this lease, which the node holds.
     Renew(StoreLease),
     /// Revoke the lease: an order was rejected because another node has the authority.
     StepDown(StoreLease),
@@ -264,9 +264,9 @@
         self.held.take().map(|held| (held.lease, held.term.fence))
     }
 
-    /// Handles a store that was restored from an older copy. The key may have no holder, so this
-    /// node polls soon, and at once if it was the holder itself. Returns the fencing token of the
-    /// term that this ends.
+    /// Handles a store that was restored from a backup. The key may have no holder, so this node
+    /// polls soon, and at once if it was the holder itself. Returns the fencing token of the term
+    /// that this ends.
     pub fn on_later_era(&mut self) -> Option<FencingToken> {
         self.has_observed_holder = false;
         let lost = self.on_lost().map(|(_, fence)| fence);
--- a/crates/serving/src/capacity_planner.rs
+++ b/crates/serving/src/capacity_planner.rs
@@ -25,7 +25,7 @@
     pub min_runners: u32,
     /// Maximum number of runners in a zone, of both kinds together.
     pub max_runners: u32,
-    /// Time from an order until a runner serves, seconds.
+    /// Time from an order until a runner serves, in seconds.
     pub boot_s: f64,
     /// Price of a preemptible runner as a fraction of the price of a reserved one; `None` if there
     /// are no preemptible runners.
@@ -43,7 +43,7 @@
     Preemptible,
 }
 
-/// Parameters of the plan.
+/// Targets and limits that the plan observes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityPolicy {
     /// Minimum share of the need that reserved runners cover.
@@ -55,14 +55,14 @@
     /// Deviation from the planned number of reserved runners that is left uncorrected, as a share
     /// of the need.
     pub tolerance: f64,
-    /// Time for which surplus preemptible runners are kept, microseconds.
+    /// Time for which surplus preemptible runners are kept, in microseconds.
     pub surplus_retention_us: u64,
     /// Maximum number of runners added or given up per second, over all zones: every node receives
     /// several messages about each change.
     pub max_changes_per_s: f64,
     /// Maximum number of runners added or given up at once.
     pub max_change_burst: f64,
-    /// Time until a zone without available preemptible runners is asked again, microseconds.
+    /// Time until a zone without available preemptible runners is asked again, in microseconds.
     pub unavailable_pause_us: u64,
 }
 
@@ -107,9 +107,9 @@
 /// Order for the number of runners of one kind in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityOrder {
-    /// The zone.
+    /// Zone in which the runners are placed.
     pub zone: ZoneId,
-    /// Kind of the runners.
+    /// Whether the runners are reserved or preemptible.
     pub kind: RunnerKind,
     /// Number of runners that the zone is to have.
     pub runners: u32,
@@ -122,17 +122,17 @@
     /// Number of runners that the workload needs.
     need: u32,
     zones: Vec<ZoneId>,
-    /// Zones without available preemptible runners, and when each is asked again, microseconds.
+    /// Zones without available preemptible runners, and when each is asked again, in microseconds.
     unavailable_until_us: BTreeMap<ZoneId, u64>,
     /// Latest order for each zone and kind.
     ordered: BTreeMap<(ZoneId, RunnerKind), u32>,
     /// Zones that had preemptible runners in the previous planning round.
     had_preemptible: BTreeSet<ZoneId>,
-    /// Time since when there are surplus preemptible runners, microseconds.
+    /// Time since when there are surplus preemptible runners, in microseconds.
     surplus_since_us: Option<u64>,
     /// Whether the latest planning round found that the number of reserved runners has to change.
     is_changing_reserved: bool,
-    /// Number of changes allowed now, and the time for which it was computed, microseconds.
+    /// Number of changes allowed now, and the time for which it was computed, in microseconds.
     allowance: Option<(f64, u64)>,
 }
 
@@ -173,7 +173,7 @@
         self.rate_limit(orders, supply, now_us)
     }
 
-    /// Orders to place now.
+    /// Orders to place now, additions first and at most as many changes as the policy allows.
     pub fn plan(
         &mut self,
         supply: &BTreeMap<ZoneId, ZoneSupply>,
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -10,11 +10,11 @@
 /// One version of the whole configuration. Versions increase, not necessarily by one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Number of the version.
+    /// Version number; a later version has a higher one.
     pub version: u64,
-    /// Routes by host.
+    /// Routes of all hosts.
     pub routes: RouteTable,
-    /// Services by name.
+    /// Services to which routes lead, by name.
     pub services: BTreeMap<ServiceName, Service>,
     /// Limits on what clients may send.
     pub limits: ClientLimits,
@@ -54,7 +54,7 @@
         self.by_host.values().flatten()
     }
 
-    /// Number of routes.
+    /// Number of routes over all hosts.
     pub fn len(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
@@ -83,7 +83,7 @@
 pub enum RequestKind {
     /// May run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// Runs at most once; retried only if it provably has not run.
     NonIdempotent,
     /// The response is a stream of events; runs at most once unless the route is resumable.
     Streaming,
@@ -94,9 +94,9 @@
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
-    /// Host that clients name.
+    /// Host that a request must name, in any case.
     pub host: String,
-    /// Prefix of the path.
+    /// Prefix that the path of a request must have.
     pub prefix: String,
     /// Whether a failed request may be retried.
     pub kind: RequestKind,
@@ -131,7 +131,7 @@
 /// A service's share of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The service.
+    /// Name of the service that gets this share.
     pub service: ServiceName,
     /// Weight among the route's shares.
     pub weight: u32,
@@ -151,11 +151,12 @@
 /// Properties of the runners of a language model.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineSpec {
-    /// Requests in one batch.
+    /// Number of requests that a runner processes in one batch.
     pub slots: u32,
     /// Capacity of the KV cache, in prompt tokens.
     pub kv_tokens: u64,
-    /// Time for which the handle of a prompt is kept, in seconds.
+    /// Time for which a runner keeps the KV cache of a prefilled prompt under its handle, in
+    /// seconds.
     pub handle_ttl_s: f64,
     /// Size of a token in the KV cache, in bytes; 0: unknown.
     pub token_bytes: u64,
--- a/crates/serving/src/crash_evidence.rs
+++ b/crates/serving/src/crash_evidence.rs
@@ -11,7 +11,7 @@
 //!
 //! Every attempt that was sent and did not complete counts, whether it was prefilling, queued or
 //! running: a runner may crash before it sends the response head. Requests that were merely queued
-//! there are told apart from those that crash runners by their outcome at other runners
+//! there are distinguished from those that crash runners by their outcome at other runners
 //! ([`crate::quarantine`]).
 
 use crate::ids::RunnerId;
@@ -42,7 +42,7 @@
 struct BrokenAttempt {
     request: RequestIdentity,
     broken_at_us: u64,
-    /// Whether the runner has accepted a connection since.
+    /// Whether the runner has accepted a connection since the attempt broke.
     seems_alive: bool,
 }
 
--- a/crates/serving/src/digest.rs
+++ b/crates/serving/src/digest.rs
@@ -1,9 +1,9 @@
 //! The digest that every node sends to others periodically: that it is running, how fresh its
 //! replica of the store is, which runners are changing their role, and its wall clock.
 //!
-//! A digest holds the whole state, not changes, so a lost or duplicated one does no harm; its
-//! sequence number shows one that arrives late. Loads and caches of runners are not part of it: the
-//! runners' schedulers know them ([`crate::scheduling`]).
+//! A digest holds the whole state, not changes, so a lost or duplicated one does no harm; a digest
+//! that arrives late is recognized by its sequence number. Loads and caches of runners are not part
+//! of it: the runners' schedulers know them ([`crate::scheduling`]).
 
 use crate::freshness::StoreFreshnessReport;
 use crate::ids::{NodeId, RunnerId};
@@ -19,13 +19,14 @@
 /// from node to node, so a repeated report does not prolong the transition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleTransition {
-    /// The runner.
+    /// Incarnation of the runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
     /// The new role. A runner that already has it is not in transition.
     #[serde(rename = "s")]
     pub stage: Stage,
-    /// Time for which the runner must still be left alone, in milliseconds.
+    /// Time for which the runner still gets no new work unless it takes the role earlier, in
+    /// milliseconds.
     #[serde(rename = "l")]
     pub remaining_ms: u64,
 }
@@ -33,7 +34,7 @@
 /// A keeper of tenants' limits that a node holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldKeeper {
-    /// The keeper.
+    /// Identity of the keeper.
     #[serde(rename = "k")]
     pub keeper: KeeperId,
     /// Revision of the store at which the node took the keeper.
@@ -78,11 +79,12 @@
     /// The keepers of tenants' limits that the node holds.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub held_keepers: Vec<HeldKeeper>,
-    /// Limits of runners that apply to all nodes together and that this node counts.
+    /// Limits of runners that apply to all nodes together and that this node enforces as their
+    /// keeper.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<LimitMessage>,
-    /// Whether a planned stop of the node has begun, after which it no longer counts runners'
-    /// limits.
+    /// Whether a planned stop of the node has begun, after which it no longer acts as a keeper of
+    /// runners' limits.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_stopping: bool,
     /// Wall clock of the machine, in milliseconds since 1970.
@@ -124,11 +126,12 @@
     }
 }
 
-/// Nodes that receive one digest; if there are more, they take turns.
+/// Maximum number of nodes that receive one digest. In a larger fleet, digests rotate over the
+/// nodes.
 pub const DIGEST_FAN_OUT: usize = 16;
-/// How many of them are in other regions, if there are any. At one digest a second, each of 60
-/// remote nodes receives one twice a minute; the lists of members that nodes exchange show the
-/// rest.
+/// Number of these receivers that are in other regions, if there are such nodes. At one digest a
+/// second, each of 60 remote nodes receives one twice a minute; the lists of members that nodes
+/// exchange show the rest.
 const REMOTE_FAN_OUT: usize = 2;
 
 /// Time without a digest after which a node counts as gone in a fleet of `nodes`, in microseconds.
--- a/crates/serving/src/failure_rate.rs
+++ b/crates/serving/src/failure_rate.rs
@@ -2,7 +2,7 @@
 
 /// Weight of the newest response in the moving average.
 const NEWEST_RESPONSE_WEIGHT: f64 = 0.15;
-/// Time in which the rate decays by half, microseconds.
+/// Time in which the rate decays by half, in microseconds.
 const FAILURE_HALF_LIFE_US: f64 = 4_000_000.0;
 
 /// Moving average of failures that also decays with time.
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -108,7 +108,8 @@
         self.update_reserved(id, |reserved| reserved.pending_prefills += 1);
     }
 
-    /// Records that the prompt has been prefilled elsewhere, or is no longer waited for.
+    /// Records that the other runner has prefilled the prompt, or that the reservation no longer
+    /// waits for it.
     pub fn on_remote_prefill_finished(&mut self, id: &RunnerId) {
         self.update_reserved(id, |reserved| {
             reserved.pending_prefills = reserved.pending_prefills.saturating_sub(1);
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Records that another runner, or a runner of another role, answered at the address of this
+    /// Records that another runner, or a runner of another role, responded at the address of this
     /// one. The runner gets no requests until a newer entry arrives.
     pub fn on_misdirected(&mut self, id: &RunnerId) {
         if let Some(runner) = self.runners.get_mut(id) {
--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -58,7 +58,7 @@
 /// The part of the fleet that runners are chosen from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope<'a> {
-    /// The whole fleet.
+    /// The runners of all regions.
     AllRegions,
     /// The runners of one region.
     Region(&'a RegionId),
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -3,8 +3,8 @@
 //!
 //! A watch that waits for a change does not show whether it still works, and polling the store
 //! costs a call each time, at every node. Nodes therefore report to each other the last change of a
-//! subject that they have seen, and how long ago the store confirmed that it was the last. A
-//! replica that includes the last change seen by any node is as fresh as the freshest report,
+//! subject that they have received, and how long ago the store confirmed that it was the last. A
+//! replica that includes the last change received by any node is as fresh as the freshest report,
 //! whatever the state of its own watch. A node that has received no confirmation for a while
 //! queries the store itself, and its report spares the others the same call, so the number of calls
 //! that only confirm does not grow with the fleet.
@@ -17,10 +17,10 @@
 use crate::store_revision::{RevisionNumber, StoreEra, StoreEras, StoreRevision};
 use serde::{Deserialize, Serialize};
 
-/// What a node reports about one subject.
+/// A node's report on its replica of one subject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreshnessReport {
-    /// Revision of the last change that the node has seen.
+    /// Revision of the last change that the node has received.
     #[serde(rename = "c")]
     changed_at: RevisionNumber,
     /// Era of that revision. Builds without support for eras leave it out.
@@ -38,7 +38,7 @@
         Self { changed_at: changed_at.number(), era: changed_at.era(), age_ms }
     }
 
-    /// Revision of the last change that the node has seen; `eras` resolves an era that was left
+    /// Revision of the last change that the node has received; `eras` resolves an era that was left
     /// out.
     pub fn changed_at(&self, eras: &StoreEras) -> StoreRevision {
         StoreRevision::new(eras.resolve_reported(self.era), self.changed_at)
@@ -52,11 +52,11 @@
     Fresh,
     /// No confirmation within that time.
     Unconfirmed,
-    /// Another node has seen a later change, and this node's watch did not deliver it in time.
+    /// Another node has received a later change, and this node's watch did not deliver it in time.
     Behind,
 }
 
-/// Time that a node's own watch has to deliver a change that another node has already seen, in
+/// Time that a node's own watch has to deliver a change that another node has already received, in
 /// microseconds.
 const WATCH_DELIVERY_TIMEOUT_US: u64 = 300_000;
 /// Time for which a node that has read all entries waits for another node's report of the last
@@ -106,8 +106,8 @@
     confirmed_at_us: Option<u64>,
     /// Time of the first confirmation after the store was unavailable, in microseconds.
     store_back_at_us: Option<u64>,
-    /// The latest change that another node has seen and this one has not, and the time of its first
-    /// report or of the last query of the store, in microseconds.
+    /// The latest change that another node has received and this one has not, and the time of its
+    /// first report or of the last query of the store, in microseconds.
     peer_ahead: Option<(StoreRevision, u64)>,
     /// Later changes that other nodes have reported, in the order of their first report.
     reported: Vec<ReportedChange>,
@@ -119,7 +119,7 @@
         Self { is_single_entry: true, ..Self::default() }
     }
 
-    /// The store has responded: every change up to `known_to` is known.
+    /// Records a response of the store: every change up to `known_to` is known.
     pub fn on_store_response(&mut self, known_to: StoreRevision, now_us: u64) {
         self.known_to = known_to;
         // The store itself has no later change, so earlier reports refer to another store.
@@ -128,7 +128,7 @@
         self.peer_ahead = self.peer_ahead.filter(|(revision, _)| *revision > known_to);
     }
 
-    /// All entries have been read from the store.
+    /// Records that all entries have been read from the store.
     pub fn on_full_read(&mut self, update: &StoreUpdate, now_us: u64) {
         self.on_snapshot(update, now_us);
         self.on_store_response(update.known_to(), now_us);
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Another node has passed on an update of its replica, which the store confirmed `age_ms` ago.
+    /// Records an update that another node has passed on from its replica, which the store
+    /// confirmed `age_ms` ago.
     pub fn on_peer_update(&mut self, update: &StoreUpdate, age_ms: Option<u64>, now_us: u64) {
         if update.is_snapshot {
             self.on_snapshot(update, now_us);
@@ -177,7 +178,8 @@
         self.confirmed_at_us = self.confirmed_at_us.max(Some(at_us));
     }
 
-    /// The store was restored from a backup: entries missing from it may be written again.
+    /// Records that the store was restored from a backup: entries missing from it may be written
+    /// again.
     pub fn on_later_era(&mut self, now_us: u64) {
         self.store_back_at_us = Some(now_us);
     }
@@ -198,7 +200,7 @@
         age_us.map(|age_us| age_us / MICROS_PER_MILLI)
     }
 
-    /// A watch has delivered a change.
+    /// Records that the watch has delivered a change.
     pub fn on_change(&mut self, revision: StoreRevision) {
         if revision > self.changed_at {
             self.changed_at = revision;
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Records another node's report. It confirms the replica if that node has seen no change
+    /// Records another node's report. It confirms the replica if that node has received no change
     /// unknown here, unless the report is of an earlier era, whose nodes do not know later writes.
     pub fn on_report(&mut self, report: FreshnessReport, eras: &StoreEras, now_us: u64) {
         let changed_at = report.changed_at(eras);
@@ -233,7 +235,7 @@
 
     fn on_reported_change(&mut self, revision: StoreRevision, now_us: u64) {
         self.reported.retain(|change| now_us < change.last_us + REPORTED_CHANGE_TTL_US);
-        // A node that has seen a change has also seen all earlier ones.
+        // A node that has received a change has also received all earlier ones.
         let earlier = self.reported.iter_mut().filter(|change| change.revision <= revision);
         earlier.for_each(|change| change.last_us = now_us);
         let is_known = self.reported.iter().any(|change| change.revision == revision);
@@ -251,7 +253,7 @@
         Some(now_us.saturating_sub(first_us))
     }
 
-    /// What to report to other nodes.
+    /// The report for other nodes, with ages as of `now_us`.
     pub fn report(&self, now_us: u64) -> FreshnessReport {
         if self.read_at_us.is_some_and(|read_at_us| now_us < read_at_us + LAST_CHANGE_WAIT_US) {
             return FreshnessReport::default();
@@ -259,7 +261,8 @@
         FreshnessReport::new(self.changed_at, self.confirmed_age_ms(now_us))
     }
 
-    /// Whether another node has seen a later change that this node's watch did not deliver in time.
+    /// Whether another node has received a later change that this node's watch did not deliver in
+    /// time.
     pub fn is_behind(&self, now_us: u64) -> bool {
         let is_overdue =
             |(_, first_us): (StoreRevision, u64)| now_us >= first_us + WATCH_DELIVERY_TIMEOUT_US;
@@ -277,8 +280,8 @@
         }
     }
 
-    /// The node queries the store because another node is ahead; the time for delivery starts
-    /// again.
+    /// Records that the node queries the store because another node is ahead. The time that the
+    /// watch has to deliver the change starts again.
     pub fn on_store_queried(&mut self, now_us: u64) {
         if let Some((revision, _)) = self.peer_ahead {
             self.peer_ahead = Some((revision, now_us));
@@ -286,14 +289,14 @@
     }
 }
 
-/// Freshness of a node's replicas.
+/// Freshness of a node's replicas, one for each subject.
 #[derive(Clone, Debug)]
 pub struct StoreFreshness {
-    /// The operators' configuration.
+    /// The replica of the operators' configuration.
     pub configuration: ReplicaFreshness,
-    /// The runners' entries.
+    /// The replica of the runners' registry entries.
     pub runners: ReplicaFreshness,
-    /// Requests under which runners have crashed.
+    /// The replica of the requests during which runners have crashed.
     pub crashes: ReplicaFreshness,
 }
 
@@ -307,16 +310,16 @@
     }
 }
 
-/// What a node reports about its replicas.
+/// A node's report on all its replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreFreshnessReport {
-    /// The operators' configuration.
+    /// The replica of the operators' configuration.
     #[serde(rename = "f")]
     pub configuration: FreshnessReport,
-    /// The runners' entries.
+    /// The replica of the runners' registry entries.
     #[serde(rename = "r")]
     pub runners: FreshnessReport,
-    /// Requests under which runners have crashed.
+    /// The replica of the requests during which runners have crashed.
     #[serde(rename = "q", default)]
     pub crashes: FreshnessReport,
 }
@@ -331,7 +334,7 @@
         }
     }
 
-    /// Freshness of the replica of a subject, for changes.
+    /// Mutable access to the freshness of the replica of a subject.
     pub fn replica_mut(&mut self, subject: Subject) -> &mut ReplicaFreshness {
         match subject {
             Subject::Configuration => &mut self.configuration,
@@ -340,7 +343,7 @@
         }
     }
 
-    /// What to report to other nodes.
+    /// The report for other nodes, with ages as of `now_us`.
     pub fn report(&self, now_us: u64) -> StoreFreshnessReport {
         StoreFreshnessReport {
             configuration: self.configuration.report(now_us),
@@ -356,7 +359,7 @@
         self.crashes.on_report(report.crashes, eras, now_us);
     }
 
-    /// The store was restored from a backup.
+    /// Records for all replicas that the store was restored from a backup.
     pub fn on_later_era(&mut self, now_us: u64) {
         Subject::ALL.into_iter().for_each(|subject| self.replica_mut(subject).on_later_era(now_us));
     }
--- a/crates/serving/src/ids.rs
+++ b/crates/serving/src/ids.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Name of the runner.
+    /// Name of the runner, which all its incarnations share.
     pub fn name(&self) -> RunnerName {
         RunnerName::new(self.parts().0)
     }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,51 +1,50 @@
 //! The decisions of a node about requests, runners and responses.
 //!
-//! The code here is pure state: time is passed in as microseconds of a monotonic clock, and
-//! nothing reads a socket, a clock or a random source. The daemon and the tests run the same
-//! code. The modules, in the order in which a request reaches them:
+//! This crate performs no I/O and reads neither a clock nor a random source: times are passed in as
+//! microseconds of a monotonic clock. The tests therefore run the same code as the daemon. The
+//! modules, from the request to the operation of the fleet:
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`ids`] | types of identifiers |
 //! | [`configuration`] | the configuration that the operators have put in force |
-//! | [`topology`] | the regions to which zones belong |
-//! | [`distance`] | distances between zones |
-//! | [`regions`] | when a request is sent to another region |
-//! | [`routing`] | the route and the service of a request |
-//! | [`prefix`] | the shared prefixes of prompts |
-//! | [`request`] | properties of requests and responses that matter to a node |
-//! | [`request_identity`] | recognizing the same request under different ids |
+//! | [`tenancy`] | authentication: the tenant that a request's key identifies |
+//! | [`routing`] | assignment of requests to the services of a route |
+//! | [`request`] | metadata of requests and responses that a node evaluates |
+//! | [`request_identity`] | recognition of repeated requests, whatever request ids they carry |
+//! | [`prefix`] | the ordered parts of a prompt and the prefixes that requests share |
+//! | [`topology`], [`distance`] | zones and their regions, and round-trip times between zones |
+//! | [`membership`] | the nodes of the fleet, and which of them read the store |
 //! | [`digest`] | the state that every node sends to others periodically |
-//! | [`store_replica`] | updates that bring another node's replica of the store up to date |
 //! | [`store_revision`] | order of the store's changes, also across restores from a backup |
-//! | [`membership`] | which nodes read the store, and which follow them |
-//! | [`freshness`] | freshness of a replica of the store, from all nodes' reports |
-//! | [`runner`], [`fleet`] | the runners, their load and their health |
-//! | [`runner_limit`], [`limit_keeper`] | limits that a runner sets for all nodes together, and their keepers |
-//! | [`runner_notice`] | whether a runner takes requests, as it reports itself |
-//! | [`prefix_cache`], [`failure_rate`] | estimates of what a runner has cached and how often it fails |
-//! | [`suspicion`] | whether a silent runner is busy or unreachable |
-//! | [`read_pace`], [`runner_pace`] | prefill speed in general, and how much each runner differs |
-//! | [`placement`] | the prefill runner and the decode runner of a request |
+//! | [`store_replica`] | a node's replica of the store, and updates of other nodes' replicas |
+//! | [`freshness`] | freshness of a replica, from the store's responses and other nodes' reports |
+//! | [`runner`], [`fleet`] | a node's view of each runner: load, health and role |
+//! | [`runner_notice`] | what a runner reports about its own availability |
+//! | [`runner_limit`], [`limit_keeper`] | rate limits that runners report, and their enforcement |
+//! | [`prefix_cache`], [`failure_rate`] | estimates of what a runner caches and how often it fails |
+//! | [`suspicion`] | failure detection: whether a runner counts as unreachable |
+//! | [`prefill_speed`], [`runner_speed`] | prefill speed of a service and of each of its runners |
+//! | [`placement`] | choice of the prefill runner and of the decode runner of a request |
 //! | [`urgency`] | the order in which a runner processes requests |
-//! | [`scheduling`] | the node that schedules a request, and the messages between nodes for that |
-//! | [`scheduler`], [`reservations`] | decisions of that node, and the capacity that it has reserved |
-//! | [`role_planner`] | when a runner changes its role |
-//! | [`capacity_planner`] | number, kind and location of the runners |
-//! | [`authority`] | the node that may give the orders for that |
-//! | [`tenancy`] | who may send requests, and on behalf of which tenant they run |
-//! | [`usage`], [`wall_clock`] | number of requests that each tenant started, and when |
-//! | [`quota`] | quotas of tenants, and the messages between nodes for them |
-//! | [`quota_slots`], [`quota_share`] | the keepers among which a quota is divided, and their shares |
-//! | [`quota_keeper`], [`quota_bucket`] | whether a run is paid for |
-//! | [`quota_grants`], [`quota_turns`] | grants that may be returned, and how long other nodes wait |
-//! | [`quota_term`], [`quota_candidacy`] | which node is a keeper, and until when |
-//! | [`quota_desk`], [`quota_outcome`] | the keeper that a node asks, and what follows from its reply or its silence |
-//! | [`retry_budget`] | whether another attempt may be made |
-//! | [`crash_evidence`] | the requests that were running at a runner when it crashed |
-//! | [`quarantine`] | requests that crash runners, and are sent to none any more |
-//! | [`attempt`] | what a failed attempt proves, and the final response that follows |
-//! | [`event_stream`] | the bytes of a stream that may be forwarded, and where it can continue |
+//! | [`regions`] | whether a request leaves its region |
+//! | [`scheduling`] | assignment of runners to schedulers, and the messages about placement |
+//! | [`scheduler`], [`reservations`] | a scheduler's decisions, and the capacity that it reserves |
+//! | [`quota`] | limits of tenants, and the messages that nodes exchange to enforce them |
+//! | [`quota_slots`], [`quota_share`] | the slots of a limit, their keepers and their shares |
+//! | [`quota_keeper`], [`quota_bucket`] | a keeper's decisions, and the token bucket of one slot |
+//! | [`quota_grants`], [`quota_retry`] | grants that can be refunded, and retries of refused runs |
+//! | [`quota_candidacy`], [`quota_term`] | election of a keeper's holder, and the holder's term |
+//! | [`quota_requester`], [`quota_outcome`] | a node's queries to keepers, and their outcome |
+//! | [`retry_budget`] | a bound on extra attempts that needs no communication between nodes |
+//! | [`attempt`] | what an attempt proves, and the final response that follows |
+//! | [`event_stream`] | the events of a stream that may be forwarded, and where it can continue |
+//! | [`crash_evidence`] | the requests that were in progress at a runner when it terminated |
+//! | [`quarantine`] | requests that crash runners repeatedly and are no longer sent to any |
+//! | [`authority`] | the lease under which one node at a time may issue orders |
+//! | [`role_planner`] | when runners change their roles |
+//! | [`capacity_planner`] | number, kind and location of a service's runners |
+//! | [`usage`], [`wall_clock`] | requests started per tenant and time window, and consistent time |
 
 pub mod attempt;
 pub mod authority;
--- a/crates/serving/src/limit_keeper.rs
+++ b/crates/serving/src/limit_keeper.rs
@@ -3,9 +3,10 @@
 //! In any 4 s, a runner with a limit of `L` requests per second may receive at most `6 L + 5`
 //! requests: one and a half times its limit, plus five. The requests are counted by a keeper, the
 //! node that schedules the runner's shard. Keepers are not elected: each node derives the order of
-//! the keepers from its own membership view, and a node that receives no reply from one keeper asks
-//! the next. Up to four nodes may therefore act as keepers of a shard at the same time, each with
-//! its own share. All shares together stay within the bound, whichever nodes ask whichever keepers:
+//! the keepers from its own membership view, and a node that receives no reply from one keeper
+//! queries the next. Up to four nodes may therefore act as keepers of a shard at the same time,
+//! each with its own share. All shares together stay within the bound, whichever nodes query
+//! whichever keepers:
 //!
 //! | | first | second | third | fourth | total |
 //! | --- | --- | --- | --- | --- | --- |
--- a/crates/serving/src/membership.rs
+++ b/crates/serving/src/membership.rs
@@ -15,10 +15,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Store readers of a zone: one may be lost or cut off without the zone's other nodes noticing.
+/// Number of store readers in a zone: one of them may be lost or cut off without the zone's other
+/// nodes noticing.
 const STORE_READERS_PER_ZONE: usize = 2;
-/// Store readers of a region where there are several: one of them, or its zone, may be lost or cut
-/// off without the region's other nodes noticing.
+/// Number of store readers in a region, where there are several regions: one of them, or its zone,
+/// may be lost or cut off without the region's other nodes noticing.
 const STORE_READERS_PER_REGION: usize = 2;
 
 /// What a node reports about itself.
@@ -44,7 +45,8 @@
 }
 
 impl Membership {
-    /// A view that holds only this node, and the regions of the zones.
+    /// Creates the view of a node that knows no other node yet. `topology` assigns zones to
+    /// regions.
     pub fn new(own: NodeId, member: Member, topology: Topology) -> Self {
         let members = BTreeMap::from([(own.clone(), member)]);
         Self { own, topology, members }
@@ -257,7 +259,8 @@
         candidates.into_iter().map(|(name, member)| (name, member.address)).collect()
     }
 
-    /// Distributes the nodes evenly over the targets that they choose from.
+    /// Weight of `place` for this node. Nodes that choose the target with the highest weight are
+    /// distributed evenly over the targets.
     fn spread_weight(&self, place: &str) -> u64 {
         rendezvous_weight(self.own.as_str(), place)
     }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -42,7 +42,7 @@
 /// The runner that is chosen for an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerChoice {
-    /// The chosen runner.
+    /// Incarnation of the chosen runner.
     pub runner: RunnerId,
     /// The demand of the attempt on the runner.
     pub demand: AttemptDemand,
@@ -313,7 +313,7 @@
         FETCH_COST_MS + moved_tokens as f64 * FETCH_COST_MS_PER_TOKEN * zone_factor
     }
 
-    /// Time that a runner takes to prefill so many tokens, without queueing.
+    /// Time that a runner takes to prefill `tokens` tokens without queueing, in milliseconds.
     fn prefill_duration_ms(&self, runner: &Runner, tokens: u64) -> f64 {
         self.speed.prefill_ms_at(runner, tokens as f64, self.demand.now_us)
     }
--- a/crates/serving/src/prefill_demand.rs
+++ b/crates/serving/src/prefill_demand.rs
@@ -1,6 +1,6 @@
 //! Rate at which prefill work is requested.
 
-/// Time in which the weight of a request falls to 1/e, microseconds. It covers some tens of
+/// Time in which the weight of a request falls to 1/e, in microseconds. It covers some tens of
 /// requests of a runner, and it is no longer than the time for which a pressure must last before
 /// roles change.
 const TIME_CONSTANT_US: f64 = 1_000_000.0;
--- a/crates/serving/src/prefill_speed.rs
+++ b/crates/serving/src/prefill_speed.rs
@@ -1,19 +1,19 @@
-//! Prefill speed of a service as measured.
+//! Measured prefill speed of a service.
 //!
 //! A prefill takes a fixed time and a time for each token. Both come from a least-squares line
 //! through the prefills that met no queue, with exponentially decaying weights. A prefill that was
-//! faster than the line predicts met no queue either, whatever was estimated. Until there are such
-//! samples, the line is a prior that a few samples outweigh.
+//! faster than the line predicts met no queue either, even if the runner was estimated to be busy.
+//! Until there are such samples, the line is a prior that a few samples outweigh.
 
 use crate::runner::Runner;
 use crate::runner_speed::{PrefillDuration, PrefillTiming};
 
-/// A completed prefill.
+/// A measurement of a completed prefill.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillSample {
     /// Number of prompt tokens that were not in the runner's cache.
     pub tokens: u64,
-    /// Time from sending the request to the end of the response, milliseconds.
+    /// Time from sending the request to the end of the response, in milliseconds.
     pub elapsed_ms: f64,
     /// Whether the runner was estimated to have no other prefill when the request was sent.
     pub was_unqueued: bool,
@@ -24,8 +24,8 @@
 pub struct PrefillSpeed {
     samples: LineFit,
     mean_tokens: f64,
-    /// Decaying sums of measured and of predicted prefill times, milliseconds. They differ because
-    /// the runners prefill more or fewer tokens than a node estimates.
+    /// Decaying sums of measured and of predicted prefill times, in milliseconds. They differ
+    /// because the runners prefill more or fewer tokens than a node estimates.
     actual_ms: f64,
     expected_ms: f64,
 }
@@ -48,7 +48,7 @@
     const MEAN_TOKENS_WEIGHT: f64 = 0.05;
     const MIN_MS_PER_TOKEN: f64 = 1e-6;
 
-    /// Records a completed prefill.
+    /// Records a completed prefill. Only a prefill that met no queue becomes a point of the line.
     pub fn on_prefilled(&mut self, sample: PrefillSample) {
         let tokens = sample.tokens as f64;
         self.mean_tokens += Self::MEAN_TOKENS_WEIGHT * (tokens - self.mean_tokens);
@@ -60,12 +60,12 @@
     }
 
     /// Mean prefill time of the service's runners for a number of tokens, without the fixed time,
-    /// milliseconds.
+    /// in milliseconds.
     pub fn prefill_ms(&self, tokens: f64) -> f64 {
         tokens * self.samples.slope().max(Self::MIN_MS_PER_TOKEN)
     }
 
-    /// Prefill time of one runner for a number of tokens, without the fixed time, milliseconds.
+    /// Prefill time of one runner for a number of tokens, without the fixed time, in milliseconds.
     pub fn prefill_ms_at(&self, runner: &Runner, tokens: f64, now_us: u64) -> f64 {
         self.prefill_ms(tokens) * runner.slowdown_factor(now_us)
     }
@@ -101,13 +101,13 @@
         }
     }
 
-    /// Fixed time of each prefill, milliseconds: the network round trip, and what the runner does
-    /// once per request.
+    /// Fixed time of each prefill, in milliseconds: the network round trip, and what the runner
+    /// does once per request.
     pub fn fixed_ms(&self) -> f64 {
         self.samples.intercept().max(0.0)
     }
 
-    /// Estimated time until a runner has prefilled all queued prompts, milliseconds.
+    /// Estimated time until a runner has prefilled all queued prompts, in milliseconds.
     pub fn backlog_ms(&self, runner: &Runner, now_us: u64) -> f64 {
         let reported = runner.peer_prefill_tokens(now_us) as f64;
         let estimated = runner.peer_requests(now_us) * self.mean_tokens;
--- a/crates/serving/src/prefix.rs
+++ b/crates/serving/src/prefix.rs
@@ -12,7 +12,7 @@
     pub tokens: u64,
 }
 
-/// A prompt as the router sees it: lengths and identities without text.
+/// A prompt as nodes know it: lengths and identities without text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// The parts in order. The last one belongs to the request or its session alone.
--- a/crates/serving/src/prefix_cache.rs
+++ b/crates/serving/src/prefix_cache.rs
@@ -1,4 +1,5 @@
-//! A model of a runner's KV cache, based on the prompts that nodes have seen prefilled there.
+//! A model of a runner's KV cache, based on the prompts that nodes have observed being prefilled
+//! there.
 //!
 //! The model may be wrong, because runners evict parts without notice. A part that is missing is
 //! prefilled again, which only costs time.
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -7,10 +7,10 @@
 //! it and however often. A request with [`CRASHES_TO_QUARANTINE`] crashes is quarantined: no node
 //! sends it to a runner again.
 //!
-//! Dozens of harmless requests are in progress at each crash. They are told apart by their outcome:
-//! a complete, successful response from a runner clears a request of all its crashes, since a
-//! request that crashes runners never gets one. An error response clears nothing, as a runner may
-//! fail a request that it has not executed.
+//! Dozens of harmless requests are in progress at each crash. Their outcome distinguishes them: a
+//! complete, successful response from a runner clears a request of all its crashes, since a request
+//! that crashes runners never gets one. An error response clears nothing, as a runner may fail a
+//! request that it has not executed.
 //!
 //! Crashes are kept in the store and outlive every node. Until a crash is written there, the node
 //! that observed it holds it as *unwritten*. Other nodes hold it as *reported*, in case that node
@@ -19,8 +19,8 @@
 //! then cost no write. Only one node removes a crash from the store: the node that cleared the
 //! request or, for expired crashes, the node with the authority.
 //!
-//! If the store is restored from an older copy, nothing is undone: lost crashes are written again,
-//! and crashes of cleared requests are ignored and removed again.
+//! If the store is restored from a backup, nothing is undone: lost crashes are written again, and
+//! crashes of cleared requests are ignored and removed again.
 
 use crate::ids::RunnerId;
 use crate::request_identity::RequestIdentity;
@@ -40,8 +40,8 @@
 /// per day; with four runners each and 64 requests in progress at each runner, that is an estimated
 /// 3,300 requests.
 pub const MAX_TRACKED_REQUESTS: usize = 4_096;
-/// Maximum number of remembered crashes of cleared requests, which an older copy of the store may
-/// bring back.
+/// Maximum number of remembered crashes of cleared requests, which a store restored from a backup
+/// may bring back.
 const MAX_CLEARED_CRASHES: usize = 4_096;
 /// Time after which a crash expires, in milliseconds: crashes must count for the rest of a day.
 pub const CRASH_TTL_MS: u64 = 24 * 60 * 60 * 1_000;
@@ -78,7 +78,7 @@
     /// A request is cleared: a runner completed it, or an operator lifted its quarantine.
     #[serde(rename = "cleared")]
     Cleared {
-        /// The cleared request.
+        /// Identity of the cleared request.
         #[serde(rename = "q")]
         request: RequestIdentity,
     },
@@ -106,9 +106,10 @@
 pub enum CrashChange {
     /// The crash was already known.
     None,
-    /// The crash is counted.
+    /// The crash was not known before and is now counted.
     Counted,
-    /// The crash is counted, and the request is now quarantined.
+    /// The crash was not known before. It is now counted, and the request is quarantined from now
+    /// on.
     Quarantined,
 }
 
@@ -117,7 +118,7 @@
 pub struct SuspectRequest {
     /// Identity of the request.
     pub identity: RequestIdentity,
-    /// Whether it is no longer sent to runners.
+    /// Whether the request is no longer sent to runners.
     pub quarantined: bool,
     /// Runners that crashed while it was in progress.
     pub runners: Vec<RunnerId>,
@@ -268,8 +269,8 @@
         }
     }
 
-    /// Handles a snapshot of a store that was restored from an older copy. Crashes that the store
-    /// has lost are written again from `due_us` on, unless another node does so first.
+    /// Handles a snapshot of a store that was restored from a backup. Crashes that the store has
+    /// lost are written again from `due_us` on, unless another node does so first.
     pub fn on_store_restored(&mut self, stored: &[(Crash, CrashRecord)], due_us: u64) {
         for crash in self.requests.values_mut().flat_map(BTreeMap::values_mut) {
             if crash.state == CrashState::Stored {
--- a/crates/serving/src/quota.rs
+++ b/crates/serving/src/quota.rs
@@ -25,7 +25,7 @@
 /// The limit on a tenant's runs, summed over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantLimit {
-    /// Sustained rate, units per second; greater than 0.
+    /// Sustained rate, in units per second; greater than 0.
     #[serde(rename = "r")]
     pub rate_per_s: u64,
     /// Units that may be used in a burst on top of the rate.
@@ -55,7 +55,7 @@
 /// How far the total of all nodes may exceed a tenant's limit in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
-    /// Length of the window, microseconds.
+    /// Length of the window, in microseconds.
     pub window_us: u64,
     /// Permitted excess as a share of what the limit allows in a window.
     pub overage: f64,
@@ -82,7 +82,7 @@
     /// The version of the configuration that `limit` was read from.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Cost of the run, units.
+    /// Cost of the run, in units.
     #[serde(rename = "c")]
     pub cost: u64,
     /// Priority of the request; 0 is the most urgent.
@@ -131,7 +131,7 @@
     /// The tenant has too few units available.
     #[serde(rename = "r")]
     Refused {
-        /// Time until there are units for a run of this cost, milliseconds.
+        /// Time until there are units for a run of this cost, in milliseconds.
         #[serde(rename = "w")]
         wait_ms: u64,
     },
@@ -143,13 +143,13 @@
 /// A keeper's reply to a [`QuotaQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReply {
-    /// The run that was queried.
+    /// Ticket of the query.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// The keeper that decided.
     #[serde(rename = "k")]
     pub keeper: KeeperId,
-    /// Its decision.
+    /// The decision of that keeper.
     #[serde(rename = "d")]
     pub verdict: QuotaVerdict,
     /// Units left in the keeper's bucket for the tenant, negative if it is in debt; for logs.
@@ -164,13 +164,13 @@
 /// refunds it only once if the message arrives twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRefund {
-    /// The run.
+    /// Ticket of the run, as in the query that was granted.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// The keeper that charged for it.
     #[serde(rename = "e")]
     pub keeper: KeeperId,
-    /// The tenant.
+    /// The tenant whose quota was charged.
     #[serde(rename = "t")]
     pub tenant: TenantName,
 }
--- a/crates/serving/src/quota_bucket.rs
+++ b/crates/serving/src/quota_bucket.rs
@@ -25,9 +25,9 @@
 /// The demand of one run, as far as a bucket needs it.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    /// Identifies the run.
+    /// Identifies the run, which is charged only once.
     pub ticket: Ticket,
-    /// Cost of the run, units.
+    /// Cost of the run, in units.
     pub cost: u64,
     /// Priority of the run; 0 is the most urgent.
     pub priority: u8,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The limit in force.
+    /// The tenant's limit in force at this holder.
     pub fn limit(&self) -> &TenantLimit {
         &self.limit
     }
@@ -167,9 +167,9 @@
         units
     }
 
-    /// Returns how long a refused run should wait before it retries, microseconds, and reserves the
-    /// level that it needs then. `available_units` is the sum available at all `slots` that were
-    /// queried.
+    /// Returns how long a refused run should wait before it retries, in microseconds, and reserves
+    /// the level that it needs then. `available_units` is the sum available at all `slots` that
+    /// were queried.
     pub fn schedule_retry(
         &mut self,
         demand: &Demand,
@@ -216,7 +216,7 @@
         refilled.min(self.share.burst).div_euclid(MICROS_PER_UNIT)
     }
 
-    /// Maximum debt, units.
+    /// Maximum debt, in units.
     pub fn debt_units(&self) -> u64 {
         to_units(self.share.debt)
     }
--- a/crates/serving/src/quota_candidacy.rs
+++ b/crates/serving/src/quota_candidacy.rs
@@ -12,15 +12,15 @@
 use crate::store_revision::StoreRevision;
 use std::net::SocketAddr;
 
-/// Time for which the key must be absent before the first candidate attempts to write it,
+/// Time for which the key must be absent before the first candidate attempts to write it, in
 /// microseconds. A replica of the store that has just been reloaded may lack the key for a moment.
 const FIRST_ATTEMPT_DELAY_US: u64 = 200_000;
-/// Additional delay for each further rank, microseconds. A write to the store and its notification
-/// take less than half of it.
+/// Additional delay for each further rank, in microseconds. A write to the store and its
+/// notification take less than half of it.
 const ATTEMPT_STAGGER_US: u64 = 300_000;
 /// Ranks beyond this one wait no longer than it.
 const MAX_DELAYED_RANK: u64 = 10;
-/// Minimum time between two attempts of the same candidate, microseconds.
+/// Minimum time between two attempts of the same candidate, in microseconds.
 const RETRY_INTERVAL_US: u64 = 1_000_000;
 
 /// The rank of node `own` among the candidates for a keeper; 0 is the first. Nodes in the keeper's
--- a/crates/serving/src/quota_grants.rs
+++ b/crates/serving/src/quota_grants.rs
@@ -10,7 +10,7 @@
 use crate::scheduling::Ticket;
 use std::collections::VecDeque;
 
-/// Time within which a grant can be refunded, microseconds. A prompt may wait for its prefill as
+/// Time within which a grant can be refunded, in microseconds. A prompt may wait for its prefill as
 /// long as its client waits, and a grant that has expired meanwhile is refunded after that.
 const REFUND_WINDOW_US: u64 = 8_000_000;
 /// Maximum number of grants to remember; the oldest are dropped first. A tenant with 50 runs per
--- a/crates/serving/src/quota_keeper.rs
+++ b/crates/serving/src/quota_keeper.rs
@@ -31,11 +31,11 @@
 /// The state of one tenant at a keeper, for operators. Amounts are in units.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantLevel {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: TenantName,
     /// Units left; negative if the bucket is in debt.
     pub level: i64,
-    /// Maximum debt.
+    /// Maximum debt, as a positive number.
     pub debt: u64,
     /// Units granted and not refunded since this holder created the tenant's bucket.
     pub granted: u64,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The keeper's identity.
+    /// Identity of the keeper, which stays the same when its holder changes.
     pub fn id(&self) -> &KeeperId {
         &self.id
     }
@@ -93,8 +93,8 @@
         self.term.renew(sent_at_us, ttl_us);
     }
 
-    /// Handles a query. `is_reachable` tells whether another keeper has a holder that this node is
-    /// in contact with.
+    /// Handles a query. `is_reachable` returns whether another keeper has a holder that this node
+    /// is in contact with.
     pub fn on_query(
         &mut self,
         query: &QuotaQuery,
--- a/crates/serving/src/quota_outcome.rs
+++ b/crates/serving/src/quota_outcome.rs
@@ -12,7 +12,7 @@
     ticket: Ticket,
     keepers: Vec<KeeperId>,
     tenant: TenantName,
-    /// Time before which the run must be sent, microseconds.
+    /// Time before which the run must be sent, in microseconds.
     pub expires_at_us: u64,
 }
 
@@ -50,7 +50,7 @@
     Granted(QuotaGrant),
     /// The tenant has reached its limit.
     Refused {
-        /// Time until there are units for a run of this cost, milliseconds.
+        /// Time until there are units for a run of this cost, in milliseconds.
         wait_ms: u64,
         /// The keeper that refused.
         keeper: KeeperId,
--- a/crates/serving/src/quota_requester.rs
+++ b/crates/serving/src/quota_requester.rs
@@ -15,21 +15,21 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Time to wait for a keeper in the node's own region, microseconds: about ten times what a reply
-/// takes, even if the query is forwarded twice.
+/// Time to wait for a keeper in the node's own region, in microseconds: about ten times what a
+/// reply takes, even if the query is forwarded twice.
 const REPLY_TIMEOUT_US: u64 = 30_000;
-/// Time to wait for a keeper in a remote region, microseconds: two round trips with 30 ms each way,
-/// and some margin.
+/// Time to wait for a keeper in a remote region, in microseconds: two round trips with 30 ms each
+/// way, and some margin.
 const CROSS_REGION_REPLY_TIMEOUT_US: u64 = 130_000;
-/// Time for which a keeper that has not replied in time is queried last, microseconds. A lost
+/// Time for which a keeper that has not replied in time is queried last, in microseconds. A lost
 /// datagram thus has little effect, and only few requests wait for a keeper that is gone.
 const UNRESPONSIVE_FOR_US: u64 = 1_000_000;
 /// Time after the first query at which no further keeper is queried and the quota counts as
-/// unreachable, microseconds. A grant that arrives at the end still has time to be used.
+/// unreachable, in microseconds. A grant that arrives at the end still has time to be used.
 const QUERY_DEADLINE_US: u64 = 400_000;
 /// Maximum number of queries for one run: twice each of the three keepers of a tenant.
 const MAX_QUERIES: usize = 6;
-/// Time for which a settled run is remembered to recognize late replies, microseconds.
+/// Time for which a settled run is remembered to recognize late replies, in microseconds.
 const SETTLED_RUN_TTL_US: u64 = 3_000_000;
 /// Maximum number of settled runs to remember: far more than a node settles within
 /// [`SETTLED_RUN_TTL_US`].
@@ -42,7 +42,7 @@
     pub ticket: Ticket,
     /// The tenant whose quota is charged.
     pub tenant: TenantName,
-    /// The tenant's limit.
+    /// The tenant's limit as known to this node.
     pub limit: TenantLimit,
     /// The version of the configuration that `limit` was read from.
     pub version: u64,
@@ -56,7 +56,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum RequesterAction {
     /// Send the query to the holder of the keeper that it names, and call
-    /// [`QuotaRequester::on_reply_timeout`] if no reply arrives within the given time,
+    /// [`QuotaRequester::on_reply_timeout`] if no reply arrives within the given time, in
     /// microseconds.
     Query(QuotaQuery, u64),
     /// The run is settled. Send each refund, for charges that were not used, to the holder of the
@@ -74,7 +74,7 @@
     first_queried_at_us: u64,
     /// Keepers that were queried, in order.
     tried: Vec<KeeperId>,
-    /// Keepers that replied that they are not held by the node queried.
+    /// Keepers for which the queried node replied that it does not hold them.
     not_keepers: Vec<KeeperId>,
     /// Keepers that made partial charges for a query that was not granted.
     unused_charges: Vec<KeeperId>,
@@ -94,7 +94,7 @@
     bounds: QuotaBounds,
     topology: Topology,
     reply_to: SocketAddr,
-    /// Time until which each unresponsive keeper is queried last, microseconds.
+    /// Time until which each unresponsive keeper is queried last, in microseconds.
     unresponsive_until_us: BTreeMap<KeeperId, u64>,
     pending: HashMap<Ticket, PendingRun>,
     settled: HashMap<Ticket, SettledRun>,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Starts to query keepers for a run. `is_reachable` tells whether a keeper has a holder that
+    /// Starts to query keepers for a run. `is_reachable` returns whether a keeper has a holder that
     /// this node is in contact with.
     pub fn start(
         &mut self,
@@ -142,7 +142,7 @@
         self.query_next(ticket, is_reachable, now_us)
     }
 
-    /// Handles that `keeper` has not replied in time. Ignored unless it was the last one queried
+    /// Records that `keeper` has not replied in time. Ignored unless it was the last one queried
     /// for the run.
     pub fn on_reply_timeout(
         &mut self,
--- a/crates/serving/src/quota_retry.rs
+++ b/crates/serving/src/quota_retry.rs
@@ -7,20 +7,20 @@
 
 use crate::scheduling::Ticket;
 
-/// Time for which a reservation is kept after it is due, microseconds. Clients are told to retry
+/// Time for which a reservation is kept after it is due, in microseconds. Clients are told to retry
 /// after whole seconds.
 const RESERVATION_GRACE_US: u64 = 1_200_000;
 /// Small runs may use up to `cost / SMALL_REQUEST_SHARE_DIVISOR` of a reserved run's cost before
 /// it.
 const SMALL_REQUEST_SHARE_DIVISOR: i64 = 2;
-/// Upper bound of the wait that is returned, microseconds: about the time within which clients
+/// Upper bound of the wait that is returned, in microseconds: about the time within which clients
 /// expect a response.
 const MAX_WAIT_US: u64 = 4_000_000;
 
 /// The retries scheduled at one bucket. Amounts are in millionths of a unit.
 #[derive(Clone, Debug, Default)]
 pub struct RetrySchedule {
-    /// Time at which all scheduled retries are served, microseconds.
+    /// Time at which all scheduled retries are served, in microseconds.
     end_us: u64,
     reservation: Option<Reservation>,
 }
--- a/crates/serving/src/quota_share.rs
+++ b/crates/serving/src/quota_share.rs
@@ -14,7 +14,7 @@
 
 use crate::quota::{QuotaBounds, QuotaUnit, TenantLimit};
 
-/// Time after the first query within which a grant is used or refunded, microseconds.
+/// Time after the first query within which a grant is used or refunded, in microseconds.
 pub const GRANT_TTL_US: u64 = 500_000;
 /// Tokens of a large request; each slot must fit one. This is twice a mean long prompt. Larger
 /// requests are charged in parts.
@@ -28,7 +28,7 @@
 const MAX_UNITS: u64 = 1_000_000_000_000;
 /// Upper bound of the overage used in calculations, the maximum that the settings accept.
 const MAX_OVERAGE: f64 = 10.0;
-/// Upper bound of the window used in calculations, microseconds: one day.
+/// Upper bound of the window used in calculations, in microseconds: one day.
 const MAX_WINDOW_US: u64 = 86_400 * 1_000_000;
 
 /// What one slot may spend. Amounts are in millionths of a unit unless stated otherwise.
@@ -42,7 +42,7 @@
     pub burst: i64,
     /// Maximum debt of the slot's bucket.
     pub debt: i64,
-    /// Length of the window, microseconds.
+    /// Length of the window, in microseconds.
     pub window_us: u64,
 }
 
@@ -80,7 +80,7 @@
         saturating_i64(refill / i128::from(self.slots))
     }
 
-    /// Time in which the slot refills by `micros` millionths, microseconds, rounded up.
+    /// Time in which the slot refills by `micros` millionths, in microseconds, rounded up.
     pub fn refill_time_us(&self, micros: i64) -> u64 {
         let refill = i128::from(self.total_refill_per_s.max(1));
         let needed = i128::from(micros.max(0)) * i128::from(self.slots) * MICROS_PER_SECOND;
--- a/crates/serving/src/quota_slots.rs
+++ b/crates/serving/src/quota_slots.rs
@@ -22,7 +22,7 @@
 /// Identifies one of the keepers of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeeperId {
-    /// The zone.
+    /// Zone to which the keeper belongs.
     #[serde(rename = "z")]
     pub zone: ZoneId,
     /// Number within the zone, less than [`KEEPERS_PER_ZONE`].
--- a/crates/serving/src/quota_term.rs
+++ b/crates/serving/src/quota_term.rs
@@ -36,7 +36,7 @@
         self.valid_until_us = self.valid_until_us.max(valid_until(sent_at_us, ttl_us));
     }
 
-    /// Start of the term, microseconds. The buckets refill from then on.
+    /// Start of the term, in microseconds. The buckets refill from then on.
     pub fn started_at_us(&self) -> u64 {
         self.started_at_us
     }
@@ -46,7 +46,7 @@
         now_us < self.valid_until_us
     }
 
-    /// Time for which the node may still grant runs, microseconds.
+    /// Time for which the node may still grant runs, in microseconds.
     pub fn remaining_us(&self, now_us: u64) -> u64 {
         self.valid_until_us.saturating_sub(now_us)
     }
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -35,7 +35,7 @@
 /// The load of the runners of a service in a region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Name of the service.
     #[serde(rename = "s")]
     pub service: ServiceName,
     /// Number of prefill runners that take work.
@@ -67,7 +67,7 @@
         Self { runner: runner.clone(), parts }
     }
 
-    /// The announced parts.
+    /// The announced parts, in their order in the prompt.
     pub fn parts(&self) -> Vec<PromptPart> {
         self.parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens }).collect()
     }
--- a/crates/serving/src/request.rs
+++ b/crates/serving/src/request.rs
@@ -53,7 +53,7 @@
     pub runner: RunnerId,
     /// Rank of the attempt at the runner, 0 first; `None` sends no rank.
     pub priority: Option<u8>,
-    /// The work to do.
+    /// What the runner does with the request.
     pub work: Work,
     /// The stream resumes after this event; `None` starts it from the beginning.
     pub after_event: Option<u64>,
@@ -83,7 +83,7 @@
     pub instance: Option<RunnerName>,
     /// Further notices of the runner about itself.
     pub notice: RunnerNotice,
-    /// Names of headers with statements of the runner that this version does not know.
+    /// Names of the runner's headers that this version does not recognize.
     pub unknown_headers: Vec<String>,
 }
 
--- a/crates/serving/src/reservations.rs
+++ b/crates/serving/src/reservations.rs
@@ -1,6 +1,6 @@
 //! Capacity that a scheduler has reserved at its runners for requests of other nodes.
 //!
-//! The scheduler makes a reservation when it answers a placement query and ends it when the
+//! The scheduler makes a reservation when it replies to a placement query and ends it when the
 //! requesting node reports the end of the request. Such messages may be lost, duplicated or late,
 //! and nodes may crash. Each reservation therefore expires a little after the request's deadline,
 //! and a message about an unknown reservation has no effect.
@@ -12,14 +12,15 @@
 use crate::scheduling::Ticket;
 use std::collections::HashMap;
 
-/// Time for which a reservation is kept after the request's deadline, microseconds. The request's
-/// work at the runner ends with the deadline, and the message about it is still under way.
+/// Time for which a reservation is kept after the request's deadline, in microseconds. The
+/// request's work at the runner ends with the deadline, and the message about it is still under
+/// way.
 const EXPIRY_GRACE_US: u64 = 250_000;
 
 /// Capacity reserved at one runner for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerReservation {
-    /// The runner.
+    /// Incarnation of the runner.
     pub runner: RunnerId,
     /// Resources that the request needs at the runner.
     pub demand: AttemptDemand,
@@ -34,11 +35,11 @@
     pub prefill: RunnerReservation,
     /// Reservation at the decode runner; `None` if the same runner prefills and decodes.
     pub decode: Option<RunnerReservation>,
-    /// Shared prefixes of the prompt.
+    /// Parts of the shared prefix of the prompt, in order.
     pub shared_prefix: Vec<PromptPart>,
     /// Whether the prefill runner was estimated to have no other prefill.
     pub was_unqueued: bool,
-    /// Deadline of the request, microseconds.
+    /// Deadline of the request, in microseconds.
     pub deadline_us: u64,
     /// Whether the prompt has been prefilled.
     pub is_prefilled: bool,
--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -43,12 +43,12 @@
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
     policy: RetryPolicy,
-    /// Extra attempts that are available now.
+    /// Extra attempts that are available now, with fractions.
     saved: f64,
 }
 
 impl SharedRetryBudget {
-    /// Creates an empty budget.
+    /// Creates a budget without any tokens.
     pub fn new(policy: RetryPolicy) -> Self {
         Self { policy, saved: 0.0 }
     }
@@ -91,12 +91,12 @@
 /// How an arrival of a request at a runner is charged to the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalCost {
-    /// Not an extra attempt.
+    /// The arrival is not an extra attempt and costs nothing.
     Free,
-    /// An extra attempt unless the runner accepts it: it is charged before it is sent, and refunded
-    /// if it was accepted.
+    /// The arrival is an extra attempt unless the runner accepts it: it is charged before it is
+    /// sent, and refunded if it was accepted.
     Deposit,
-    /// An extra attempt.
+    /// The arrival is an extra attempt, which is charged and not refunded.
     Extra,
 }
 
--- a/crates/serving/src/role_planner.rs
+++ b/crates/serving/src/role_planner.rs
@@ -33,7 +33,8 @@
     /// Upper bound of simultaneous role changes due to queueing time, as a share of the service's
     /// runners.
     pub max_change_share: f64,
-    /// The same bound if the number of missing prefill runners is measured.
+    /// Upper bound of simultaneous role changes, as a share of the service's runners, if the number
+    /// of missing prefill runners is measured.
     pub max_measured_change_share: f64,
     /// Target utilization of prefill runners by the requested work. Prefill is a queue with
     /// deadlines: at 0.7 the mean wait is about two prefills.
@@ -41,9 +42,9 @@
     /// Share of all runners: if more prefill runners than this are lost since the last order
     /// without an order, they are replaced at once.
     pub lost_prefill_share: f64,
-    /// Time for which a pressure must last before roles change, microseconds.
+    /// Time for which a pressure must last before roles change, in microseconds.
     pub min_pressure_us: u64,
-    /// Time after an order in which no further change is ordered, microseconds.
+    /// Time after an order in which no further change is ordered, in microseconds.
     pub change_pause_us: u64,
 }
 
@@ -115,7 +116,7 @@
 /// Order for a runner to change its role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleChange {
-    /// The runner.
+    /// Incarnation of the runner.
     pub runner: RunnerId,
     /// New role of the runner.
     pub stage: Stage,
@@ -129,7 +130,7 @@
 #[derive(Clone, Debug)]
 pub struct RolePlanner {
     policy: RolePolicy,
-    /// The role that is short of runners, and since when, microseconds.
+    /// The role that is short of runners, and since when, in microseconds.
     pressure: Option<(Stage, u64)>,
     paused_until_us: u64,
     /// Largest share of prefill runners, pending ones included, since the last order.
@@ -228,9 +229,10 @@
     })
 }
 
-/// Rounded down, since in a small fleet prefill needs the odd runner more. At least two runners
-/// decode in a fleet of five or more: streams that two runners handle with ease overload one,
-/// because each stream is slower there and so more of them run at a time.
+/// Minimum number of decode runners. The share is rounded down, since in a small fleet prefill
+/// needs the odd runner more. At least two runners decode in a fleet of five or more: streams that
+/// two runners handle with ease overload one, because each stream is slower there and so more of
+/// them run at a time.
 fn min_decode_runners(view: &RoleView<'_>, policy: &RolePolicy) -> usize {
     const MIN_RUNNERS_FOR_TWO_DECODE: f64 = 5.0;
     let min: f64 = if view.runner_count() >= MIN_RUNNERS_FOR_TWO_DECODE { 2.0 } else { 1.0 };
--- a/crates/serving/src/role_view.rs
+++ b/crates/serving/src/role_view.rs
@@ -10,11 +10,11 @@
 /// Service whose roles are planned, and its targets.
 #[derive(Clone, Copy, Debug)]
 pub struct RoleDemand<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a ServiceName,
     /// Specification of the service's runners.
     pub engine: &'a EngineSpec,
-    /// Shortest latency target of the service, milliseconds.
+    /// Shortest latency target of the service, in milliseconds.
     pub target_ms: f64,
     /// Region whose runners are considered; `None` for all regions.
     pub region: Option<&'a RegionId>,
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -50,8 +50,8 @@
     pub draining: bool,
     /// Whether the platform may preempt the runner at short notice.
     pub preemptible: bool,
-    /// Milliseconds from the change of the entry until the runner is taken away; `None` if no end
-    /// is announced.
+    /// Time from the change of the entry until the runner leaves, in milliseconds; `None` if no
+    /// time is announced.
     pub leaves_ms: Option<u64>,
     /// Role of the runner; `None` if it does not run a language model.
     pub stage: Option<Stage>,
@@ -86,12 +86,13 @@
     }
 }
 
-/// Time for which a runner's load report counts, microseconds. Its weight falls linearly to 0 over
-/// this time.
+/// Time for which a runner's load report counts, in microseconds. Its weight falls linearly to 0
+/// over this time.
 const LOAD_REPORT_TTL_US: u64 = 1_500_000;
-/// Time for which a scheduler's report of memory in use and of prefill demand counts, microseconds.
+/// Time for which a scheduler's report of memory in use and of prefill demand counts, in
+/// microseconds.
 const PEER_LOAD_TTL_US: u64 = 2_500_000;
-/// Time after which the queued work that a scheduler reported is taken to be finished,
+/// Time after which the queued work that a scheduler reported is taken to be finished, in
 /// microseconds: a base, and an addition for each prompt token that was still to be prefilled.
 const PEER_LOAD_FADE_BASE_US: u64 = 700_000;
 const PEER_LOAD_FADE_US_PER_TOKEN: u64 = 30;
@@ -128,10 +129,10 @@
     pub(crate) availability: Availability,
     pub(crate) full_until_us: u64,
     /// Role that the runner was ordered to take, and the time until which the order counts as
-    /// pending, microseconds.
+    /// pending, in microseconds.
     pub(crate) role_transition: Option<(Stage, u64)>,
-    /// Whether the address answered as another runner, or in another role, than this entry says. A
-    /// newer entry resets it.
+    /// Whether another runner, or a runner in another role than this entry states, responded at the
+    /// address. A newer entry resets it.
     pub(crate) misdirected: bool,
     /// Set when the entry is gone from the registry but may only have lapsed.
     pub(crate) lapsed: Option<Lapsed>,
@@ -143,7 +144,7 @@
 /// alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Lapsed {
-    /// Time at which the runner is removed if its entry has not come back, microseconds.
+    /// Time at which the runner is removed if its entry has not come back, in microseconds.
     pub(crate) until_us: u64,
     /// Revision of the store at which the entry was found missing.
     pub(crate) revision: StoreRevision,
@@ -200,7 +201,7 @@
     }
 
     /// Time until which this node may not send requests to the runner because of a requested rest
-    /// or a limit, microseconds; `None` if it may send now.
+    /// or a limit, in microseconds; `None` if it may send now.
     pub fn withheld_until_us(&self, now_us: u64) -> Option<u64> {
         let rests_until_us = self.availability.rests_until_us(now_us);
         rests_until_us.max(self.availability.limit.throttled_until_us(now_us))
@@ -329,7 +330,7 @@
         self.prefill_tokens == 0 && self.occupancy(now_us) < 1.0
     }
 
-    /// Tokens of a prompt's shared prefixes that this node estimates to be in the runner's KV
+    /// Tokens of a prompt's shared prefix that this node estimates to be in the runner's KV
     /// cache.
     pub fn cached_tokens(&self, prompt: &Prompt) -> u64 {
         self.cache.cached_tokens(prompt.shared_prefix())
--- a/crates/serving/src/runner_limit.rs
+++ b/crates/serving/src/runner_limit.rs
@@ -2,7 +2,7 @@
 //! nodes exchange it.
 //!
 //! A node applies the limit in a response as soon as the response head has arrived. From then on it
-//! asks the keeper of the runner's limit before each request that it sends there
+//! queries the keeper of the runner's limit before each request that it sends there
 //! ([`crate::limit_keeper`]).
 
 use crate::ids::RunnerId;
@@ -79,8 +79,8 @@
         self.throttled_until_us = now_us.saturating_add(wait_us);
     }
 
-    /// Time until which no request may be sent, in microseconds; `None` if one may be asked for
-    /// now.
+    /// Time until which no request may be sent, in microseconds; `None` if the keeper may be
+    /// queried now.
     pub fn throttled_until_us(&self, now_us: u64) -> Option<u64> {
         (self.rate.is_some() && now_us < self.throttled_until_us).then_some(self.throttled_until_us)
     }
@@ -111,7 +111,7 @@
     pub age_us: u64,
 }
 
-/// Asks the keeper whether the sender may send one request to a runner with a limit.
+/// Asks a keeper whether the sender may send one request to a runner with a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitQuery {
     /// Identifies the query at the sender.
@@ -131,7 +131,7 @@
     /// The keeper's share of the limit is used up.
     #[serde(rename = "r")]
     Refused {
-        /// Time until a request may be asked for again, in microseconds.
+        /// Time until the keeper may be queried again, in microseconds.
         #[serde(rename = "w")]
         wait_us: u64,
     },
@@ -153,7 +153,7 @@
     /// The ticket of the query.
     #[serde(rename = "i")]
     pub ticket: Ticket,
-    /// The decision.
+    /// The decision of the keeper.
     #[serde(rename = "v")]
     pub verdict: LimitVerdict,
 }
--- a/crates/serving/src/runner_notice.rs
+++ b/crates/serving/src/runner_notice.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Upper bound of a requested rest, microseconds. It bounds the cost of one wrong notice: when the
-/// rest ends, one request tries the runner.
+/// Upper bound of a requested rest, in microseconds. It bounds the cost of one wrong notice: when
+/// the rest ends, one request tries the runner.
 pub const MAX_REST_US: u64 = 600_000_000;
 
 /// A rate of requests, in millionths of a request per second.
@@ -36,13 +36,13 @@
     }
 }
 
-/// What the head of one response says about the runner that sent it, whatever the outcome of the
+/// What the head of one response states about the runner that sent it, whatever the outcome of the
 /// request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunnerNotice {
     /// Whether the runner is about to leave.
     pub leaving: bool,
-    /// Time for which the runner requests that this node send it nothing, microseconds; 0 if it
+    /// Time for which the runner requests that this node send it nothing, in microseconds; 0 if it
     /// requests no rest.
     pub rest_us: u64,
     /// Rate of requests that the runner accepts from all nodes together; `None` if it names no
@@ -64,8 +64,8 @@
 pub struct AvailabilityChange {
     /// Whether the runner announced for the first time that it leaves.
     pub leaving: bool,
-    /// Length of the rest that begins with the notice, microseconds; `None` if none was requested
-    /// or the runner was already resting.
+    /// Length of the rest that begins with the notice, in microseconds; `None` if none was
+    /// requested or the runner was already resting.
     pub rest_us: Option<u64>,
 }
 
@@ -84,7 +84,7 @@
 }
 
 impl Availability {
-    /// Applies the notice of a response.
+    /// Applies the notice of a response and returns what it changed.
     pub fn on_notice(&mut self, notice: RunnerNotice, now_us: u64) -> AvailabilityChange {
         let starts_leaving = notice.leaving && !self.leaving;
         self.leaving |= notice.leaving;
@@ -125,7 +125,7 @@
         now_us < self.rest_until_us
     }
 
-    /// End of the rest, microseconds; `None` if the runner does not rest.
+    /// End of the rest, in microseconds; `None` if the runner does not rest.
     pub fn rests_until_us(&self, now_us: u64) -> Option<u64> {
         self.is_resting(now_us).then_some(self.rest_until_us)
     }
--- a/crates/serving/src/runner_speed.rs
+++ b/crates/serving/src/runner_speed.rs
@@ -16,11 +16,11 @@
 /// Timing of a prefill that a runner has completed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillTiming {
-    /// Mean prefill time of the service's runners for these tokens, milliseconds.
+    /// Mean prefill time of the service's runners for these tokens, in milliseconds.
     pub expected_ms: f64,
-    /// Fixed overhead of each prefill, mostly network time, milliseconds.
+    /// Fixed overhead of each prefill, mostly network time, in milliseconds.
     pub fixed_ms: f64,
-    /// Time from sending the request to the end of the response, milliseconds.
+    /// Time from sending the request to the end of the response, in milliseconds.
     pub elapsed_ms: f64,
     /// Whether the runner was estimated to have no other prefill when the request was sent.
     pub was_unqueued: bool,
@@ -33,18 +33,18 @@
 pub struct RunnerSpeed {
     /// Latest samples, the oldest first.
     samples: VecDeque<PrefillDuration>,
-    /// Time at which the latest sample was added, microseconds.
+    /// Time at which the latest sample was added, in microseconds.
     last_sample_us: u64,
-    /// Time at which the latest observed prefill ended, microseconds.
+    /// Time at which the latest observed prefill ended, in microseconds.
     last_completion_us: Option<u64>,
 }
 
 /// Duration of a prefill, and the duration that the service's mean speed predicts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillDuration {
-    /// Measured duration, milliseconds.
+    /// Measured duration, in milliseconds.
     pub actual_ms: f32,
-    /// Predicted duration, milliseconds.
+    /// Predicted duration, in milliseconds.
     pub expected_ms: f32,
 }
 
@@ -68,7 +68,7 @@
 /// Longest predicted duration that is measured. A prediction of more than an hour is not plausible.
 const MAX_EXPECTED_MS: f64 = 3_600_000.0;
 /// Half-life of a detected slowness without new samples. Faults last for some seconds, and a runner
-/// that gets no work would otherwise never be seen to recover.
+/// that gets no work would otherwise never be found to have recovered.
 const SLOWNESS_HALF_LIFE_US: f64 = 1_000_000.0;
 /// Remaining share of a slowness below which a new sample discards the earlier ones.
 const MIN_SLOWNESS_SHARE: f64 = 0.25;
@@ -124,7 +124,7 @@
         (-age_us / SLOWNESS_HALF_LIFE_US).exp2()
     }
 
-    /// Time that the runner spent on a prefill, milliseconds; `None` if queueing time cannot be
+    /// Time that the runner spent on a prefill, in milliseconds; `None` if queueing time cannot be
     /// separated.
     fn actual_ms(&self, timing: &PrefillTiming, now_us: u64) -> Option<f64> {
         let without_overhead_ms = timing.elapsed_ms - timing.fixed_ms;
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -1,5 +1,5 @@
 //! The decisions of a scheduler: which runners prefill and decode a request, what is reserved for
-//! it, and whether the scheduler of another shard should be asked instead.
+//! it, and whether the scheduler of another shard should be queried instead.
 
 use crate::fleet::{Eligible, Fleet, Scope};
 use crate::ids::{RegionId, ZoneId};
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -2,11 +2,12 @@
 //! services that run language models.
 //!
 //! The runners of a service are split into shards, first by region, and each shard has a scheduler:
-//! the node of the region that all nodes select by rendezvous hashing, strong
-//! machines first. A node that receives a request asks the scheduler of the shard in its own region that
-//! contains the home of the prompt's shared prefix. The scheduler sees all requests to its runners,
-//! so its information on their load and caches is as old as one datagram, and its traffic grows
-//! with the number of requests, not with the square of the number of nodes.
+//! the node of the region with the largest share of a processor. Rendezvous hashing decides among
+//! equal nodes, so all nodes select the same one. A node that receives a request queries the
+//! scheduler of the shard in its own region that contains the home of the prompt's shared prefix.
+//! The scheduler receives the queries for all requests to its runners, so its information on their
+//! load and caches is as old as one datagram, and its traffic grows with the number of requests,
+//! not with the square of the number of nodes.
 //!
 //! All of this only ranks runners. Two schedulers for a shard, or none, lead to worse choices but
 //! not to failures: a node that gets no reply in time chooses from its own information.
@@ -156,13 +157,13 @@
 /// The wire format of a [`RunnerChoice`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireChoice {
-    /// The chosen runner.
+    /// Incarnation of the chosen runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
-    /// Prompt tokens to prefill.
+    /// Prompt tokens to prefill that are not overdue.
     #[serde(rename = "u")]
     pub prefill_tokens: u64,
-    /// Prompt tokens to prefill after all work that can still meet its target.
+    /// Overdue prompt tokens, which are prefilled after all work that can still be in time.
     #[serde(rename = "l")]
     pub overdue_tokens: u64,
     /// KV cache that the request takes, in tokens.
@@ -247,7 +248,7 @@
 /// Redirects a requesting node to the scheduler of another region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RemoteRegion {
-    /// The region whose scheduler should be asked.
+    /// The region whose scheduler should be queried.
     #[serde(rename = "r")]
     pub region: RegionId,
     /// Why the request should leave its own region.
@@ -258,13 +259,14 @@
 /// A scheduler's reply to a [`PlacementQuery`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlacementReply {
-    /// The request that was placed.
+    /// Ticket of the query.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// The assigned runners; `None` if no runner takes work.
     #[serde(rename = "p")]
     pub plan: Option<WirePlan>,
-    /// The region to ask instead; nothing has been reserved here in that case.
+    /// The region whose scheduler should be queried instead, in which case nothing has been
+    /// reserved here; `None` if the request stays.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub remote_region: Option<RemoteRegion>,
 }
@@ -289,7 +291,7 @@
 /// Reports the progress of a request to the scheduler that placed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressMessage {
-    /// The request.
+    /// Ticket of the request.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// What happened to the request.
@@ -304,7 +306,7 @@
 /// A scheduler's information on the load of one of its runners.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerLoad {
-    /// The runner.
+    /// Incarnation of the runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
     /// Number of requests in flight.
@@ -314,10 +316,10 @@
     /// that prefills it for this one.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub pending_prefills: u32,
-    /// Prompt tokens to prefill.
+    /// Prompt tokens to prefill that are not overdue.
     #[serde(rename = "t")]
     pub prefill_tokens: u64,
-    /// Prompt tokens to prefill after all work that can still meet its target.
+    /// Overdue prompt tokens, which are prefilled after all work that can still be in time.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
     pub overdue_tokens: u64,
     /// KV cache that the requests take, in tokens.
--- a/crates/serving/src/store_replica.rs
+++ b/crates/serving/src/store_replica.rs
@@ -10,19 +10,19 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Tombstones that a replica keeps for each subject; beyond this it drops all of them.
+/// Maximum number of tombstones in a replica; a replica that exceeds it drops all of them.
 const MAX_TOMBSTONES: usize = 512;
 
-/// A range of the store's entries that nodes follow on its own.
+/// A range of the store's entries that is replicated separately from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subject {
-    /// The operators' configuration.
+    /// The configuration that the operators have put in force.
     #[serde(rename = "c")]
     Configuration,
-    /// The runners' entries.
+    /// The runners' registry entries.
     #[serde(rename = "r")]
     Runners,
-    /// Requests under which runners have crashed.
+    /// The requests during which runners have crashed.
     #[serde(rename = "q")]
     Crashes,
 }
@@ -202,7 +202,7 @@
         }
     }
 
-    /// The replica of a subject, for changes.
+    /// Mutable access to the replica of a subject.
     pub fn get_mut(&mut self, subject: Subject) -> &mut StoreReplica {
         match subject {
             Subject::Configuration => &mut self.configuration,
@@ -215,7 +215,7 @@
 /// One node's query for an update of its replica from another node's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUpdateQuery {
-    /// The subject to update.
+    /// The subject of the replica to update.
     pub subject: Subject,
     /// Revision up to which the querying node knows every change; `None`: it knows nothing.
     after: Option<RevisionNumber>,
--- a/crates/serving/src/suspicion.rs
+++ b/crates/serving/src/suspicion.rs
@@ -24,21 +24,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Suspicion {
     avoided_until_us: u64,
-    /// 0: not suspected.
+    /// Length of the latest avoidance, in microseconds; 0 if the runner is not suspected.
     backoff_us: u64,
     progress_at_us: u64,
     is_probing: bool,
 }
 
 impl Suspicion {
-    /// The runner has sent something.
+    /// Records that the runner has sent something.
     pub fn on_progress(&mut self, now_us: u64) {
         self.progress_at_us = now_us;
         self.avoided_until_us = 0;
         self.backoff_us = 0;
     }
 
-    /// A connection could not be opened.
+    /// Records that a connection could not be opened.
     pub fn on_unreachable(&mut self, now_us: u64) {
         if now_us >= self.avoided_until_us {
             self.backoff_us = (self.backoff_us * 2).clamp(MIN_BACKOFF_US, MAX_BACKOFF_US);
@@ -46,8 +46,8 @@
         }
     }
 
-    /// An attempt that was sent at `sent_at_us` has timed out without any response. A runner that
-    /// has since responded to another request is busy, or lost only this request.
+    /// Records that an attempt, sent at `sent_at_us`, has timed out without any response. A runner
+    /// that has since responded to another request is busy, or lost only this request.
     pub fn on_attempt_timeout(&mut self, sent_at_us: u64, now_us: u64) {
         let is_long = now_us >= sent_at_us + MIN_SILENCE_US;
         if is_long && self.progress_at_us < sent_at_us {
@@ -55,16 +55,16 @@
         }
     }
 
-    /// A request has received nothing since `since_us`, or its connection broke then. Returns
-    /// whether the caller must probe the runner by opening a connection, and report the result to
-    /// [`Self::on_probe_result`]. Only one probe is under way at a time.
+    /// Records that a request has received nothing since `since_us`, or that its connection broke
+    /// then. Returns whether the caller must probe the runner by opening a connection, and report
+    /// the result to [`Self::on_probe_result`]. Only one probe is under way at a time.
     pub fn begin_probe(&mut self, since_us: u64) -> bool {
         let is_settled = self.progress_at_us > since_us || self.is_suspected();
         !is_settled && !std::mem::replace(&mut self.is_probing, true)
     }
 
-    /// Result of a probe: whether a connection could be opened. `None`: the probe took so long that
-    /// the node itself must have been suspended.
+    /// Records the result of a probe: whether a connection could be opened, or `None` if the probe
+    /// took so long that the node itself must have been suspended.
     pub fn on_probe_result(&mut self, reachable: Option<bool>, now_us: u64) {
         self.is_probing = false;
         match reachable {
--- a/crates/serving/src/urgency.rs
+++ b/crates/serving/src/urgency.rs
@@ -4,7 +4,7 @@
 //! them wait for longer than their target, and none is in time although the runner is never idle. A
 //! prompt that the queue would make overdue is therefore deferred behind all prompts that can still
 //! be in time, and is prefilled after them. A prompt that is too long to be in time even at an idle
-//! runner keeps its place, since it is not the queue that makes it late.
+//! runner keeps its place, since it is not the queue that makes it overdue.
 
 use crate::placement::{PrefillPlan, RunnerChoice};
 
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -8,7 +8,7 @@
 //!
 //! The counts of a window are final once they are finalized. They are kept in the store and in the
 //! memory of the nodes that finalized them, which report them to a new collector: the store may be
-//! restored from an older copy without them.
+//! restored from a backup without them.
 
 use crate::ids::{NodeId, TenantName};
 use serde::{Deserialize, Serialize};
@@ -21,7 +21,7 @@
 /// One incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The node.
+    /// Identifier of the node.
     #[serde(rename = "n")]
     pub node: NodeId,
     /// Random number that identifies the incarnation.
@@ -59,12 +59,12 @@
 /// Reports the counts of one incarnation of a node, sent by that node or relayed by another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageMessage {
-    /// The incarnation that counted.
+    /// The incarnation that counted the requests.
     pub origin: Origin,
     /// Number of the query that this message replies to; `None` if it is relayed.
     #[serde(rename = "answers")]
     pub in_reply_to: Option<u64>,
-    /// The counts by window.
+    /// Counts of that incarnation, one element for each window.
     pub windows: Vec<WindowCounts>,
     /// Finalized windows that the sender knows. Earlier versions do not send them.
     #[serde(rename = "fixed", default, skip_serializing_if = "Vec::is_empty")]
@@ -212,7 +212,8 @@
     first_query_ms: Option<u64>,
     /// When each query was sent, by query number, in milliseconds since 1970.
     sent_ms: BTreeMap<u64, u64>,
-    /// For each node, when the latest query that it has replied to was sent.
+    /// For each node, when the latest query that it has replied to was sent, in milliseconds since
+    /// 1970.
     last_replied_query_ms: HashMap<NodeId, u64>,
     /// Windows whose counts are finalized.
     finalized: BTreeSet<u64>,
--- a/crates/serving/src/wall_clock.rs
+++ b/crates/serving/src/wall_clock.rs
@@ -50,7 +50,7 @@
         self.peers.insert(node.clone(), PeerClock { offset_ms, received_at_us: now_us });
     }
 
-    /// The current time in milliseconds since 1970. `own_ms` is the reading of this machine's wall
+    /// The current time in milliseconds since 1970. `own_ms` is the time on this machine's own wall
     /// clock.
     pub fn now_ms(&mut self, own_ms: u64, now_us: u64) -> u64 {
         let is_due =
--- a/crates/serving/tests/model_checking.rs
+++ b/crates/serving/tests/model_checking.rs
@@ -70,16 +70,16 @@
 }
 
 #[test_case(quota::Safeguards { empty_start: false, ..quota::Safeguards::ALL }; "empty start")]
-#[test_case(quota::Safeguards { term_from_send_time: false, ..quota::Safeguards::ALL }; "time from sending")]
-#[test_case(quota::Safeguards { create_if_absent: false, ..quota::Safeguards::ALL }; "take if absent")]
-#[test_case(quota::Safeguards { grants_expire: false, ..quota::Safeguards::ALL }; "grants lapse")]
+#[test_case(quota::Safeguards { term_from_send_time: false, ..quota::Safeguards::ALL }; "term from send time")]
+#[test_case(quota::Safeguards { create_if_absent: false, ..quota::Safeguards::ALL }; "create if absent")]
+#[test_case(quota::Safeguards { grants_expire: false, ..quota::Safeguards::ALL }; "grants expire")]
 #[test_case(quota::Safeguards { used_once: false, ..quota::Safeguards::ALL }; "used once")]
-#[test_case(quota::Safeguards { used_or_refunded: false, ..quota::Safeguards::ALL }; "used or returned")]
-#[test_case(quota::Safeguards { refunded_once: false, ..quota::Safeguards::ALL }; "returned once")]
+#[test_case(quota::Safeguards { used_or_refunded: false, ..quota::Safeguards::ALL }; "used or refunded")]
+#[test_case(quota::Safeguards { refunded_once: false, ..quota::Safeguards::ALL }; "refunded once")]
 #[test_case(quota::Safeguards { own_grants_only: false, ..quota::Safeguards::ALL }; "own grants only")]
-#[test_case(quota::Safeguards { headroom_since_grant: false, ..quota::Safeguards::ALL }; "room since grant")]
-#[test_case(quota::Safeguards { shared_headroom: false, ..quota::Safeguards::ALL }; "shared room")]
-#[test_case(quota::Safeguards { cap_at_once: false, ..quota::Safeguards::ALL }; "cut at once")]
+#[test_case(quota::Safeguards { headroom_since_grant: false, ..quota::Safeguards::ALL }; "headroom since grant")]
+#[test_case(quota::Safeguards { shared_headroom: false, ..quota::Safeguards::ALL }; "shared headroom")]
+#[test_case(quota::Safeguards { cap_at_once: false, ..quota::Safeguards::ALL }; "cap at once")]
 fn a_slot_without_a_safeguard_breaks_the_bound(safeguards: quota::Safeguards) {
     assert!(search_quota(safeguards).1);
 }
@@ -92,9 +92,9 @@
     assert!(states > 1_000, "the search was cut short: {states} states");
 }
 
-#[test_case(usage::Safeguards { finalize_if_absent: false, ..usage::Safeguards::ALL }; "fix if absent")]
-#[test_case(usage::Safeguards { send_after_reply: false, ..usage::Safeguards::ALL }; "send after answer")]
-#[test_case(usage::Safeguards { adopt_finalized: false, ..usage::Safeguards::ALL }; "adopt fixed")]
+#[test_case(usage::Safeguards { finalize_if_absent: false, ..usage::Safeguards::ALL }; "finalize if absent")]
+#[test_case(usage::Safeguards { send_after_reply: false, ..usage::Safeguards::ALL }; "send after reply")]
+#[test_case(usage::Safeguards { adopt_finalized: false, ..usage::Safeguards::ALL }; "adopt finalized")]
 fn usage_reports_without_a_safeguard_differ(safeguards: usage::Safeguards) {
     assert!(search_usage(safeguards).1);
 }
@@ -108,14 +108,14 @@
 }
 
 #[test_case(retry_budget::Safeguards { pay_before_sending: false, ..retry_budget::Safeguards::ALL }; "pay before sending")]
-#[test_case(retry_budget::Safeguards { bounded_bucket: false, ..retry_budget::Safeguards::ALL }; "limited bucket")]
+#[test_case(retry_budget::Safeguards { bounded_bucket: false, ..retry_budget::Safeguards::ALL }; "bounded bucket")]
 #[test_case(retry_budget::Safeguards { empty_start: false, ..retry_budget::Safeguards::ALL }; "empty start")]
 fn the_retry_budget_without_a_safeguard_is_unsafe(safeguards: retry_budget::Safeguards) {
     assert!(search_retry_budget(safeguards).1);
 }
 
-#[test_case(authority::State::default(); "before a store that loses nothing")]
-#[test_case(authority::State::with_restored_store(); "before a store that comes back older")]
+#[test_case(authority::State::default(); "with a store that loses nothing")]
+#[test_case(authority::State::with_restored_store(); "with a store restored from a backup")]
 fn authority_is_safe_in_every_state(initial: authority::State) {
     let (states, violated) = search_authority(initial, authority::Safeguards::ALL);
     println!("authority: {states} states");
@@ -172,14 +172,14 @@
 }
 
 #[test_case(adoption::Safeguards { only_higher: false, ..adoption::Safeguards::ALL }; "only higher")]
-#[test_case(adoption::Safeguards { reread_when_history_is_gone: false, ..adoption::Safeguards::ALL }; "read when history is gone")]
-#[test_case(adoption::Safeguards { watch_from_read_revision: false, ..adoption::Safeguards::ALL }; "watch from the read")]
+#[test_case(adoption::Safeguards { reread_when_history_is_gone: false, ..adoption::Safeguards::ALL }; "reread when history is gone")]
+#[test_case(adoption::Safeguards { watch_from_read_revision: false, ..adoption::Safeguards::ALL }; "watch from read revision")]
 fn adoption_without_a_safeguard_is_unsafe(safeguards: adoption::Safeguards) {
     assert!(search_adoption(safeguards).1);
 }
 
 #[test_case(resuming::Safeguards { whole_events: false, ..resuming::Safeguards::ALL }; "whole events")]
-#[test_case(resuming::Safeguards { after_last_forwarded: false, ..resuming::Safeguards::ALL }; "after the last")]
+#[test_case(resuming::Safeguards { after_last_forwarded: false, ..resuming::Safeguards::ALL }; "after last forwarded")]
 #[test_case(resuming::Safeguards { stop_first: false, ..resuming::Safeguards::ALL }; "stop first")]
 #[test_case(resuming::Safeguards { only_resumable: false, ..resuming::Safeguards::ALL }; "only resumable")]
 #[test_case(resuming::Safeguards { own_end: false, ..resuming::Safeguards::ALL }; "own end")]
