--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -66,7 +66,7 @@
         self.quarantine_changed.notify_one();
         for requests in under_way.chunks(REQUESTS_A_WORD) {
             let (runner, requests) = (runner.clone(), requests.to_vec());
-            self.tell_all(CrashMessage::Ended { runner, requests });
+            self.tell_all(CrashMessage::Crashed { runner, requests });
         }
     }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -29,7 +29,7 @@
 pub fn on_message(node: &Node, message: CrashMessage) {
     let now_us = node.now_us();
     match message {
-        CrashMessage::Ended { runner, requests } => {
+        CrashMessage::Crashed { runner, requests } => {
             for request in requests {
                 let crash = Crash { request, runner: runner.clone() };
                 let change =
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -7,7 +7,7 @@
 use super::LastReceivedUs;
 use pitchstall_serving::digest::{digest_timeout_us, HeldKeeper};
 use pitchstall_serving::ids::NodeId;
-use pitchstall_serving::quota_candidacy::KeeperKey;
+use pitchstall_serving::quota_candidacy::QuotaKeeperKey;
 use pitchstall_serving::quota_slots::KeeperId;
 use pitchstall_serving::store_revision::{StoreEras, StoreRevision};
 use std::collections::BTreeMap;
@@ -174,11 +174,11 @@
 
     /// The key of a keeper as far as this node knows, in a fleet of `nodes`; `None` if the key may
     /// be absent from the store.
-    pub fn key(&self, keeper: &KeeperId, nodes: usize, now_us: u64) -> Option<KeeperKey> {
+    pub fn key(&self, keeper: &KeeperId, nodes: usize, now_us: u64) -> Option<QuotaKeeperKey> {
         let holder = self.by_keeper.get(keeper)?;
         let last_known_us = holder.last_received_us.max(holder.last_confirmed_us);
         let is_current = now_us < last_known_us + digest_timeout_us(nodes);
-        let key = KeeperKey { holder: holder.address, revision: holder.revision };
+        let key = QuotaKeeperKey { holder: holder.address, revision: holder.revision };
         is_current.then_some(key)
     }
 
--- a/crates/gateway/src/quota/keeper.rs
+++ b/crates/gateway/src/quota/keeper.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use crate::peer_messages::PeerMessage;
 use pitchstall_serving::quota::{QuotaQuery, QuotaRefund, QuotaReply, QuotaVerdict};
-use pitchstall_serving::quota_keeper::KeeperAction;
+use pitchstall_serving::quota_keeper::QuotaKeeperAction;
 use pitchstall_serving::quota_slots::KeeperId;
 use std::net::SocketAddr;
 
@@ -36,12 +36,12 @@
         keeper.map(|keeper| keeper.on_query(query, can_forward, now_us))
     };
     match action {
-        Some(KeeperAction::Forward(query)) => {
+        Some(QuotaKeeperAction::Forward(query)) => {
             node.metrics.quota.forwarded.inc();
             node.quotas.holders.borrow_mut().on_forwarded(&query.keeper, now_us);
             deliver_query(node, query);
         }
-        Some(KeeperAction::Reply(reply)) => {
+        Some(QuotaKeeperAction::Reply(reply)) => {
             if reply.verdict != QuotaVerdict::NotKeeper {
                 node.metrics.quota.on_level(query.tenant.as_str(), reply.level);
             }
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -48,8 +48,8 @@
         if let Some(runner) = self.runners.get_mut(id) {
             runner.in_flight = runner.in_flight.saturating_sub(1);
             runner.availability.on_ended();
-            let unread = u32::from(demand.needs_prefill());
-            runner.pending_prefills = runner.pending_prefills.saturating_sub(unread);
+            let pending = u32::from(demand.needs_prefill());
+            runner.pending_prefills = runner.pending_prefills.saturating_sub(pending);
             runner.prefill_tokens = runner.prefill_tokens.saturating_sub(demand.prefill_tokens);
             runner.overdue_tokens = runner.overdue_tokens.saturating_sub(demand.overdue_tokens);
             runner.held_tokens = runner.held_tokens.saturating_sub(demand.held_tokens);
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -67,7 +67,7 @@
 pub enum CrashMessage {
     /// A runner crashed with these requests in progress.
     #[serde(rename = "ended")]
-    Ended {
+    Crashed {
         /// The runner that crashed.
         #[serde(rename = "r")]
         runner: RunnerId,
--- a/crates/serving/src/quota_candidacy.rs
+++ b/crates/serving/src/quota_candidacy.rs
@@ -45,7 +45,7 @@
 
 /// A keeper's key as found in this node's replica of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeeperKey {
+pub struct QuotaKeeperKey {
     /// Address of the node that holds the keeper.
     pub holder: SocketAddr,
     /// Revision of the store at which the key was written.
@@ -85,7 +85,7 @@
     /// attempt is in progress. `rank` is the result of [`candidate_rank`].
     pub fn decide(
         &mut self,
-        key: Option<&KeeperKey>,
+        key: Option<&QuotaKeeperKey>,
         own_address: SocketAddr,
         rank: usize,
         now_us: u64,
--- a/crates/serving/src/quota_keeper.rs
+++ b/crates/serving/src/quota_keeper.rs
@@ -21,7 +21,7 @@
 
 /// What a keeper does with a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeeperAction {
+pub enum QuotaKeeperAction {
     /// Send the reply to the address in the query.
     Reply(QuotaReply),
     /// Forward the query, for lack of units, to the keeper that the updated query names.
@@ -100,7 +100,7 @@
         query: &QuotaQuery,
         is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperAction {
+    ) -> QuotaKeeperAction {
         if !self.term.is_valid(now_us) || query.keeper != self.id {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         }
@@ -143,7 +143,7 @@
         query: &QuotaQuery,
         is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperAction {
+    ) -> QuotaKeeperAction {
         let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
@@ -159,7 +159,7 @@
         forwarded.tried.push(self.id.clone());
         if let Some(next) = self.next_keeper(&forwarded, &limit, &forwarded.tried, &is_reachable) {
             forwarded.keeper = next;
-            return KeeperAction::Forward(forwarded);
+            return QuotaKeeperAction::Forward(forwarded);
         }
         let cost = i64::try_from(demand.cost).unwrap_or(i64::MAX);
         if forwarded.tried.len() > 1 && forwarded.available_units >= cost {
@@ -174,7 +174,7 @@
         query: &QuotaQuery,
         is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperAction {
+    ) -> QuotaKeeperAction {
         let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
@@ -192,7 +192,7 @@
             forwarded.charged.iter().map(|part| part.keeper.clone()).collect();
         if let Some(next) = self.next_keeper(&forwarded, &limit, &charged_keepers, &is_reachable) {
             forwarded.keeper = next;
-            return KeeperAction::Forward(forwarded);
+            return QuotaKeeperAction::Forward(forwarded);
         }
         self.refuse(&forwarded, &demand, now_us)
     }
@@ -202,20 +202,20 @@
         &self,
         query: &QuotaQuery,
         is_reachable: impl Fn(&KeeperId) -> bool,
-    ) -> KeeperAction {
+    ) -> QuotaKeeperAction {
         let mut forwarded = query.clone();
         forwarded.tried.push(self.id.clone());
         let next = self.next_keeper(query, &query.limit, &forwarded.tried, &is_reachable);
         match next.filter(|_| query.charged.is_empty()) {
             Some(next) => {
                 forwarded.keeper = next;
-                KeeperAction::Forward(forwarded)
+                QuotaKeeperAction::Forward(forwarded)
             }
             None => self.reply(query, QuotaVerdict::NotKeeper, 0),
         }
     }
 
-    fn refuse(&mut self, query: &QuotaQuery, demand: &Demand, now_us: u64) -> KeeperAction {
+    fn refuse(&mut self, query: &QuotaQuery, demand: &Demand, now_us: u64) -> QuotaKeeperAction {
         let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
@@ -290,9 +290,9 @@
         query_order(&keepers, &self.id.zone, &self.topology).into_iter().find(is_candidate)
     }
 
-    fn reply(&self, query: &QuotaQuery, verdict: QuotaVerdict, level: i64) -> KeeperAction {
+    fn reply(&self, query: &QuotaQuery, verdict: QuotaVerdict, level: i64) -> QuotaKeeperAction {
         let charged_keepers = query.charged.iter().filter(|part| part.units > 0);
-        KeeperAction::Reply(QuotaReply {
+        QuotaKeeperAction::Reply(QuotaReply {
             ticket: query.ticket,
             keeper: self.id.clone(),
             verdict,
--- a/crates/serving/tests/quota_fleet/leases.rs
+++ b/crates/serving/tests/quota_fleet/leases.rs
@@ -54,7 +54,7 @@
             return;
         }
         let key = self.keys.get(&keeper).copied();
-        let observed = key.map(|key| KeeperKey {
+        let observed = key.map(|key| QuotaKeeperKey {
             holder: address(key.node),
             revision: StoreRevision::without_era(key.revision),
         });
--- a/crates/serving/tests/quota_fleet/messages.rs
+++ b/crates/serving/tests/quota_fleet/messages.rs
@@ -113,10 +113,10 @@
             Message::Query(query) => {
                 let Some(keeper) = self.nodes[to].keepers.get_mut(&query.keeper) else { return };
                 match keeper.on_query(&query, is_reachable, now_us) {
-                    KeeperAction::Reply(reply) => {
+                    QuotaKeeperAction::Reply(reply) => {
                         self.send(to, node_at(query.reply_to), Message::Reply(reply));
                     }
-                    KeeperAction::Forward(next) => {
+                    QuotaKeeperAction::Forward(next) => {
                         self.send_to_keeper(to, next.keeper.clone(), Message::Query(next));
                     }
                 }
--- a/crates/serving/tests/quota_fleet/mod.rs
+++ b/crates/serving/tests/quota_fleet/mod.rs
@@ -9,8 +9,10 @@
 use pitchstall_serving::quota::{
     QuotaBounds, QuotaQuery, QuotaRefund, QuotaReply, QuotaUnit, TenantLimit,
 };
-use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyAction, KeeperKey};
-use pitchstall_serving::quota_keeper::{KeeperAction, QuotaKeeper};
+use pitchstall_serving::quota_candidacy::{
+    candidate_rank, Candidacy, CandidacyAction, QuotaKeeperKey,
+};
+use pitchstall_serving::quota_keeper::{QuotaKeeper, QuotaKeeperAction};
 use pitchstall_serving::quota_outcome::QuotaOutcome;
 use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
 use pitchstall_serving::quota_slots::{all_keepers, KeeperId};
--- a/crates/serving/tests/quota_keeper.rs
+++ b/crates/serving/tests/quota_keeper.rs
@@ -6,7 +6,7 @@
 use pitchstall_serving::quota::{
     QuotaBounds, QuotaQuery, QuotaRefund, QuotaReply, QuotaUnit, QuotaVerdict, TenantLimit,
 };
-use pitchstall_serving::quota_keeper::{KeeperAction, QuotaKeeper};
+use pitchstall_serving::quota_keeper::{QuotaKeeper, QuotaKeeperAction};
 use pitchstall_serving::quota_outcome::QuotaOutcome;
 use pitchstall_serving::quota_requester::{QuotaRequest, QuotaRequester, RequesterAction};
 use pitchstall_serving::quota_slots::{all_keepers, keepers_of, KeeperId};
@@ -67,8 +67,8 @@
             self.messages += 1;
             let keeper = self.held.get_mut(&query.keeper).unwrap();
             match keeper.on_query(&query, all_reachable, now_us) {
-                KeeperAction::Reply(reply) => return reply,
-                KeeperAction::Forward(next) => query = next,
+                QuotaKeeperAction::Reply(reply) => return reply,
+                QuotaKeeperAction::Forward(next) => query = next,
             }
         }
     }
@@ -184,14 +184,14 @@
         all_reachable,
         now_us,
     ) {
-        KeeperAction::Reply(reply) => reply.verdict,
-        KeeperAction::Forward(_) => unreachable!("there is room"),
+        QuotaKeeperAction::Reply(reply) => reply.verdict,
+        QuotaKeeperAction::Forward(_) => unreachable!("there is room"),
     };
     assert_eq!(query_at(1, 12 * SECOND), QuotaVerdict::Granted);
     assert_eq!(query_at(2, 13 * SECOND), QuotaVerdict::NotKeeper);
     keeper.renew(10 * SECOND, 15 * SECOND);
     let renewed = keeper.on_query(&query(3, 200, limit(300_000), 1), all_reachable, 13 * SECOND);
-    assert!(matches!(renewed, KeeperAction::Reply(reply) if is_granted(&reply)));
+    assert!(matches!(renewed, QuotaKeeperAction::Reply(reply) if is_granted(&reply)));
 }
 
 #[test]
@@ -221,7 +221,7 @@
     other.version = 6;
     keeper.on_query(&other, all_reachable, NOW_US + 1);
     let reply = keeper.on_query(&query(2, 50_000, limit(300_000), 6), all_reachable, NOW_US + 2);
-    assert!(matches!(reply, KeeperAction::Forward(_)), "{reply:?}");
+    assert!(matches!(reply, QuotaKeeperAction::Forward(_)), "{reply:?}");
 }
 
 #[test]
--- a/crates/serving/tests/quota_slots.rs
+++ b/crates/serving/tests/quota_slots.rs
@@ -5,7 +5,9 @@
 use pitchstall_serving::ids::{NodeId, RegionId, TenantName, ZoneId};
 use pitchstall_serving::membership::Member;
 use pitchstall_serving::quota::{QuotaBounds, QuotaUnit, TenantLimit};
-use pitchstall_serving::quota_candidacy::{candidate_rank, Candidacy, CandidacyAction, KeeperKey};
+use pitchstall_serving::quota_candidacy::{
+    candidate_rank, Candidacy, CandidacyAction, QuotaKeeperKey,
+};
 use pitchstall_serving::quota_slots::{all_keepers, keepers_of, query_order, KeeperId};
 use pitchstall_serving::quota_term::QuotaKeeperTerm;
 use pitchstall_serving::store_revision::StoreRevision;
@@ -165,7 +167,7 @@
 #[test]
 fn a_key_that_another_node_holds_is_left_alone() {
     let mut candidacy = Candidacy::new();
-    let key = KeeperKey { holder: address(2), revision: StoreRevision::without_era(7) };
+    let key = QuotaKeeperKey { holder: address(2), revision: StoreRevision::without_era(7) };
     for now_us in (0..10 * SECOND).step_by(50_000) {
         let action = candidacy.decide(Some(&key), address(1), 0, now_us);
         assert_eq!(action, CandidacyAction::Wait);
@@ -174,7 +176,7 @@
 
 #[test]
 fn a_restarted_process_takes_over_its_previous_key_at_once() {
-    let key = KeeperKey { holder: address(1), revision: StoreRevision::without_era(7) };
+    let key = QuotaKeeperKey { holder: address(1), revision: StoreRevision::without_era(7) };
     let action = Candidacy::new().decide(Some(&key), address(1), 5, 0);
     assert_eq!(action, CandidacyAction::TakeOver { revision: StoreRevision::without_era(7) });
 }
