--- a/crates/serving/src/capacity_planner.rs
+++ b/crates/serving/src/capacity_planner.rs
@@ -8,7 +8,7 @@
 //! reserved runners, the plan uses no preemptible ones.
 //!
 //! Reserved runners are given up only when their replacements serve, and are ordered at once when
-//! too few runners are left. A zone without available preemptible runners is asked again after a
+//! too few runners are left. A zone without available preemptible runners is tried again after a
 //! pause; until then the other zones make up for it. Changes by others, for instance by operators,
 //! are left alone: an order is repeated only when the plan changes.
 
@@ -62,7 +62,7 @@
     pub max_changes_per_s: f64,
     /// Maximum number of runners added or given up at once.
     pub max_change_burst: f64,
-    /// Time until a zone without available preemptible runners is asked again, in microseconds.
+    /// Time until a zone without available preemptible runners is tried again, in microseconds.
     pub unavailable_pause_us: u64,
 }
 
@@ -122,7 +122,7 @@
     /// Number of runners that the workload needs.
     need: u32,
     zones: Vec<ZoneId>,
-    /// Zones without available preemptible runners, and when each is asked again, in microseconds.
+    /// Zones without available preemptible runners, and when each is tried again, in microseconds.
     unavailable_until_us: BTreeMap<ZoneId, u64>,
     /// Latest order for each zone and kind.
     ordered: BTreeMap<(ZoneId, RunnerKind), u32>,
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -133,7 +133,7 @@
 pub struct Share {
     /// Name of the service that gets this share.
     pub service: ServiceName,
-    /// Weight among the route's shares.
+    /// Weight relative to the other shares of the route; a share of weight 0 gets no requests.
     pub weight: u32,
 }
 
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Records another node's report.
+    /// Records another node's report on all its replicas.
     pub fn on_report(&mut self, report: &StoreFreshnessReport, eras: &StoreEras, now_us: u64) {
         self.configuration.on_report(report.configuration, eras, now_us);
         self.runners.on_report(report.runners, eras, now_us);
--- a/crates/serving/src/ids.rs
+++ b/crates/serving/src/ids.rs
@@ -12,7 +12,7 @@
         pub struct $name(pub std::sync::Arc<str>);
 
         impl $name {
-            /// Builds the identifier from text.
+            /// Creates the identifier from text, which is not checked.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(std::sync::Arc::from(text.as_ref()))
             }
--- a/crates/serving/src/prefix.rs
+++ b/crates/serving/src/prefix.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// One part of a prompt.
+/// One part of a prompt, the unit in which requests share KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
     /// Identifies the text of the part.
@@ -19,7 +19,7 @@
     pub parts: Vec<PromptPart>,
     /// Length of the whole prompt in tokens.
     pub tokens: u64,
-    /// Maximum number of output tokens.
+    /// Upper bound of the output, in tokens.
     pub max_output_tokens: u64,
 }
 
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -116,7 +116,7 @@
 /// A request with crashes as it is shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct SuspectRequest {
-    /// Identity of the request.
+    /// Identity under which the crashes are counted.
     pub identity: RequestIdentity,
     /// Whether the request is no longer sent to runners.
     pub quarantined: bool,
--- a/crates/serving/src/quota_bucket.rs
+++ b/crates/serving/src/quota_bucket.rs
@@ -216,7 +216,7 @@
         refilled.min(self.share.burst).div_euclid(MICROS_PER_UNIT)
     }
 
-    /// Maximum debt, in units.
+    /// Maximum debt in units, a positive number.
     pub fn debt_units(&self) -> u64 {
         to_units(self.share.debt)
     }
--- a/crates/serving/src/role_planner.rs
+++ b/crates/serving/src/role_planner.rs
@@ -118,7 +118,7 @@
 pub struct RoleChange {
     /// Incarnation of the runner.
     pub runner: RunnerId,
-    /// New role of the runner.
+    /// Role that the runner is to take.
     pub stage: Stage,
 }
 
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -102,7 +102,7 @@
     /// Length of the prompt in tokens.
     #[serde(rename = "t")]
     pub tokens: u64,
-    /// Maximum number of output tokens.
+    /// Upper bound of the output, in tokens.
     #[serde(rename = "o")]
     pub max_output_tokens: u64,
     /// Time within which the response is due, counted from the arrival of the request, in
@@ -283,7 +283,7 @@
     /// A runner could not be reached.
     #[serde(rename = "u")]
     Unreachable(RunnerId),
-    /// The request has ended.
+    /// The request has ended or does not use the placement, so its reservation is released.
     #[serde(rename = "e")]
     Ended,
 }
@@ -336,7 +336,7 @@
     /// The shard that is reported.
     #[serde(rename = "h")]
     pub shard: Shard,
-    /// The loads of its runners.
+    /// The loads of the shard's runners, without the runners that have none.
     #[serde(rename = "l")]
     pub loads: Vec<RunnerLoad>,
 }
--- a/crates/serving/src/tenancy.rs
+++ b/crates/serving/src/tenancy.rs
@@ -156,7 +156,7 @@
     pub revoke_ms: Option<u64>,
 }
 
-/// Result of an authorization.
+/// Whether a request may run, and for which tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Access {
     /// The request may run without a tenant.
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -32,7 +32,7 @@
 /// The counts of one incarnation of a node in one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
-    /// Number of the window.
+    /// Number of the window, see [`Windows`].
     #[serde(rename = "w")]
     pub window: u64,
     /// The totals so far.
@@ -48,7 +48,7 @@
     /// Where replies are sent: the collector and its deputy.
     #[serde(rename = "answer_to")]
     pub reply_to: Vec<SocketAddr>,
-    /// The first window to report.
+    /// The first window to report; all later ones are reported as well.
     pub from_window: u64,
     /// Whether nodes also report the counts that they received from others, as the collector is
     /// new.
