--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -326,10 +326,10 @@
     // A response without a runner's stamp was not sent by a runner, whatever its status.
     if !is_own || metadata.encoded || !(metadata.signed || is_prefill_response) {
         log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "invalid response");
-        node.fleet.borrow_mut().on_answered(&runner, true, node.now_us());
+        node.fleet.borrow_mut().on_response(&runner, true, node.now_us());
         return AttemptEnd::Lost;
     }
-    node.fleet.borrow_mut().on_answered(&runner, status >= 500, node.now_us());
+    node.fleet.borrow_mut().on_response(&runner, status >= 500, node.now_us());
     node.fleet.borrow_mut().on_accepted(&runner);
     let decoder = BodyDecoder::new(head.framing);
     let PreparedConnection { connection, record, in_flight, .. } = prepared;
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -69,7 +69,7 @@
         self.quarantine_changed.notify_one();
         for requests in open_requests.chunks(MAX_REQUESTS_PER_MESSAGE) {
             let (runner, requests) = (runner.clone(), requests.to_vec());
-            self.broadcast_crash(CrashMessage::Ended { runner, requests });
+            self.broadcast_crash(CrashMessage::Crashed { runner, requests });
         }
     }
 
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -9,10 +9,10 @@
 use crate::node::Node;
 use crate::peer_messages::PeerMessage;
 use crate::shard_scheduler::candidate_shards;
-use pitchstall_serving::digest::silence_timeout_us;
+use pitchstall_serving::digest::digest_timeout_us;
 use pitchstall_serving::ids::{NodeId, RunnerId};
 use pitchstall_serving::limit_keeper::{
-    KeeperShare, LimitKeeper, LimitKeeperTerm, GRANT_TTL_US, MAX_KEEPERS,
+    LimitKeeper, LimitKeeperShare, LimitKeeperTerm, GRANT_TTL_US, MAX_KEEPERS,
 };
 use pitchstall_serving::request::ResponseMetadata;
 use pitchstall_serving::runner_limit::{
@@ -76,7 +76,7 @@
 
     fn is_alive(&self, node: &NodeId, nodes: usize, now_us: u64) -> bool {
         let received_us = self.last_received_us.borrow().get(node).copied().unwrap_or(Some(0));
-        received_us.is_some_and(|received_us| now_us < received_us + silence_timeout_us(nodes))
+        received_us.is_some_and(|received_us| now_us < received_us + digest_timeout_us(nodes))
     }
 }
 
@@ -269,7 +269,7 @@
     members.scheduler_rank_of(&node.own_name(), shard, is_alive)
 }
 
-fn own_share(node: &Node, shard: &Shard) -> Option<KeeperShare> {
+fn own_share(node: &Node, shard: &Shard) -> Option<LimitKeeperShare> {
     if node.is_stopping() {
         return None;
     }
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -218,7 +218,7 @@
     log_reply(demand.request, &scheduler, shard, &reply, elapsed);
     node.metrics.placements.inc();
     node.scheduling.missed_replies.on_reply(&scheduler);
-    if let Some(remote) = reply.elsewhere {
+    if let Some(remote) = reply.remote_region {
         return Outcome::RemoteRegion(remote);
     }
     placement_from_reply(node, reply, reporter_to(from)).map_or(Outcome::NoReply, Outcome::Placed)
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -62,7 +62,7 @@
             prompt: &prompt,
             zone: &query.zone,
             cache_tokens: node.kv_cache_tokens(&query.service),
-            region_move_ms: node.cross_region_kv_ms_per_token(&query.service),
+            cross_region_ms_per_token: node.cross_region_kv_ms_per_token(&query.service),
             now_us: node.now_us(),
         },
         target_ms: query.target_ms,
@@ -100,13 +100,13 @@
     node: &Node,
     query: &PlacementQuery,
     plan: Option<WirePlan>,
-    elsewhere: Option<RemoteRegion>,
+    remote_region: Option<RemoteRegion>,
 ) {
     let (reader, writer) = runner_names(plan.as_ref());
     let (region, shard) = (query.shard.region.as_str(), query.shard.number);
-    let other_region = elsewhere.as_ref().map_or("", |preferred| preferred.region.as_str());
+    let other_region = remote_region.as_ref().map_or("", |preferred| preferred.region.as_str());
     log::info!(target: "scheduling", request = query.request.as_str(), region, shard, reader, writer, other_region; "placed");
-    let reply = PlacementReply { ticket: query.ticket, plan, elsewhere };
+    let reply = PlacementReply { ticket: query.ticket, plan, remote_region };
     node.scheduling.socket.send(&PeerMessage::PlacementReply(reply), &[query.reply_to]);
 }
 
@@ -164,16 +164,16 @@
     let tokens = prefilled.prefill.demand.prefill_tokens + prefilled.prefill.demand.overdue_tokens;
     // If fewer tokens were prefilled, the runner already held the prefixes or fetched them, and
     // they have been announced when they were first prefilled.
-    if tokens >= prefilled.shared_prefixes.iter().map(|part| part.tokens).sum() {
+    if tokens >= prefilled.shared_prefix.iter().map(|part| part.tokens).sum() {
         prefix_announcements::on_prefilled(
             node,
             &prefilled.prefill.runner,
-            &prefilled.shared_prefixes,
+            &prefilled.shared_prefix,
         );
     }
-    node.on_prefix_cached(&prefilled.prefill.runner, &prefilled.shared_prefixes);
+    node.on_prefix_cached(&prefilled.prefill.runner, &prefilled.shared_prefix);
     if let Some(decode) = &prefilled.decode {
-        node.on_prefix_cached(&decode.runner, &prefilled.shared_prefixes);
+        node.on_prefix_cached(&decode.runner, &prefilled.shared_prefix);
     }
     if is_split {
         let was_unqueued = prefilled.was_unqueued;
--- a/crates/serving/src/ids.rs
+++ b/crates/serving/src/ids.rs
@@ -12,7 +12,7 @@
         pub struct $name(pub std::sync::Arc<str>);
 
         impl $name {
-            /// Builds the identifier from text.
+            /// Creates the identifier from text, which is not checked.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(std::sync::Arc::from(text.as_ref()))
             }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Name of the runner.
+    /// Name of the runner, which all its incarnations share.
     pub fn name(&self) -> RunnerName {
         RunnerName::new(self.parts().0)
     }
--- a/crates/serving/src/prefill_demand.rs
+++ b/crates/serving/src/prefill_demand.rs
@@ -1,6 +1,6 @@
 //! Rate at which prefill work is requested.
 
-/// Time in which the weight of a request falls to 1/e, microseconds. It covers some tens of
+/// Time in which the weight of a request falls to 1/e, in microseconds. It covers some tens of
 /// requests of a runner, and it is no longer than the time for which a pressure must last before
 /// roles change.
 const TIME_CONSTANT_US: f64 = 1_000_000.0;
@@ -21,7 +21,7 @@
     }
 
     /// Requested tokens per second at a time.
-    pub(crate) fn tokens_per_second(&self, now_us: u64) -> f64 {
+    pub(crate) fn tokens_per_s(&self, now_us: u64) -> f64 {
         self.remaining_tokens(now_us) * MICROS_PER_SECOND / TIME_CONSTANT_US
     }
 
--- a/crates/serving/src/prefix.rs
+++ b/crates/serving/src/prefix.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// One part of a prompt.
+/// One part of a prompt, the unit in which requests share KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
     /// Identifies the text of the part.
@@ -12,14 +12,14 @@
     pub tokens: u64,
 }
 
-/// A prompt as the router sees it: lengths and identities without text.
+/// A prompt as nodes know it: lengths and identities without text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// The parts in order. The last one belongs to the request or its session alone.
     pub parts: Vec<PromptPart>,
     /// Length of the whole prompt in tokens.
     pub tokens: u64,
-    /// Maximum number of output tokens.
+    /// Upper bound of the output, in tokens.
     pub max_output_tokens: u64,
 }
 
--- a/crates/serving/src/quota_keeper.rs
+++ b/crates/serving/src/quota_keeper.rs
@@ -13,7 +13,7 @@
 use crate::quota_bucket::{Bucket, Demand};
 use crate::quota_share::SlotShare;
 use crate::quota_slots::{keepers_of, query_order, KeeperId};
-use crate::quota_term::KeeperTerm;
+use crate::quota_term::QuotaKeeperTerm;
 use crate::topology::Topology;
 use std::collections::HashMap;
 
@@ -21,7 +21,7 @@
 
 /// What a keeper does with a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeeperAction {
+pub enum QuotaKeeperAction {
     /// Send the reply to the address in the query.
     Reply(QuotaReply),
     /// Forward the query, for lack of units, to the keeper that the updated query names.
@@ -31,11 +31,11 @@
 /// The state of one tenant at a keeper, for operators. Amounts are in units.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantLevel {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: TenantName,
     /// Units left; negative if the bucket is in debt.
     pub level: i64,
-    /// Maximum debt.
+    /// Maximum debt, as a positive number.
     pub debt: u64,
     /// Units granted and not refunded since this holder created the tenant's bucket.
     pub granted: u64,
@@ -45,9 +45,9 @@
 
 /// The state of a keeper at the node that holds it.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct QuotaKeeper {
     id: KeeperId,
-    term: KeeperTerm,
+    term: QuotaKeeperTerm,
     bounds: QuotaBounds,
     topology: Topology,
     buckets: HashMap<TenantName, Bucket>,
@@ -57,9 +57,14 @@
     evicted_at_us: u64,
 }
 
-impl Keeper {
+impl QuotaKeeper {
     /// A keeper that has just been taken over by this node.
-    pub fn new(id: KeeperId, term: KeeperTerm, bounds: QuotaBounds, topology: Topology) -> Self {
+    pub fn new(
+        id: KeeperId,
+        term: QuotaKeeperTerm,
+        bounds: QuotaBounds,
+        topology: Topology,
+    ) -> Self {
         let started_at_us = term.started_at_us();
         Self {
             id,
@@ -73,13 +78,13 @@
         }
     }
 
-    /// The keeper's identity.
+    /// Identity of the keeper, which stays the same when its holder changes.
     pub fn id(&self) -> &KeeperId {
         &self.id
     }
 
     /// The term for which this node holds the keeper.
-    pub fn term(&self) -> &KeeperTerm {
+    pub fn term(&self) -> &QuotaKeeperTerm {
         &self.term
     }
 
@@ -88,14 +93,14 @@
         self.term.renew(sent_at_us, ttl_us);
     }
 
-    /// Handles a query. `is_reachable` tells whether another keeper has a holder that this node is
-    /// in contact with.
+    /// Handles a query. `is_reachable` returns whether another keeper has a holder that this node
+    /// is in contact with.
     pub fn on_query(
         &mut self,
         query: &QuotaQuery,
         is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperAction {
+    ) -> QuotaKeeperAction {
         if !self.term.is_valid(now_us) || query.keeper != self.id {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         }
@@ -138,7 +143,7 @@
         query: &QuotaQuery,
         is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperAction {
+    ) -> QuotaKeeperAction {
         let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
@@ -154,7 +159,7 @@
         forwarded.tried.push(self.id.clone());
         if let Some(next) = self.next_keeper(&forwarded, &limit, &forwarded.tried, &is_reachable) {
             forwarded.keeper = next;
-            return KeeperAction::Forward(forwarded);
+            return QuotaKeeperAction::Forward(forwarded);
         }
         let cost = i64::try_from(demand.cost).unwrap_or(i64::MAX);
         if forwarded.tried.len() > 1 && forwarded.available_units >= cost {
@@ -169,7 +174,7 @@
         query: &QuotaQuery,
         is_reachable: impl Fn(&KeeperId) -> bool,
         now_us: u64,
-    ) -> KeeperAction {
+    ) -> QuotaKeeperAction {
         let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
@@ -187,7 +192,7 @@
             forwarded.charged.iter().map(|part| part.keeper.clone()).collect();
         if let Some(next) = self.next_keeper(&forwarded, &limit, &charged_keepers, &is_reachable) {
             forwarded.keeper = next;
-            return KeeperAction::Forward(forwarded);
+            return QuotaKeeperAction::Forward(forwarded);
         }
         self.refuse(&forwarded, &demand, now_us)
     }
@@ -197,20 +202,20 @@
         &self,
         query: &QuotaQuery,
         is_reachable: impl Fn(&KeeperId) -> bool,
-    ) -> KeeperAction {
+    ) -> QuotaKeeperAction {
         let mut forwarded = query.clone();
         forwarded.tried.push(self.id.clone());
         let next = self.next_keeper(query, &query.limit, &forwarded.tried, &is_reachable);
         match next.filter(|_| query.charged.is_empty()) {
             Some(next) => {
                 forwarded.keeper = next;
-                KeeperAction::Forward(forwarded)
+                QuotaKeeperAction::Forward(forwarded)
             }
             None => self.reply(query, QuotaVerdict::NotKeeper, 0),
         }
     }
 
-    fn refuse(&mut self, query: &QuotaQuery, demand: &Demand, now_us: u64) -> KeeperAction {
+    fn refuse(&mut self, query: &QuotaQuery, demand: &Demand, now_us: u64) -> QuotaKeeperAction {
         let Some(bucket) = self.buckets.get_mut(&query.tenant) else {
             return self.reply(query, QuotaVerdict::NotKeeper, 0);
         };
@@ -285,9 +290,9 @@
         query_order(&keepers, &self.id.zone, &self.topology).into_iter().find(is_candidate)
     }
 
-    fn reply(&self, query: &QuotaQuery, verdict: QuotaVerdict, level: i64) -> KeeperAction {
+    fn reply(&self, query: &QuotaQuery, verdict: QuotaVerdict, level: i64) -> QuotaKeeperAction {
         let charged_keepers = query.charged.iter().filter(|part| part.units > 0);
-        KeeperAction::Reply(QuotaReply {
+        QuotaKeeperAction::Reply(QuotaReply {
             ticket: query.ticket,
             keeper: self.id.clone(),
             verdict,
--- a/crates/serving/src/quota_term.rs
+++ b/crates/serving/src/quota_term.rs
@@ -14,14 +14,14 @@
 
 /// A node's term as holder of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeeperTerm {
+pub struct QuotaKeeperTerm {
     /// Revision of the store at which the key was written; identifies the term.
     pub revision: StoreRevision,
     started_at_us: u64,
     valid_until_us: u64,
 }
 
-impl KeeperTerm {
+impl QuotaKeeperTerm {
     /// The term of a key that was written and confirmed at `now_us`. The lease was last renewed by
     /// a call sent at `renewed_sent_at_us` and lasts for `ttl_us` from when the store processed
     /// that call.
@@ -36,7 +36,7 @@
         self.valid_until_us = self.valid_until_us.max(valid_until(sent_at_us, ttl_us));
     }
 
-    /// Start of the term, microseconds. The buckets refill from then on.
+    /// Start of the term, in microseconds. The buckets refill from then on.
     pub fn started_at_us(&self) -> u64 {
         self.started_at_us
     }
@@ -46,7 +46,7 @@
         now_us < self.valid_until_us
     }
 
-    /// Time for which the node may still grant runs, microseconds.
+    /// Time for which the node may still grant runs, in microseconds.
     pub fn remaining_us(&self, now_us: u64) -> u64 {
         self.valid_until_us.saturating_sub(now_us)
     }
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -35,7 +35,7 @@
 /// The load of the runners of a service in a region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Name of the service.
     #[serde(rename = "s")]
     pub service: ServiceName,
     /// Number of prefill runners that take work.
@@ -67,7 +67,7 @@
         Self { runner: runner.clone(), parts }
     }
 
-    /// The announced parts.
+    /// The announced parts, in their order in the prompt.
     pub fn parts(&self) -> Vec<PromptPart> {
         self.parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens }).collect()
     }
@@ -92,7 +92,7 @@
 /// The load of the runners of a service in a region; `None` without a prefill runner.
 pub fn service_load(
     fleet: &Fleet,
-    pace: &PrefillSpeed,
+    speed: &PrefillSpeed,
     service: &ServiceName,
     region: &RegionId,
     now_us: u64,
@@ -104,7 +104,7 @@
     if prefill_runners.is_empty() {
         return None;
     }
-    let waits_ms: f64 = prefill_runners.iter().map(|runner| pace.backlog_ms(runner, now_us)).sum();
+    let waits_ms: f64 = prefill_runners.iter().map(|runner| speed.backlog_ms(runner, now_us)).sum();
     let slots: f64 = decode_runners.iter().map(|runner| f64::from(runner.record.slots)).sum();
     let taken: f64 = decode_runners.iter().map(|runner| runner.occupancy(now_us)).sum();
     Some(ServiceLoad {
--- a/crates/serving/src/role_view.rs
+++ b/crates/serving/src/role_view.rs
@@ -10,11 +10,11 @@
 /// Service whose roles are planned, and its targets.
 #[derive(Clone, Copy, Debug)]
 pub struct RoleDemand<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a ServiceName,
     /// Specification of the service's runners.
     pub engine: &'a EngineSpec,
-    /// Shortest latency target of the service, milliseconds.
+    /// Shortest latency target of the service, in milliseconds.
     pub target_ms: f64,
     /// Region whose runners are considered; `None` for all regions.
     pub region: Option<&'a RegionId>,
@@ -79,7 +79,7 @@
         let demanded: f64 = fleet
             .iter()
             .filter(is_of_service)
-            .map(|runner| runner.prefill_tokens_per_second(now_us))
+            .map(|runner| runner.prefill_tokens_per_s(now_us))
             .sum();
         // Decode runners prefill too when the prefill runners are busy, at half the speed.
         let prefill_capacity = prefill.len() as f64 + decode.len() as f64 / 2.0;
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -2,11 +2,12 @@
 //! services that run language models.
 //!
 //! The runners of a service are split into shards, first by region, and each shard has a scheduler:
-//! the node of the region that all nodes select by rendezvous hashing, strong
-//! machines first. A node that receives a request asks the scheduler of the shard in its own region that
-//! contains the home of the prompt's shared prefix. The scheduler sees all requests to its runners,
-//! so its information on their load and caches is as old as one datagram, and its traffic grows
-//! with the number of requests, not with the square of the number of nodes.
+//! the node of the region with the largest share of a processor. Rendezvous hashing decides among
+//! equal nodes, so all nodes select the same one. A node that receives a request queries the
+//! scheduler of the shard in its own region that contains the home of the prompt's shared prefix.
+//! The scheduler receives the queries for all requests to its runners, so its information on their
+//! load and caches is as old as one datagram, and its traffic grows with the number of requests,
+//! not with the square of the number of nodes.
 //!
 //! All of this only ranks runners. Two schedulers for a shard, or none, lead to worse choices but
 //! not to failures: a node that gets no reply in time chooses from its own information.
@@ -101,7 +102,7 @@
     /// Length of the prompt in tokens.
     #[serde(rename = "t")]
     pub tokens: u64,
-    /// Maximum number of output tokens.
+    /// Upper bound of the output, in tokens.
     #[serde(rename = "o")]
     pub max_output_tokens: u64,
     /// Time within which the response is due, counted from the arrival of the request, in
@@ -156,15 +157,15 @@
 /// The wire format of a [`RunnerChoice`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireChoice {
-    /// The chosen runner.
+    /// Incarnation of the chosen runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
-    /// Prompt tokens to prefill.
+    /// Prompt tokens to prefill that are not overdue.
     #[serde(rename = "u")]
-    pub unread_tokens: u64,
-    /// Prompt tokens to prefill after all work that can still meet its target.
+    pub prefill_tokens: u64,
+    /// Overdue prompt tokens, which are prefilled after all work that can still be in time.
     #[serde(rename = "l")]
-    pub late_tokens: u64,
+    pub overdue_tokens: u64,
     /// KV cache that the request takes, in tokens.
     #[serde(rename = "k")]
     pub held_tokens: u64,
@@ -186,8 +187,8 @@
     fn from(choice: &RunnerChoice) -> Self {
         Self {
             runner: choice.runner.clone(),
-            unread_tokens: choice.demand.prefill_tokens,
-            late_tokens: choice.demand.overdue_tokens,
+            prefill_tokens: choice.demand.prefill_tokens,
+            overdue_tokens: choice.demand.overdue_tokens,
             held_tokens: choice.demand.held_tokens,
             fetch_from: choice.fetch_from.clone(),
             expected_prefill_us: choice.expected_prefill_us,
@@ -201,8 +202,8 @@
         Self {
             runner: wire.runner,
             demand: AttemptDemand {
-                prefill_tokens: wire.unread_tokens,
-                overdue_tokens: wire.late_tokens,
+                prefill_tokens: wire.prefill_tokens,
+                overdue_tokens: wire.overdue_tokens,
                 held_tokens: wire.held_tokens,
             },
             fetch_from: wire.fetch_from,
@@ -247,7 +248,7 @@
 /// Redirects a requesting node to the scheduler of another region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RemoteRegion {
-    /// The region whose scheduler should be asked.
+    /// The region whose scheduler should be queried.
     #[serde(rename = "r")]
     pub region: RegionId,
     /// Why the request should leave its own region.
@@ -258,15 +259,16 @@
 /// A scheduler's reply to a [`PlacementQuery`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlacementReply {
-    /// The request that was placed.
+    /// Ticket of the query.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// The assigned runners; `None` if no runner takes work.
     #[serde(rename = "p")]
     pub plan: Option<WirePlan>,
-    /// The region to ask instead; nothing has been reserved here in that case.
+    /// The region whose scheduler should be queried instead, in which case nothing has been
+    /// reserved here; `None` if the request stays.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
-    pub elsewhere: Option<RemoteRegion>,
+    pub remote_region: Option<RemoteRegion>,
 }
 
 /// The progress of a placed request.
@@ -281,7 +283,7 @@
     /// A runner could not be reached.
     #[serde(rename = "u")]
     Unreachable(RunnerId),
-    /// The request has ended.
+    /// The request has ended or does not use the placement, so its reservation is released.
     #[serde(rename = "e")]
     Ended,
 }
@@ -289,7 +291,7 @@
 /// Reports the progress of a request to the scheduler that placed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressMessage {
-    /// The request.
+    /// Ticket of the request.
     #[serde(rename = "i")]
     pub ticket: Ticket,
     /// What happened to the request.
@@ -304,7 +306,7 @@
 /// A scheduler's information on the load of one of its runners.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerLoad {
-    /// The runner.
+    /// Incarnation of the runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
     /// Number of requests in flight.
@@ -313,13 +315,13 @@
     /// Number of requests in flight whose prompt has not been prefilled yet, here or at the runner
     /// that prefills it for this one.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
-    pub unread_requests: u32,
-    /// Prompt tokens to prefill.
+    pub pending_prefills: u32,
+    /// Prompt tokens to prefill that are not overdue.
     #[serde(rename = "t")]
-    pub unread_tokens: u64,
-    /// Prompt tokens to prefill after all work that can still meet its target.
+    pub prefill_tokens: u64,
+    /// Overdue prompt tokens, which are prefilled after all work that can still be in time.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
-    pub late_tokens: u64,
+    pub overdue_tokens: u64,
     /// KV cache that the requests take, in tokens.
     #[serde(rename = "k")]
     pub held_tokens: u64,
@@ -334,7 +336,7 @@
     /// The shard that is reported.
     #[serde(rename = "h")]
     pub shard: Shard,
-    /// The loads of its runners.
+    /// The loads of the shard's runners, without the runners that have none.
     #[serde(rename = "l")]
     pub loads: Vec<RunnerLoad>,
 }
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -8,7 +8,7 @@
 //!
 //! The counts of a window are final once they are finalized. They are kept in the store and in the
 //! memory of the nodes that finalized them, which report them to a new collector: the store may be
-//! restored from an older copy without them.
+//! restored from a backup without them.
 
 use crate::ids::{NodeId, TenantName};
 use serde::{Deserialize, Serialize};
@@ -21,7 +21,7 @@
 /// One incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The node.
+    /// Identifier of the node.
     #[serde(rename = "n")]
     pub node: NodeId,
     /// Random number that identifies the incarnation.
@@ -32,7 +32,7 @@
 /// The counts of one incarnation of a node in one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
-    /// Number of the window.
+    /// Number of the window, see [`Windows`].
     #[serde(rename = "w")]
     pub window: u64,
     /// The totals so far.
@@ -48,7 +48,7 @@
     /// Where replies are sent: the collector and its deputy.
     #[serde(rename = "answer_to")]
     pub reply_to: Vec<SocketAddr>,
-    /// The first window to report.
+    /// The first window to report; all later ones are reported as well.
     pub from_window: u64,
     /// Whether nodes also report the counts that they received from others, as the collector is
     /// new.
@@ -59,12 +59,12 @@
 /// Reports the counts of one incarnation of a node, sent by that node or relayed by another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageMessage {
-    /// The incarnation that counted.
+    /// The incarnation that counted the requests.
     pub origin: Origin,
     /// Number of the query that this message replies to; `None` if it is relayed.
     #[serde(rename = "answers")]
     pub in_reply_to: Option<u64>,
-    /// The counts by window.
+    /// Counts of that incarnation, one element for each window.
     pub windows: Vec<WindowCounts>,
     /// Finalized windows that the sender knows. Earlier versions do not send them.
     #[serde(rename = "fixed", default, skip_serializing_if = "Vec::is_empty")]
@@ -212,8 +212,9 @@
     first_query_ms: Option<u64>,
     /// When each query was sent, by query number, in milliseconds since 1970.
     sent_ms: BTreeMap<u64, u64>,
-    /// For each node, when the latest query that it has replied to was sent.
-    last_answered_ms: HashMap<NodeId, u64>,
+    /// For each node, when the latest query that it has replied to was sent, in milliseconds since
+    /// 1970.
+    last_replied_query_ms: HashMap<NodeId, u64>,
     /// Windows whose counts are finalized.
     finalized: BTreeSet<u64>,
 }
@@ -232,7 +233,7 @@
     /// Records a node's reply. Replies to unknown queries are ignored.
     pub fn on_reply(&mut self, node: &NodeId, number: u64) {
         let Some(sent_ms) = self.sent_ms.get(&number) else { return };
-        let latest = self.last_answered_ms.entry(node.clone()).or_default();
+        let latest = self.last_replied_query_ms.entry(node.clone()).or_default();
         *latest = (*latest).max(*sent_ms);
     }
 
@@ -257,13 +258,14 @@
         let is_complete = |window: u64| {
             let settled_ms = schedule.windows.end_ms(window) + COUNT_SETTLING_MS;
             nodes.clone().all(|node| {
-                let last_answered_ms = self.last_answered_ms.get(node).copied();
-                let has_reported = last_answered_ms.is_some_and(|sent_ms| sent_ms >= settled_ms);
+                let last_replied_query_ms = self.last_replied_query_ms.get(node).copied();
+                let has_reported =
+                    last_replied_query_ms.is_some_and(|sent_ms| sent_ms >= settled_ms);
                 // A node that has been silent for this long is gone; waiting for it would delay
                 // every window.
-                let silent_since_ms = last_answered_ms.or(self.first_query_ms);
+                let last_contact_ms = last_replied_query_ms.or(self.first_query_ms);
                 has_reported
-                    || silent_since_ms.is_some_and(|since_ms| now_ms > since_ms + schedule.due_ms)
+                    || last_contact_ms.is_some_and(|since_ms| now_ms > since_ms + schedule.due_ms)
             })
         };
         let max_wait_ms = schedule.due_ms * MAX_WAIT_PERCENT / 100;
