--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -88,7 +88,7 @@
     Lost,
     /// No response head was received in time, or the runner became suspect. It may have executed
     /// the request.
-    Unanswered,
+    NoResponse,
 }
 
 /// A response whose head has been received.
@@ -186,7 +186,7 @@
     /// Expected time until the prefill is finished. It is only logged.
     pub expected_prefill: Duration,
     /// Time without data from the runner after which the runner is checked.
-    pub verify_after: Duration,
+    pub probe_after: Duration,
     /// Whether the attempt is abandoned when its runner becomes suspect. Only set if the request
     /// may be repeated.
     pub abandons_suspects: bool,
@@ -220,9 +220,9 @@
         () = wait_until_suspected(node, &runner), if params.abandons_suspects => {
             log::info!(target: "attempt", request = request.metadata.id.as_str(), runner = runner.as_str(); "left");
             record_unfinished_attempt(node, attempt);
-            return AttemptEnd::Unanswered;
+            return AttemptEnd::NoResponse;
         }
-        () = probe_while_silent(node, &runner, params.verify_after) => return AttemptEnd::Unanswered,
+        () = probe_while_silent(node, &runner, params.probe_after) => return AttemptEnd::NoResponse,
     };
     match outcome {
         Err(_) => {
@@ -231,7 +231,7 @@
             log::info!(target: "attempt", request = id, runner = runner.as_str(), limit_ms; "silent");
             node.on_attempt_timeout(&runner, sent_at_us);
             record_unfinished_attempt(node, attempt);
-            AttemptEnd::Unanswered
+            AttemptEnd::NoResponse
         }
         Ok(Err(error)) => {
             on_connection_lost(node, attempt, connection, &error);
@@ -259,12 +259,12 @@
         fetch_from: params.fetch_from,
         tenant: params.tenant.clone(),
     };
-    let left_out = OmittedHeaders {
+    let omitted = OmittedHeaders {
         last_event_id: params.after_event.is_some(),
         authorization: params.has_tenants,
     };
     let is_forwarded =
-        |(name, value): &&Header| headers::is_forwarded_to_runner(name, value, left_out);
+        |(name, value): &&Header| headers::is_forwarded_to_runner(name, value, omitted);
     let forwarded_headers = request.headers.iter().filter(is_forwarded);
     let mut headers_to_send: Vec<Header> = forwarded_headers.cloned().collect();
     let attempt_headers = headers::attempt_headers(&instructions).into_iter();
@@ -315,8 +315,8 @@
         node.fleet.borrow_mut().on_load(&runner, load, node.now_us());
     }
     let is_own = metadata.request_id.as_deref() == Some(id);
-    if metadata.not_run && (is_own || metadata.request_id.is_none()) {
-        let misdirected = metadata.misdirected;
+    if metadata.is_declined && (is_own || metadata.request_id.is_none()) {
+        let misdirected = metadata.is_misdirected;
         log::info!(target: "attempt", request = id, runner = runner.as_str(), status, misdirected; "declined");
         on_declined(node, prepared, head, misdirected);
         return AttemptEnd::Declined;
@@ -324,12 +324,12 @@
     let is_success = (200..300).contains(&status);
     let is_prefill_response = params.work == Work::Prefill && is_success;
     // A response without a runner's stamp was not sent by a runner, whatever its status.
-    if !is_own || metadata.encoded || !(metadata.signed || is_prefill_response) {
+    if !is_own || metadata.is_encoded || !(metadata.is_signed || is_prefill_response) {
         log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "invalid response");
-        node.fleet.borrow_mut().on_answered(&runner, true, node.now_us());
+        node.fleet.borrow_mut().on_response(&runner, true, node.now_us());
         return AttemptEnd::Lost;
     }
-    node.fleet.borrow_mut().on_answered(&runner, status >= 500, node.now_us());
+    node.fleet.borrow_mut().on_response(&runner, status >= 500, node.now_us());
     node.fleet.borrow_mut().on_accepted(&runner);
     let decoder = BodyDecoder::new(head.framing);
     let PreparedConnection { connection, record, in_flight, .. } = prepared;
@@ -346,10 +346,10 @@
     node: &Rc<Node>,
     prepared: PreparedConnection,
     head: ResponseHead,
-    misdirected: bool,
+    is_misdirected: bool,
 ) {
     let runner = prepared.record.id.clone();
-    if misdirected {
+    if is_misdirected {
         node.fleet.borrow_mut().on_misdirected(&runner);
         node.pool.remove_runner(&runner);
         return;
@@ -378,12 +378,12 @@
     let runner = prepared.record.id.as_str();
     let reused = prepared.idle.is_some();
     let revision = prepared.record.revision.to_string();
-    let unread = prepared.in_flight.demand.prefill_tokens;
-    let late = prepared.in_flight.demand.overdue_tokens;
+    let prefill_tokens = prepared.in_flight.demand.prefill_tokens;
+    let overdue_tokens = prepared.in_flight.demand.overdue_tokens;
     let expected_ms = u64::try_from(params.expected_prefill.as_millis()).unwrap_or(u64::MAX);
     let rank = params.priority.unwrap_or_default();
     let fetch = params.fetch_from.is_some();
-    log::info!(target: "attempt", request = id, runner, work, reused, revision, unread, late, rank, fetch, expected_ms; "sent");
+    log::info!(target: "attempt", request = id, runner, work, reused, revision, unread = prefill_tokens, late = overdue_tokens, rank, fetch, expected_ms; "sent");
 }
 
 fn log_head(
@@ -399,12 +399,12 @@
     let head_ms = u64::try_from(sent_at.elapsed().as_millis()).unwrap_or(u64::MAX);
     let running = metadata.load.map_or(0, |load| load.running);
     let waiting = metadata.load.map_or(0, |load| load.waiting);
-    let RunnerNotice { leaving, rest_us, limit, malformed } = metadata.notice;
+    let RunnerNotice { is_leaving, rest_us, limit, is_malformed } = metadata.notice;
     let limit = limit.map_or_else(|| "none".to_owned(), |limit| limit.to_string());
     let rest_ms = rest_us / US_PER_MS;
     log::info!(
         target: "attempt",
-        request = id, runner, status, head_ms, running, waiting, leaving, rest_ms, limit, malformed; "head"
+        request = id, runner, status, head_ms, running, waiting, leaving = is_leaving, rest_ms, limit, malformed = is_malformed; "head"
     );
 }
 
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -48,8 +48,8 @@
         }
         let prefixes = reply.map(|reply| reply.value);
         let listed = prefixes.as_ref().map_or(0, Vec::len);
-        let answered = prefixes.is_some();
-        log::info!(target: "scheduling", runner = runner.as_str(), answered, listed; "cache listed");
+        let has_replied = prefixes.is_some();
+        log::info!(target: "scheduling", runner = runner.as_str(), answered = has_replied, listed; "cache listed");
         node.on_prefix_cached(&runner, &prefixes.unwrap_or_default());
     }
 }
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -10,7 +10,7 @@
 /// Result of the admission checks of a planned run.
 pub(super) enum Admission {
     /// The run may be sent. Contains what was spent on it, if its tenant has a quota.
-    Paid(Option<SentReservation>),
+    Admitted(Option<SentReservation>),
     /// The runner accepts no requests of this node any more. Nothing has been spent.
     Withheld,
 }
@@ -25,7 +25,7 @@
         if self.is_quarantined() {
             return Err(EndReason::Quarantined);
         }
-        self.ensure_paid().await?;
+        self.ensure_reserved().await?;
         // The runner may have reported this since it was chosen, for example during a prefill
         // elsewhere.
         if !self.node.may_send_to(&plan.choice.runner) {
@@ -35,9 +35,9 @@
         if !self.is_permitted(plan).await {
             return Ok(Admission::Withheld);
         }
-        let is_paid = self.run_cost.is_none()
-            || self.payment.as_ref().is_some_and(QuotaReservation::is_usable);
-        if !is_paid || !self.node.may_send_to(&plan.choice.runner) {
+        let is_reserved = self.run_cost.is_none()
+            || self.reservation.as_ref().is_some_and(QuotaReservation::is_usable);
+        if !is_reserved || !self.node.may_send_to(&plan.choice.runner) {
             return Ok(Admission::Withheld);
         }
         let cost = self.arrivals.on_run();
@@ -47,10 +47,10 @@
         {
             return Err(EndReason::OutOfTime);
         }
-        if !self.pay_for_arrival(cost) {
+        if !self.charge_arrival(cost) {
             return Err(EndReason::Refused);
         }
-        Ok(Admission::Paid(self.payment.take().map(QuotaReservation::mark_sent)))
+        Ok(Admission::Admitted(self.reservation.take().map(QuotaReservation::mark_sent)))
     }
 
     /// Whether the runner's limit allows one more request.
@@ -64,9 +64,9 @@
 
     /// Requests payment for the next run from the keepers of the tenant's quota. `None` if the run
     /// is already paid for or free.
-    pub(super) async fn request_payment(&self) -> Result<Option<QuotaReservation>, EndReason> {
+    pub(super) async fn request_reservation(&self) -> Result<Option<QuotaReservation>, EndReason> {
         match &self.run_cost {
-            Some(run) if self.payment.is_none() => {
+            Some(run) if self.reservation.is_none() => {
                 let request = &self.request.metadata.id;
                 requester::reserve(self.node, request, run).await.map(Some).map_err(end_reason)
             }
@@ -76,23 +76,23 @@
 
     /// Ensures that the run is paid for. A grant that has expired, for example during a prefill, is
     /// returned and requested again.
-    pub(super) async fn ensure_paid(&mut self) -> Result<(), EndReason> {
+    pub(super) async fn ensure_reserved(&mut self) -> Result<(), EndReason> {
         let Some(run) = &self.run_cost else { return Ok(()) };
-        if self.payment.as_ref().is_some_and(QuotaReservation::is_usable) {
+        if self.reservation.as_ref().is_some_and(QuotaReservation::is_usable) {
             return Ok(());
         }
-        let lapsed = self.payment.take();
-        let run = if lapsed.is_some() { &run.with_top_priority() } else { run };
-        drop(lapsed);
-        let payment = requester::reserve(self.node, &self.request.metadata.id, run).await;
-        self.payment = Some(payment.map_err(end_reason)?);
+        let expired = self.reservation.take();
+        let run = if expired.is_some() { &run.with_top_priority() } else { run };
+        drop(expired);
+        let reservation = requester::reserve(self.node, &self.request.metadata.id, run).await;
+        self.reservation = Some(reservation.map_err(end_reason)?);
         Ok(())
     }
 
     /// Draws on the retry budget for sending a request to a runner, if its cost requires it;
     /// `false` if the request must not be sent.
-    pub(super) fn pay_for_arrival(&mut self, cost: ArrivalCost) -> bool {
-        cost == ArrivalCost::Free || std::mem::take(&mut self.has_prepaid_retry) || self.withdraw()
+    pub(super) fn charge_arrival(&mut self, cost: ArrivalCost) -> bool {
+        cost == ArrivalCost::Free || std::mem::take(&mut self.has_charged_retry) || self.withdraw()
     }
 
     pub(super) fn withdraw(&self) -> bool {
@@ -103,8 +103,8 @@
     }
 }
 
-fn end_reason(unpaid: QuotaRejection) -> EndReason {
-    match unpaid {
+fn end_reason(rejection: QuotaRejection) -> EndReason {
+    match rejection {
         QuotaRejection::OverQuota { wait_ms } => EndReason::OverQuota { wait_ms },
         QuotaRejection::Unreachable => EndReason::QuotaUnknown,
     }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -13,7 +13,7 @@
 use crate::clock::Instant;
 use crate::connection::ClientConnection;
 use crate::intake::{BufferedResponse, ClientRequest, RequestOutcome};
-use crate::interrupted_attempt::{on_interrupted, verify_runner, InterruptedAttempt};
+use crate::interrupted_attempt::{on_interrupted, record_and_probe, InterruptedAttempt};
 use crate::local_responses::LocalResponse;
 use crate::node::Node;
 use crate::policy::PlacementRules;
@@ -43,7 +43,7 @@
 /// Share of the remaining time that one attempt may take if another one could follow.
 const MAX_ATTEMPT_TIME_SHARE: f64 = 0.45;
 /// Share of a request's target time without data from the runner after which the runner is checked.
-const VERIFY_AFTER_TARGET_SHARE: f64 = 0.5;
+const PROBE_AFTER_TARGET_SHARE: f64 = 0.5;
 /// Maximum gap between two events of a stream, as a multiple of the route's gap target, before the
 /// stream counts as stalled.
 const STALL_GAP_TARGETS: u32 = 4;
@@ -68,12 +68,12 @@
     /// What a run costs the tenant; `None` if it is free.
     run_cost: Option<RunCost>,
     /// The payment for the next run, if the keepers of the tenant's quota have granted it.
-    payment: Option<QuotaReservation>,
+    reservation: Option<QuotaReservation>,
     /// Whether the request has been counted as begun for its tenant.
     is_counted: bool,
     /// Whether the retry budget has already been charged for the next attempt, which happens when a
     /// stalled attempt is abandoned.
-    has_prepaid_retry: bool,
+    has_charged_retry: bool,
     deadline: Instant,
     /// What is known about the execution of the request after the attempts so far.
     execution: Execution,
@@ -117,9 +117,9 @@
             has_tenants: !configuration.tenants.is_empty(),
             config_version: configuration.version,
             run_cost: None,
-            payment: None,
+            reservation: None,
             is_counted: false,
-            has_prepaid_retry: false,
+            has_charged_retry: false,
             deadline,
             execution: Execution::NotRun,
             runs: 0,
@@ -133,9 +133,9 @@
 
     /// Sets the tenant on whose behalf the request runs.
     pub fn for_tenant(self, tenant: Option<Rc<Tenant>>) -> Self {
-        let facts = &self.request.metadata;
+        let metadata = &self.request.metadata;
         let run_cost =
-            RunCost::of(tenant.as_ref(), facts, self.rules.priority, self.config_version);
+            RunCost::of(tenant.as_ref(), metadata, self.rules.priority, self.config_version);
         Self { tenant, run_cost, ..self }
     }
 
@@ -168,8 +168,8 @@
                 return self.on_unreachable(plan.choice.runner);
             }
         };
-        let spent = match self.admit(&plan).await {
-            Ok(Admission::Paid(spent)) => spent,
+        let sent_reservation = match self.admit(&plan).await {
+            Ok(Admission::Admitted(sent_reservation)) => sent_reservation,
             Ok(Admission::Withheld) => return Step::Retry,
             Err(reason) => return self.give_up(reason),
         };
@@ -179,16 +179,18 @@
         };
         let params = self.attempt_params(work, &plan.choice);
         let sent_at = Instant::now();
-        let mut begin = self.begin_mark(sent_at);
+        let mut start_recorder = self.start_recorder(sent_at);
         let end = attempt::send(self.node, self.request, prepared, &params).await;
-        match (&end, spent) {
-            (AttemptEnd::Declined, spent) => self.payment = spent.map(SentReservation::on_not_run),
-            (_, Some(spent)) => spent.on_started(),
+        match (&end, sent_reservation) {
+            (AttemptEnd::Declined, sent_reservation) => {
+                self.reservation = sent_reservation.map(SentReservation::on_not_run)
+            }
+            (_, Some(sent_reservation)) => sent_reservation.on_started(),
             (_, None) => {}
         }
         match end {
             AttemptEnd::Responding(response) => {
-                begin.on_response();
+                start_recorder.on_response();
                 self.is_counted = true;
                 if let Some(prompt) = &plan.prefilled {
                     prompt.mark_transferred();
@@ -198,13 +200,13 @@
                 self.deliver(*response, client).await
             }
             AttemptEnd::Declined => {
-                begin.on_declined();
+                start_recorder.on_declined();
                 plan.report(Progress::Declined(plan.choice.runner.clone()));
                 self.excluded.push(plan.choice.runner);
                 Step::Retry
             }
-            AttemptEnd::Lost | AttemptEnd::Unanswered => {
-                begin.on_no_response();
+            AttemptEnd::Lost | AttemptEnd::NoResponse => {
+                start_recorder.on_no_response();
                 self.is_counted = true;
                 self.on_lost(plan.choice.runner)
             }
@@ -222,7 +224,7 @@
     }
 
     /// Counts the request for its tenant when it begins to run, once regardless of repetitions.
-    fn begin_mark(&self, sent_at: Instant) -> StartRecorder {
+    fn start_recorder(&self, sent_at: Instant) -> StartRecorder {
         let tenant = self.tenant.as_ref().filter(|_| !self.is_counted);
         let tenant = tenant.map(|tenant| tenant.name.clone());
         StartRecorder::new(self.node, tenant, sent_at, self.engine.is_none())
@@ -246,8 +248,8 @@
             deadline: self.deadline,
             head_timeout: self.attempt_timeout(),
             expected_prefill: Duration::from_micros(choice.expected_prefill_us),
-            verify_after: Duration::from_millis(self.route.target_ms)
-                .mul_f64(VERIFY_AFTER_TARGET_SHARE),
+            probe_after: Duration::from_millis(self.route.target_ms)
+                .mul_f64(PROBE_AFTER_TARGET_SHARE),
             abandons_suspects: self.allows_another_attempt(),
         }
     }
@@ -365,7 +367,7 @@
         if is_framed {
             self.node.on_request_succeeded(|| self.identity());
         } else {
-            verify_runner(self.node, self.interrupted_attempt(runner));
+            record_and_probe(self.node, self.interrupted_attempt(runner));
         }
     }
 
@@ -421,9 +423,9 @@
             scope: Scope::AllRegions,
         };
         let has_other = self.node.fleet.borrow().has_healthy(&eligible, self.node.now_us());
-        self.has_prepaid_retry =
-            self.has_prepaid_retry || (has_other && self.may_run_again(1) && self.withdraw());
-        self.has_prepaid_retry
+        self.has_charged_retry =
+            self.has_charged_retry || (has_other && self.may_run_again(1) && self.withdraw());
+        self.has_charged_retry
     }
 
     /// Maximum gap between two events. Only a stream that can be continued by another runner is
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -122,7 +122,7 @@
 
     async fn plan_now(&mut self) -> Result<Option<Plan>, EndReason> {
         if self.engine.is_none() {
-            self.ensure_paid().await?;
+            self.ensure_reserved().await?;
             let choice = choose_least_occupied(&self.node.fleet.borrow(), &self.demand());
             return Ok(choice.map(|choice| Plan {
                 choice,
@@ -131,8 +131,8 @@
                 permit: None,
             }));
         }
-        let (placement, payment) = tokio::join!(self.place(), self.request_payment());
-        self.payment = payment?.or(self.payment.take());
+        let (placement, reservation) = tokio::join!(self.place(), self.request_reservation());
+        self.reservation = reservation?.or(self.reservation.take());
         let Placement { prefill, decode, progress_reporter } = placement;
         match prefill {
             None => Ok(None),
@@ -255,7 +255,7 @@
         if cost != ArrivalCost::Free && self.would_miss_deadline(&prefill_runner) {
             return None;
         }
-        if !self.pay_for_arrival(cost) {
+        if !self.charge_arrival(cost) {
             return None;
         }
         let mut params = self.attempt_params(Work::Prefill, &prefill_runner);
--- a/crates/gateway/src/interrupted_attempt.rs
+++ b/crates/gateway/src/interrupted_attempt.rs
@@ -33,11 +33,11 @@
 pub fn on_interrupted(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     let now_us = node.now_us();
     node.fleet.borrow_mut().on_response_interrupted(attempt.runner, now_us);
-    verify_runner(node, attempt);
+    record_and_probe(node, attempt);
 }
 
 /// Records the unfinished attempt and checks whether its runner has crashed.
-pub fn verify_runner(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
+pub fn record_and_probe(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     record_unfinished_attempt(node, attempt);
     probe(node, attempt.runner, node.now_us());
 }
@@ -45,7 +45,7 @@
 /// Records that a request was in progress at a runner that may have crashed.
 pub fn record_unfinished_attempt(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     let identity = attempt.request.identity(attempt.tenant);
-    node.on_broken_attempt(attempt.runner, attempt.request.metadata.id.as_str(), identity);
+    node.on_attempt_interrupted(attempt.runner, attempt.request.metadata.id.as_str(), identity);
 }
 
 /// How the connection of a lost attempt was used.
@@ -77,14 +77,14 @@
     let runner = attempt.runner;
     let id = attempt.request.metadata.id.as_str();
     let stale_after = connection.stale_after();
-    let rested_ms = stale_after.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
-    log::info!(target: "attempt", request = id, runner = runner.as_str(), rested_ms, error; "lost");
+    let idle_ms = stale_after.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
+    log::info!(target: "attempt", request = id, runner = runner.as_str(), rested_ms = idle_ms, error; "lost");
     match stale_after {
         Some(idle) => {
             node.pool.on_stale_connection(idle);
             node.pool.remove_runner(runner);
             // The runner may also have crashed just after it accepted the request.
-            verify_runner(node, attempt);
+            record_and_probe(node, attempt);
         }
         None => on_interrupted(node, attempt),
     }
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -24,10 +24,15 @@
 impl Node {
     /// Records an attempt that broke or received no response. It counts as a crash if the runner is
     /// known to have terminated.
-    pub fn on_broken_attempt(&self, runner: &RunnerId, request: &str, identity: RequestIdentity) {
+    pub fn on_attempt_interrupted(
+        &self,
+        runner: &RunnerId,
+        request: &str,
+        identity: RequestIdentity,
+    ) {
         let now_us = self.now_us();
         let has_ended =
-            self.crash_evidence.borrow_mut().on_attempt_broken(runner, identity, now_us);
+            self.crash_evidence.borrow_mut().on_attempt_interrupted(runner, identity, now_us);
         let (runner_name, identity_text) = (runner.as_str(), identity.to_string());
         log::info!(target: "crash", request, runner = runner_name, identity = identity_text, has_ended; "broken attempt");
         if has_ended {
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -162,7 +162,7 @@
         }
         let changes = self.fleet.borrow_mut().on_notice(runner, notice, self.now_us());
         let runner = runner.as_str();
-        if changes.leaving {
+        if changes.starts_leaving {
             self.metrics.on_runner_notice("leaving");
             log::info!(target: "fleet", runner; "runner reported that it is leaving");
         }
@@ -171,7 +171,7 @@
             let rest_ms = rest_us / MICROS_PER_MILLI;
             log::info!(target: "fleet", runner, rest_ms; "runner reported a rest period");
         }
-        if notice.malformed {
+        if notice.is_malformed {
             self.metrics.on_runner_notice("malformed");
         }
     }
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -93,25 +93,29 @@
     let runner = prepared.record().id.clone();
     let tokens = prefill.choice.prefill_tokens();
     let was_unqueued = node.has_no_other_requests(&runner, tokens);
-    let answering = match attempt::send(node, prefill.request, prepared, params).await {
-        AttemptEnd::Responding(answering) => answering,
+    let response = match attempt::send(node, prefill.request, prepared, params).await {
+        AttemptEnd::Responding(response) => response,
         AttemptEnd::Declined => return PrefillOutcome::Declined,
-        AttemptEnd::Unanswered | AttemptEnd::Lost => return PrefillOutcome::Failed,
+        AttemptEnd::NoResponse | AttemptEnd::Lost => return PrefillOutcome::Failed,
     };
-    let response = match timeout(params.head_timeout, answering.read_all()).await {
-        Ok(Ok(response)) => response,
+    let full_response = match timeout(params.head_timeout, response.read_all()).await {
+        Ok(Ok(full_response)) => full_response,
         Ok(Err(error)) => {
             let (request, error) = (prefill.request.metadata.id.as_str(), error.to_string());
             log::info!(target: "reading", request, runner = runner.as_str(), error; "response interrupted");
             let tenant = params.tenant.as_ref();
-            let broken = InterruptedAttempt { request: prefill.request, tenant, runner: &runner };
-            on_interrupted(node, broken);
+            let interrupted =
+                InterruptedAttempt { request: prefill.request, tenant, runner: &runner };
+            on_interrupted(node, interrupted);
             return PrefillOutcome::Failed;
         }
         Err(_) => return PrefillOutcome::Failed,
     };
-    let prefill_result =
-        if response.status == 200 { paths::parse_prefill_response(&response.body) } else { None };
+    let prefill_result = if full_response.status == 200 {
+        paths::parse_prefill_response(&full_response.body)
+    } else {
+        None
+    };
     let Some(prefill_result) = prefill_result else { return PrefillOutcome::Failed };
     // The handle is valid whichever incarnation of the runner returned it. If it is not the known incarnation, the
     // state recorded for that one no longer applies.
@@ -123,9 +127,9 @@
     let elapsed_ms = started_at.elapsed().as_secs_f64() * 1_000.0;
     let sample = PrefillSample { tokens, elapsed_ms, was_unqueued };
     node.on_prefill_measured(prefill.service, &runner, sample);
-    let handle = KvHandle { address: answering.record.address, name };
-    let zone = answering.record.zone.clone();
-    answering.return_connection(node);
+    let handle = KvHandle { address: response.record.address, name };
+    let zone = response.record.zone.clone();
+    response.return_connection(node);
     PrefillOutcome::Prefilled(PrefilledPrompt {
         handle,
         zone,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -56,24 +56,24 @@
 /// Forwards one run of a stream. Only complete events are forwarded, so that another run can continue the stream.
 /// Bytes of an incomplete event stay in `splitter`, so that relaying a stalled run can be resumed.
 pub async fn relay(
-    answering: &AttemptResponse,
+    response: &AttemptResponse,
     client: &ClientConnection,
     state: &mut StreamState,
     splitter: &mut EventSplitter,
     limits: RelayLimits,
 ) -> RelayOutcome {
-    let headers = answering.client_headers();
+    let headers = response.client_headers();
     loop {
         let remaining = limits.deadline.saturating_duration_since(Instant::now());
-        let result = match timeout(remaining.min(limits.max_pause), answering.read_chunk()).await {
+        let result = match timeout(remaining.min(limits.max_pause), response.read_chunk()).await {
             Ok(result) => result,
             Err(_) if remaining <= limits.max_pause => return RelayOutcome::DeadlineExceeded,
             Err(_) => return RelayOutcome::Stalled,
         };
-        answering.in_flight.on_progress();
+        response.in_flight.on_progress();
         let forwarded = match result {
             Ok(Some(bytes)) => forward(&bytes, splitter, client, state, &headers).await,
-            Ok(None) => return finish(answering, splitter, client, state, &headers).await,
+            Ok(None) => return finish(response, splitter, client, state, &headers).await,
             Err(_) => return RelayOutcome::ConnectionLost,
         };
         if forwarded.is_err() {
@@ -119,14 +119,14 @@
 /// Handles the end of the body. If the body ends with the connection and an event is incomplete, the runner has
 /// stopped in the middle of that event.
 async fn finish(
-    answering: &AttemptResponse,
+    response: &AttemptResponse,
     splitter: &EventSplitter,
     client: &ClientConnection,
     state: &mut StreamState,
     headers: &[Header],
 ) -> RelayOutcome {
     let incomplete_event = splitter.pending();
-    if !incomplete_event.is_empty() && answering.ends_with_connection() {
+    if !incomplete_event.is_empty() && response.ends_with_connection() {
         return RelayOutcome::ConnectionLost;
     }
     let written = async {
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -149,17 +149,18 @@
         }
         let record = self.node.fleet.borrow().get(&change.runner).map(|it| it.record.clone());
         let Some(record) = record else { return };
-        let answer = self.send_order(&record, change.stage, fence).await;
+        let response = self.send_order(&record, change.stage, fence).await;
         let now_us = self.node.now_us();
         // An order without a response may have been accepted.
-        if !matches!(answer, Some(OrderResponse::Refused | OrderResponse::Outdated)) {
+        if !matches!(response, Some(OrderResponse::Refused | OrderResponse::Outdated)) {
             let until_us = now_us + MAX_ROLE_CHANGE_US;
             self.node.on_role_change_ordered(&record.id, change.stage, until_us);
         }
         let runner = record.id.as_str();
         let (stage, fence) = (format!("{:?}", change.stage), fence.number());
-        let answer = answer.map_or_else(|| "none".to_owned(), |answer| format!("{answer:?}"));
-        log::info!(target: "authority", runner, stage, fence, answer; "ordered");
+        let response =
+            response.map_or_else(|| "none".to_owned(), |response| format!("{response:?}"));
+        log::info!(target: "authority", runner, stage, fence, answer = response; "ordered");
     }
 
     /// The current fencing token, if orders are allowed now.
@@ -183,9 +184,9 @@
             self.node.on_incarnation_mismatch(&record.id, report.started_at_ms);
             return Some(OrderResponse::Refused);
         }
-        let RunnerReport { accepted_orders, is_busy, is_draining: leaving } = report.value;
-        self.node.on_notice(&record.id, RunnerNotice { leaving, ..RunnerNotice::default() });
-        if is_busy || leaving {
+        let RunnerReport { accepted_orders, is_busy, is_draining: is_leaving } = report.value;
+        self.node.on_notice(&record.id, RunnerNotice { is_leaving, ..RunnerNotice::default() });
+        if is_busy || is_leaving {
             return Some(OrderResponse::Refused);
         }
         // The term may have ended while the runner's report was awaited.
@@ -195,11 +196,11 @@
         let name = self.node.settings().node.name.clone();
         let order = paths::role_order_body(stage, &name, fence, accepted_orders);
         let (status, _) = call_runner(&self.node, record, "POST", paths::ORDER, &order).await?;
-        let answer = paths::parse_order_status(status);
-        if answer == Some(OrderResponse::Outdated) {
+        let response = paths::parse_order_status(status);
+        if response == Some(OrderResponse::Outdated) {
             self.holding().on_refused(fence);
         }
-        answer
+        response
     }
 }
 
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -212,8 +212,8 @@
 /// Handles a keeper's reply. A late reply is discarded. Its grant stays unused, so the limit still
 /// holds.
 pub fn on_reply(node: &Node, reply: LimitReply) {
-    let pending_queries = node.runner_limits.pending_queries.borrow_mut().remove(&reply.ticket);
-    if let Some(sender) = pending_queries {
+    let pending_query = node.runner_limits.pending_queries.borrow_mut().remove(&reply.ticket);
+    if let Some(sender) = pending_query {
         // If the request has just ended, the receiver is gone and the grant is lost.
         let _ = sender.send(reply.verdict);
     }
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -108,16 +108,17 @@
     /// is unreadable.
     async fn begin_plan(&mut self, service: &ServiceName) -> bool {
         let read = store::read_capacity(service);
-        let answer = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
-        let (record, counting_since) = match answer.map(|answer| (answer.status, answer.body)) {
-            Some((StoreStatus::Done, body)) => {
-                let record = ok_or_log(service.as_str(), store::parse_capacity(&body));
-                let Some(record) = record else { return false };
-                (record, None)
-            }
-            Some((StoreStatus::Absent, _)) => (self.observed(service), Some(Instant::now())),
-            _ => return false,
-        };
+        let response = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
+        let (record, counting_since) =
+            match response.map(|response| (response.status, response.body)) {
+                Some((StoreStatus::Done, body)) => {
+                    let record = ok_or_log(service.as_str(), store::parse_capacity(&body));
+                    let Some(record) = record else { return false };
+                    (record, None)
+                }
+                Some((StoreStatus::Absent, _)) => (self.observed(service), Some(Instant::now())),
+                _ => return false,
+            };
         let planner = CapacityPlanner::new(self.policy(), record.clone());
         let initial_preemptible = self.supply(service).values().map(|zone| zone.preemptible).sum();
         let plan = ServicePlan { planner, record, initial_preemptible, counting_since };
@@ -151,8 +152,8 @@
         }
         let Some(fence) = self.fence else { return };
         let write = store::write_capacity(service, &plan.record, fence);
-        let answer = self.node.call_store(&mut self.store, &write, CALL_TIMEOUT).await;
-        match answer.map(|answer| answer.status) {
+        let response = self.node.call_store(&mut self.store, &write, CALL_TIMEOUT).await;
+        match response.map(|response| response.status) {
             Some(StoreStatus::Done) => plan.counting_since = None,
             Some(StoreStatus::Conflict) => self.node.authority.on_refused(fence),
             _ => {}
@@ -206,11 +207,11 @@
             preemptible,
         };
         self.node.metrics.cloud_calls.inc();
-        let answer = self
+        let response = self
             .cloud
             .call(cloud.address, &cloud::scale(&holder, &scale_order), CALL_TIMEOUT)
             .await;
-        let outcome = answer.as_ref().map(|answer| cloud::parse_status(answer.status));
+        let outcome = response.as_ref().map(|response| cloud::parse_status(response.status));
         log_order(service, order, fence, &outcome);
         let now_us = self.node.now_us();
         let Some(plan) = self.plans.get_mut(service) else { return false };
@@ -239,11 +240,11 @@
     fence: FencingToken,
     outcome: &Result<DutyResponse, E>,
 ) {
-    let answer = match outcome {
-        Ok(answer) => format!("{answer:?}"),
+    let response = match outcome {
+        Ok(response) => format!("{response:?}"),
         Err(error) => error.to_string(),
     };
     let (service, zone, runners) = (service.as_str(), order.zone.as_str(), order.runners);
     let (runner_kind, fence) = (format!("{:?}", order.kind), fence.number());
-    log::info!(target: "scaling", service, zone, runner_kind, runners, fence, answer; "ordered");
+    log::info!(target: "scaling", service, zone, runner_kind, runners, fence, answer = response; "ordered");
 }
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -218,7 +218,7 @@
     log_reply(demand.request, &scheduler, shard, &reply, elapsed);
     node.metrics.placements.inc();
     node.scheduling.missed_replies.on_reply(&scheduler);
-    if let Some(remote) = reply.elsewhere {
+    if let Some(remote) = reply.remote {
         return Outcome::RemoteRegion(remote);
     }
     placement_from_reply(node, reply, reporter_to(from)).map_or(Outcome::NoReply, Outcome::Placed)
@@ -244,9 +244,9 @@
     elapsed: Duration,
 ) {
     let took_us = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
-    let (reader, writer) = runner_names(reply.plan.as_ref());
+    let (prefill, decode) = runner_names(reply.plan.as_ref());
     let (scheduler, region) = (scheduler.as_str(), shard.region.as_str());
-    log::info!(target: "scheduling", request, scheduler, region, took_us, reader, writer; "told");
+    log::info!(target: "scheduling", request, scheduler, region, took_us, reader = prefill, writer = decode; "told");
 }
 
 /// Names of the prefill runner and the decode runner, for logging.
@@ -425,8 +425,8 @@
 /// Handles a scheduler's reply. A late reply is discarded: the request has been placed by other
 /// means, and the scheduler is told again to end its reservation.
 pub fn on_reply(node: &Node, reply: PlacementReply, from: SocketAddr) {
-    let pending_queries = node.scheduling.pending_queries.borrow_mut().remove(&reply.ticket);
-    match pending_queries {
+    let pending_query = node.scheduling.pending_queries.borrow_mut().remove(&reply.ticket);
+    match pending_query {
         // If the request has just ended, the receiver is gone and the reservation expires.
         Some(sender) => drop(sender.send((reply, from))),
         None => {
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -100,13 +100,13 @@
     node: &Node,
     query: &PlacementQuery,
     plan: Option<WirePlan>,
-    elsewhere: Option<RemoteRegion>,
+    remote: Option<RemoteRegion>,
 ) {
-    let (reader, writer) = runner_names(plan.as_ref());
+    let (prefill, decode) = runner_names(plan.as_ref());
     let (region, shard) = (query.shard.region.as_str(), query.shard.number);
-    let other_region = elsewhere.as_ref().map_or("", |preferred| preferred.region.as_str());
-    log::info!(target: "scheduling", request = query.request.as_str(), region, shard, reader, writer, other_region; "placed");
-    let reply = PlacementReply { ticket: query.ticket, plan, elsewhere };
+    let other_region = remote.as_ref().map_or("", |preferred| preferred.region.as_str());
+    log::info!(target: "scheduling", request = query.request.as_str(), region, shard, reader = prefill, writer = decode, other_region; "placed");
+    let reply = PlacementReply { ticket: query.ticket, plan, remote };
     node.scheduling.socket.send(&PeerMessage::PlacementReply(reply), &[query.reply_to]);
 }
 
--- a/crates/serving/src/crash_evidence.rs
+++ b/crates/serving/src/crash_evidence.rs
@@ -33,15 +33,15 @@
 /// The broken attempts that one node knows of.
 #[derive(Clone, Debug, Default)]
 pub struct CrashEvidence {
-    in_doubt: HashMap<RunnerId, Vec<BrokenAttempt>>,
+    in_doubt: HashMap<RunnerId, Vec<InterruptedAttempt>>,
     /// Terminated runners, and when this node learned of it.
     terminated: HashMap<RunnerId, u64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct BrokenAttempt {
+struct InterruptedAttempt {
     request: RequestIdentity,
-    broken_at_us: u64,
+    interrupted_at_us: u64,
     /// Whether the runner has accepted a connection since.
     seems_alive: bool,
 }
@@ -49,7 +49,7 @@
 impl CrashEvidence {
     /// Records an attempt that broke or got no response. Returns whether its runner is already
     /// known to have terminated; otherwise the attempt is in doubt.
-    pub fn on_attempt_broken(
+    pub fn on_attempt_interrupted(
         &mut self,
         runner: &RunnerId,
         request: RequestIdentity,
@@ -59,10 +59,14 @@
         if self.terminated.contains_key(runner) {
             return true;
         }
-        let broken = self.in_doubt.entry(runner.clone()).or_default();
-        let is_known = broken.iter().any(|attempt| attempt.request == request);
-        if !is_known && broken.len() < MAX_IN_DOUBT_PER_RUNNER {
-            broken.push(BrokenAttempt { request, broken_at_us: now_us, seems_alive: false });
+        let interrupted = self.in_doubt.entry(runner.clone()).or_default();
+        let is_known = interrupted.iter().any(|attempt| attempt.request == request);
+        if !is_known && interrupted.len() < MAX_IN_DOUBT_PER_RUNNER {
+            interrupted.push(InterruptedAttempt {
+                request,
+                interrupted_at_us: now_us,
+                seems_alive: false,
+            });
         }
         false
     }
@@ -71,8 +75,8 @@
     /// it terminated. Attempts that broke while the runner still accepted connections broke for
     /// another reason and are left out.
     pub fn on_planned_departure(&mut self, runner: &RunnerId, now_us: u64) -> Vec<RequestIdentity> {
-        if let Some(broken) = self.in_doubt.get_mut(runner) {
-            broken.retain(|attempt| !attempt.seems_alive);
+        if let Some(interrupted) = self.in_doubt.get_mut(runner) {
+            interrupted.retain(|attempt| !attempt.seems_alive);
         }
         self.on_terminated(runner, now_us)
     }
@@ -81,8 +85,8 @@
     pub fn on_terminated(&mut self, runner: &RunnerId, now_us: u64) -> Vec<RequestIdentity> {
         self.remove_expired(now_us);
         self.terminated.insert(runner.clone(), now_us);
-        let broken = self.in_doubt.remove(runner).unwrap_or_default();
-        broken.into_iter().map(|attempt| attempt.request).collect()
+        let interrupted = self.in_doubt.remove(runner).unwrap_or_default();
+        interrupted.into_iter().map(|attempt| attempt.request).collect()
     }
 
     /// Records that a runner has accepted a connection: its broken attempts most likely broke for
@@ -95,8 +99,8 @@
 
     /// Records that a request got a complete response, which shows that it does not crash runners.
     pub fn on_response_completed(&mut self, request: RequestIdentity) {
-        for broken in self.in_doubt.values_mut() {
-            broken.retain(|attempt| attempt.request != request);
+        for interrupted in self.in_doubt.values_mut() {
+            interrupted.retain(|attempt| attempt.request != request);
         }
     }
 
@@ -107,13 +111,16 @@
         request: RequestIdentity,
         now_us: u64,
     ) -> impl Iterator<Item = &RunnerId> {
-        let is_recent = move |it: &BrokenAttempt| {
-            !it.seems_alive && now_us < it.broken_at_us + PROBE_TIMEOUT_US
+        let is_recent = move |it: &InterruptedAttempt| {
+            !it.seems_alive && now_us < it.interrupted_at_us + PROBE_TIMEOUT_US
         };
-        let broke = move |broken: &[BrokenAttempt]| {
-            broken.iter().any(|it| it.request == request && is_recent(it))
+        let broke = move |interrupted: &[InterruptedAttempt]| {
+            interrupted.iter().any(|it| it.request == request && is_recent(it))
         };
-        self.in_doubt.iter().filter(move |(_, broken)| broke(broken)).map(|(runner, _)| runner)
+        self.in_doubt
+            .iter()
+            .filter(move |(_, interrupted)| broke(interrupted))
+            .map(|(runner, _)| runner)
     }
 
     /// Whether no attempt is in doubt.
@@ -124,9 +131,9 @@
     fn remove_expired(&mut self, now_us: u64) {
         self.terminated
             .retain(|_, terminated_at_us| now_us < *terminated_at_us + TERMINATED_RUNNER_TTL_US);
-        for broken in self.in_doubt.values_mut() {
-            broken.retain(|attempt| now_us < attempt.broken_at_us + DOUBT_TTL_US);
+        for interrupted in self.in_doubt.values_mut() {
+            interrupted.retain(|attempt| now_us < attempt.interrupted_at_us + DOUBT_TTL_US);
         }
-        self.in_doubt.retain(|_, broken| !broken.is_empty());
+        self.in_doubt.retain(|_, interrupted| !interrupted.is_empty());
     }
 }
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -172,7 +172,7 @@
     }
 
     /// Records a response of a runner. `failed` is true if the runner itself failed.
-    pub fn on_answered(&mut self, id: &RunnerId, failed: bool, now_us: u64) {
+    pub fn on_response(&mut self, id: &RunnerId, failed: bool, now_us: u64) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.suspicion.on_progress(now_us);
             runner.failures.on_response(failed, now_us);
@@ -316,7 +316,7 @@
     /// one. The runner gets no requests until a newer entry arrives.
     pub fn on_misdirected(&mut self, id: &RunnerId) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.misdirected = true;
+            runner.is_misdirected = true;
         }
     }
 }
--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -249,7 +249,7 @@
         };
         known.record = record;
         known.region = region;
-        known.misdirected = false;
+        known.is_misdirected = false;
         known.lapsed = None;
         change
     }
--- a/crates/serving/src/request.rs
+++ b/crates/serving/src/request.rs
@@ -70,13 +70,13 @@
     /// Id of the request to which the response belongs.
     pub request_id: Option<String>,
     /// Whether the response carries a runner's signature.
-    pub signed: bool,
+    pub is_signed: bool,
     /// Whether the runner states that it has not run the request and never will.
-    pub not_run: bool,
+    pub is_declined: bool,
     /// Whether a runner other than the addressed one has responded.
-    pub misdirected: bool,
+    pub is_misdirected: bool,
     /// Whether an intermediary has encoded the body.
-    pub encoded: bool,
+    pub is_encoded: bool,
     /// The load that the runner reports; `None` if it reports none.
     pub load: Option<crate::runner::LoadReport>,
     /// The runner that responds, if it states its name.
@@ -93,7 +93,7 @@
     pub fn is_about(&self, runner: &RunnerId) -> bool {
         match &self.instance {
             Some(name) => *name == runner.name(),
-            None => !self.misdirected,
+            None => !self.is_misdirected,
         }
     }
 }
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -132,7 +132,7 @@
     pub(crate) role_change: Option<(Stage, u64)>,
     /// Whether the address answered as another runner, or in another role, than this entry says. A
     /// newer entry resets it.
-    pub(crate) misdirected: bool,
+    pub(crate) is_misdirected: bool,
     /// Set when the entry is gone from the registry but may only have lapsed.
     pub(crate) lapsed: Option<Lapsed>,
     pub(crate) cache: PrefixCacheModel,
@@ -169,7 +169,7 @@
             availability,
             full_until_us: 0,
             role_change: None,
-            misdirected: false,
+            is_misdirected: false,
             lapsed: None,
             cache: PrefixCacheModel::default(),
             speed: RunnerSpeed::default(),
@@ -184,7 +184,7 @@
 
     /// Whether new requests may be sent to the runner by at least some node.
     pub fn accepts_work(&self) -> bool {
-        !self.is_leaving() && !self.misdirected
+        !self.is_leaving() && !self.is_misdirected
     }
 
     /// Whether this node may send a request to the runner now.
--- a/crates/serving/src/runner_limit.rs
+++ b/crates/serving/src/runner_limit.rs
@@ -45,7 +45,7 @@
         let is_later = self.rate.is_none() || sent_at_us > self.reported_at_us;
         match (notice.limit, self.rate) {
             // A malformed rate neither sets nor lifts a limit.
-            (None, _) if notice.malformed => None,
+            (None, _) if notice.is_malformed => None,
             (None, Some(_)) if is_later => self.set(None, now_us),
             (None, _) => None,
             (Some(reported), _) if is_later => self.set(Some(reported), now_us),
--- a/crates/serving/src/runner_notice.rs
+++ b/crates/serving/src/runner_notice.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunnerNotice {
     /// Whether the runner is about to leave.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// Time for which the runner requests that this node send it nothing, microseconds; 0 if it
     /// requests no rest.
     pub rest_us: u64,
@@ -49,7 +49,7 @@
     /// limit.
     pub limit: Option<RequestRate>,
     /// Whether one of these headers had an unknown form. Such a header is ignored.
-    pub malformed: bool,
+    pub is_malformed: bool,
 }
 
 impl RunnerNotice {
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AvailabilityChange {
     /// Whether the runner announced for the first time that it leaves.
-    pub leaving: bool,
+    pub starts_leaving: bool,
     /// Length of the rest that begins with the notice, microseconds; `None` if none was requested
     /// or the runner was already resting.
     pub rest_us: Option<u64>,
@@ -72,7 +72,7 @@
 /// Whether one incarnation of a runner accepts requests from this node, as reported by the runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Availability {
-    leaving: bool,
+    is_leaving: bool,
     rest_until_us: u64,
     /// The runner has requested a rest and has not accepted a request of this node since.
     awaits_trial: bool,
@@ -86,8 +86,8 @@
 impl Availability {
     /// Applies the notice of a response.
     pub fn on_notice(&mut self, notice: RunnerNotice, now_us: u64) -> AvailabilityChange {
-        let starts_leaving = notice.leaving && !self.leaving;
-        self.leaving |= notice.leaving;
+        let starts_leaving = notice.is_leaving && !self.is_leaving;
+        self.is_leaving |= notice.is_leaving;
         let was_resting = self.is_resting(now_us);
         let rest_us = notice.rest_us.min(MAX_REST_US);
         if rest_us > 0 {
@@ -96,7 +96,7 @@
             self.is_trial_in_flight = false;
         }
         let starts_resting = rest_us > 0 && !was_resting;
-        AvailabilityChange { leaving: starts_leaving, rest_us: starts_resting.then_some(rest_us) }
+        AvailabilityChange { starts_leaving, rest_us: starts_resting.then_some(rest_us) }
     }
 
     /// Records that a request was sent to the runner.
@@ -117,7 +117,7 @@
 
     /// Whether the runner has announced that it leaves.
     pub fn is_leaving(&self) -> bool {
-        self.leaving
+        self.is_leaving
     }
 
     /// Whether the runner has requested to get nothing from this node now.
--- a/crates/serving/src/scheduling.rs
+++ b/crates/serving/src/scheduling.rs
@@ -266,7 +266,7 @@
     pub plan: Option<WirePlan>,
     /// The region to ask instead; nothing has been reserved here in that case.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
-    pub elsewhere: Option<RemoteRegion>,
+    pub remote: Option<RemoteRegion>,
 }
 
 /// The progress of a placed request.
--- a/crates/serving/tests/crash_evidence.rs
+++ b/crates/serving/tests/crash_evidence.rs
@@ -20,8 +20,8 @@
 #[test]
 fn a_broken_attempt_is_in_doubt_until_its_runner_has_terminated() {
     let mut evidence = CrashEvidence::default();
-    assert!(!evidence.on_attempt_broken(&runner("a"), request(1), 0));
-    assert!(!evidence.on_attempt_broken(&runner("a"), request(2), 5));
+    assert!(!evidence.on_attempt_interrupted(&runner("a"), request(1), 0));
+    assert!(!evidence.on_attempt_interrupted(&runner("a"), request(2), 5));
     assert_eq!(evidence.runners_in_doubt(request(1), 10).count(), 1);
     assert_eq!(evidence.runners_in_doubt(request(1), SECOND_US).count(), 0);
     let mut in_progress = evidence.on_terminated(&runner("a"), 10);
@@ -35,8 +35,8 @@
 #[test]
 fn a_termination_returns_each_request_once() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_attempt_broken(&runner("a"), request(1), 0);
-    evidence.on_attempt_broken(&runner("a"), request(1), 1);
+    evidence.on_attempt_interrupted(&runner("a"), request(1), 0);
+    evidence.on_attempt_interrupted(&runner("a"), request(1), 1);
     assert_eq!(evidence.on_terminated(&runner("a"), 10).len(), 1);
     assert!(evidence.on_terminated(&runner("a"), 20).is_empty());
 }
@@ -45,14 +45,14 @@
 fn an_attempt_that_breaks_after_its_runner_terminated_is_not_in_doubt() {
     let mut evidence = CrashEvidence::default();
     evidence.on_terminated(&runner("a"), 0);
-    assert!(evidence.on_attempt_broken(&runner("a"), request(1), SECOND_US));
-    assert!(!evidence.on_attempt_broken(&runner("b"), request(1), SECOND_US));
+    assert!(evidence.on_attempt_interrupted(&runner("a"), request(1), SECOND_US));
+    assert!(!evidence.on_attempt_interrupted(&runner("b"), request(1), SECOND_US));
 }
 
 #[test]
 fn a_planned_departure_of_a_live_runner_proves_no_crash() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_attempt_broken(&runner("a"), request(1), 0);
+    evidence.on_attempt_interrupted(&runner("a"), request(1), 0);
     evidence.on_connection_accepted(&runner("a"));
     assert_eq!(evidence.runners_in_doubt(request(1), 5).count(), 0);
     assert!(evidence.on_planned_departure(&runner("a"), 10).is_empty());
@@ -61,7 +61,7 @@
 #[test]
 fn a_reused_address_does_not_hide_a_termination() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_attempt_broken(&runner("a"), request(1), 0);
+    evidence.on_attempt_interrupted(&runner("a"), request(1), 0);
     evidence.on_connection_accepted(&runner("a"));
     assert_eq!(evidence.on_terminated(&runner("a"), 4 * SECOND_US), [request(1)]);
 }
@@ -69,11 +69,11 @@
 #[test]
 fn a_response_clears_its_request_and_old_attempts_expire() {
     let mut evidence = CrashEvidence::default();
-    evidence.on_attempt_broken(&runner("a"), request(1), 0);
-    evidence.on_attempt_broken(&runner("a"), request(2), 0);
+    evidence.on_attempt_interrupted(&runner("a"), request(1), 0);
+    evidence.on_attempt_interrupted(&runner("a"), request(2), 0);
     evidence.on_response_completed(request(1));
     assert_eq!(evidence.on_terminated(&runner("a"), 10), [request(2)]);
-    evidence.on_attempt_broken(&runner("b"), request(1), 0);
-    evidence.on_attempt_broken(&runner("c"), request(1), 60 * SECOND_US);
+    evidence.on_attempt_interrupted(&runner("b"), request(1), 0);
+    evidence.on_attempt_interrupted(&runner("c"), request(1), 60 * SECOND_US);
     assert!(evidence.on_terminated(&runner("b"), 60 * SECOND_US).is_empty());
 }
--- a/crates/serving/tests/runner_incarnations.rs
+++ b/crates/serving/tests/runner_incarnations.rs
@@ -73,13 +73,13 @@
         "load reported by the runner" => {
             fleet.on_load(id, LoadReport { running: 5, waiting: 2 }, SECOND_US)
         }
-        "failures" => (0..20).for_each(|_| fleet.on_answered(id, true, SECOND_US)),
+        "failures" => (0..20).for_each(|_| fleet.on_response(id, true, SECOND_US)),
         "suspicion" => fleet.on_unreachable(id, SECOND_US),
         "full" => fleet.on_full(id, SECOND_US),
         "pending role change" => fleet.on_role_change_ordered(id, Stage::Prefill, 9 * SECOND_US),
         "misdirected" => fleet.on_misdirected(id),
         "leaving by its own notice" => {
-            let notice = RunnerNotice { leaving: true, ..RunnerNotice::default() };
+            let notice = RunnerNotice { is_leaving: true, ..RunnerNotice::default() };
             fleet.on_notice(id, notice, SECOND_US);
         }
         "rest" => {
@@ -246,7 +246,7 @@
     let mut evidence = CrashEvidence::default();
     let changes: Vec<CrashChange> = (1..=3)
         .map(|born_ms| {
-            assert!(!evidence.on_attempt_broken(
+            assert!(!evidence.on_attempt_interrupted(
                 &incarnation(born_ms),
                 request,
                 born_ms * SECOND_US
--- a/crates/serving/tests/runner_limit.rs
+++ b/crates/serving/tests/runner_limit.rs
@@ -49,7 +49,7 @@
 fn a_malformed_rate_changes_nothing() {
     let mut limit = ReportedLimit::default();
     limit.on_response_head(notice_with(Some(TWO)), 1, 10);
-    let malformed = RunnerNotice { malformed: true, ..RunnerNotice::default() };
+    let malformed = RunnerNotice { is_malformed: true, ..RunnerNotice::default() };
     assert_eq!(limit.on_response_head(malformed, 20, 21), None);
     assert_eq!(limit.rate(), Some(TWO));
 }
--- a/crates/serving/tests/runner_notices.rs
+++ b/crates/serving/tests/runner_notices.rs
@@ -15,7 +15,7 @@
 
 const SECOND_US: u64 = 1_000_000;
 const LEAVING: RunnerNotice =
-    RunnerNotice { leaving: true, rest_us: 0, limit: None, malformed: false };
+    RunnerNotice { is_leaving: true, rest_us: 0, limit: None, is_malformed: false };
 
 fn rest(rest_us: u64) -> RunnerNotice {
     RunnerNotice { rest_us, ..RunnerNotice::default() }
@@ -40,7 +40,7 @@
 fn a_rest_ends_only_when_its_time_is_over() {
     let mut availability = Availability::default();
     let learned = availability.on_notice(rest(3 * SECOND_US), SECOND_US);
-    assert_eq!(learned, AvailabilityChange { leaving: false, rest_us: Some(3 * SECOND_US) });
+    assert_eq!(learned, AvailabilityChange { starts_leaving: false, rest_us: Some(3 * SECOND_US) });
     // A later request for a shorter rest, or a response without a notice, does not shorten the
     // rest.
     assert_eq!(
@@ -148,7 +148,7 @@
     Removed { may_have_lapsed: bool },
     RegistryRead { listed: bool },
     LapseExpired,
-    Notice { born: u64, leaving: bool, rest_us: u64 },
+    Notice { born: u64, is_leaving: bool, rest_us: u64 },
     Sent,
     Accepted { born: u64 },
     TimePasses { us: u64 },
@@ -162,7 +162,7 @@
         any::<bool>().prop_map(|listed| Step::RegistryRead { listed }),
         Just(Step::LapseExpired),
         (born.clone(), prop::bool::weighted(0.2), 0..4 * SECOND_US)
-            .prop_map(|(born, leaving, rest_us)| Step::Notice { born, leaving, rest_us }),
+            .prop_map(|(born, is_leaving, rest_us)| Step::Notice { born, is_leaving, rest_us }),
         Just(Step::Sent),
         born.prop_map(|born| Step::Accepted { born }),
         (0..2 * SECOND_US).prop_map(|us| Step::TimePasses { us }),
@@ -172,7 +172,7 @@
 /// What each incarnation has announced, recorded regardless of entries.
 #[derive(Default)]
 struct Announced {
-    leaving: bool,
+    is_leaving: bool,
     rest_until_us: u64,
 }
 
@@ -203,10 +203,10 @@
                     fleet.replace_all(entry.into_iter().collect(), at(revision), None);
                 }
                 Step::LapseExpired => drop(fleet.remove_lapsed(now_us)),
-                Step::Notice { born, leaving, rest_us } => {
-                    fleet.on_notice(&incarnation(born), RunnerNotice { leaving, rest_us, ..RunnerNotice::default() }, now_us);
+                Step::Notice { born, is_leaving, rest_us } => {
+                    fleet.on_notice(&incarnation(born), RunnerNotice { is_leaving, rest_us, ..RunnerNotice::default() }, now_us);
                     let announced = announced.entry(incarnation(born)).or_default();
-                    announced.leaving |= leaving;
+                    announced.is_leaving |= is_leaving;
                     if rest_us > 0 {
                         announced.rest_until_us = announced.rest_until_us.max(now_us + rest_us);
                     }
@@ -221,7 +221,7 @@
             let listed = fleet.iter().next().map(|runner| (runner.record.id.clone(), runner.record.draining));
             if let Some((id, draining)) = listed {
                 let announced = announced.get(&id);
-                let withheld = announced.is_some_and(|announced| announced.leaving || now_us < announced.rest_until_us);
+                let withheld = announced.is_some_and(|announced| announced.is_leaving || now_us < announced.rest_until_us);
                 prop_assert_eq!(chosen.is_empty(), withheld || draining, "{} at {}", id, now_us);
             }
         }
