--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -79,15 +79,15 @@
 
 /// How an attempt ended, up to and including the head of the response.
 pub enum AttemptEnd {
-    /// The runner responds; the body is still to be read.
+    /// The head of a valid response was received; the body is still to be read.
     Responding(Box<AttemptResponse>),
     /// The runner has not executed the request and will not do so.
     Declined,
     /// The connection broke, or the response is not valid. The runner may have executed the
     /// request.
     Lost,
-    /// No response head was received in time, or the runner became suspect. It may have executed
-    /// the request.
+    /// No response head was received in time, or the runner was suspected of having failed
+    /// meanwhile. It may have executed the request.
     NoResponse,
 }
 
@@ -106,7 +106,7 @@
 /// Why no connection to a chosen runner is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrepareError {
-    /// The runner currently accepts no requests of this node, or not any more.
+    /// The runner accepts no requests of this node at the moment, or is leaving.
     Withheld,
     /// The runner cannot be reached, or this node's connection limit for it is used up.
     Unreachable,
@@ -121,7 +121,7 @@
     let record = record_accepting_work(node, &choice.runner)?;
     if attempts_in_flight(node, &choice.runner) >= node.max_connections_per_runner(&record.service)
     {
-        log::info!(target: "attempt", runner = choice.runner.as_str(); "connection limit reached");
+        log::info!(target: "attempt", runner = choice.runner.as_str(); "runner not used: connection limit for one runner reached");
         return Err(PrepareError::Unreachable);
     }
     let in_flight = InFlightGuard::new(node, choice);
@@ -134,8 +134,8 @@
     match Upstream::open(record.address, RUNNER_CONNECT_TIMEOUT).await {
         Ok(connection) => {
             node.on_round_trip(&record.zone, started_at.elapsed());
-            // The runner may have started to leave or to rest while the connection was being
-            // opened.
+            // The runner may have started to leave, or may have requested a rest, while the
+            // connection was being opened.
             let record = record_accepting_work(node, &choice.runner)?;
             Ok(PreparedConnection { connection, record, in_flight, idle: None })
         }
@@ -161,7 +161,7 @@
     accepting.map(|runner| runner.record.clone()).ok_or(PrepareError::Withheld)
 }
 
-/// Parameters of an attempt.
+/// Parameters of one attempt, set by the dispatcher for each attempt of a request.
 #[derive(Clone, Debug)]
 pub struct AttemptParams {
     /// What the runner is asked to do: the whole request, only the prefill, or the decode of a
@@ -179,16 +179,16 @@
     /// Whether the configuration has tenants. If so, the client's credentials are not forwarded to
     /// the runner.
     pub has_tenants: bool,
-    /// When the request's deadline expires.
+    /// When the request's deadline expires. The runner receives the remaining time.
     pub deadline: Instant,
     /// Maximum wait for the head of the response.
     pub head_timeout: Duration,
     /// Expected time until the prefill is finished. It is only logged.
     pub expected_prefill: Duration,
-    /// Time without data from the runner after which the runner is checked.
+    /// Time without data from the runner after which the runner is probed for the first time.
     pub probe_after: Duration,
-    /// Whether the attempt is abandoned when its runner becomes suspect. Only set if the request
-    /// may be repeated.
+    /// Whether the attempt is abandoned when its runner is suspected of having failed. Only set if
+    /// the request may be repeated.
     pub abandons_suspects: bool,
 }
 
@@ -274,7 +274,7 @@
 }
 
 /// Reads response heads until one matches this request. On a reused connection, a surplus response
-/// to an earlier request may come first. What it reports about the runner is used too.
+/// to an earlier request may come first. What that one reports about the runner is used too.
 async fn read_matching_head(
     node: &Node,
     request: &ClientRequest,
@@ -299,7 +299,7 @@
     Err(ReadError::Closed)
 }
 
-/// Decides what the head of a response means for the attempt.
+/// Classifies the attempt by the head of its response, and updates the state of the runner.
 fn classify(
     node: &Rc<Node>,
     request: &ClientRequest,
@@ -323,9 +323,9 @@
     }
     let is_success = (200..300).contains(&status);
     let is_prefill_response = params.work == Work::Prefill && is_success;
-    // A response without a runner's stamp was not sent by a runner, whatever its status.
+    // A response without a runner's signature was not sent by a runner, whatever its status.
     if !is_own || metadata.is_encoded || !(metadata.is_signed || is_prefill_response) {
-        log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "invalid response");
+        log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "invalid response discarded");
         node.fleet.borrow_mut().on_response(&runner, true, node.now_us());
         return AttemptEnd::Lost;
     }
--- a/crates/gateway/src/cache_listing.rs
+++ b/crates/gateway/src/cache_listing.rs
@@ -26,6 +26,7 @@
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Maximum size of a runner's cache list.
 const MAX_LIST_BYTES: usize = 1024 * 1024;
+
 /// Queries the language model runners of the shards that this node schedules. A node that does not
 /// know any other nodes yet would query all runners, so it waits until it has read the list of
 /// nodes.
@@ -49,7 +50,7 @@
         let prefixes = reply.map(|reply| reply.value);
         let listed = prefixes.as_ref().map_or(0, Vec::len);
         let has_replied = prefixes.is_some();
-        log::info!(target: "scheduling", runner = runner.as_str(), answered = has_replied, listed; "cache listed");
+        log::info!(target: "scheduling", runner = runner.as_str(), answered = has_replied, listed; "cache list requested");
         node.on_prefix_cached(&runner, &prefixes.unwrap_or_default());
     }
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -60,7 +60,8 @@
     Respond(LocalResponse),
 }
 
-/// The I/O and HTTP configuration of client connections. Calls with the same head size limit share one configuration.
+/// The I/O and HTTP configuration of client connections. Calls with the same limit on the head's size return the same
+/// configuration.
 pub fn client_config(limits: &ClientLimits) -> SharedCfg {
     CLIENT_CONFIG.with(|cached| {
         let mut cached = cached.borrow_mut();
@@ -87,8 +88,8 @@
     SharedCfg::new("client").add(io).add(http).into()
 }
 
-/// Serves a connection until it ends. The connection is counted as open before its task starts, so that
-/// a planned stop does not overlook it.
+/// Serves a connection until it ends. `_open` counts the connection as open. It is created before the task
+/// starts, so that a planned stop waits for this connection too.
 pub async fn serve(io: Io, config: SharedCfg, node: Rc<Node>, _open: OpenConnection) {
     let codec = Codec::new(0, config.get());
     let connection = ClientConnection { io, codec, node };
@@ -120,7 +121,7 @@
         next
     }
 
-    /// Writes the response unless it was streamed, and says whether the connection stays open.
+    /// Writes the response unless it was streamed. Returns whether the connection stays open.
     async fn finish(&self, outcome: RequestOutcome, request: &ClientRequest) -> AfterRequest {
         let close = self.must_close();
         let written = match outcome {
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -192,15 +192,15 @@
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
 
-/// Applies a changed settings file. An invalid file changes nothing. Changes of the `[node]` section except
-/// its regions, and of the `[listen]` section, take effect at the next start.
+/// Applies a changed settings file. An invalid file changes nothing. The `[listen]` section, and the `[node]`
+/// section except for its regions, take effect at the next start only.
 fn reload(node: &Node, path: &Path) {
     let current = node.settings();
     let (mut settings, program) = match read_settings_and_program(path) {
         Ok(read) => read,
         Err(error) => {
             let error = error.to_string();
-            log::error!(target: "process", error; "settings reload failed");
+            log::error!(target: "process", error; "settings reload failed; the previous settings stay in force");
             return;
         }
     };
@@ -230,6 +230,6 @@
     while node.open_connections() > 0 && Instant::now() < deadline {
         sleep(POLL).await;
     }
-    // Gives the last responses time to leave the socket buffers.
+    // The last responses may still be in the socket buffers.
     sleep(POLL * 5).await;
 }
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -9,9 +9,10 @@
 
 /// Result of the admission checks of a planned run.
 pub(super) enum Admission {
-    /// The run may be sent. Contains what was spent on it, if its tenant has a quota.
+    /// The run may be sent. Contains its quota reservation; `None` if the run costs nothing.
     Admitted(Option<SentReservation>),
-    /// The runner accepts no requests of this node any more. Nothing has been spent.
+    /// The run must not be sent to the planned runner: the runner accepts no more requests of this
+    /// node, or the quota reservation has expired. The reservation has not been used.
     Withheld,
 }
 
@@ -26,8 +27,8 @@
             return Err(EndReason::Quarantined);
         }
         self.ensure_reserved().await?;
-        // The runner may have reported this since it was chosen, for example during a prefill
-        // elsewhere.
+        // Since it was chosen, the runner may have reported that it accepts no requests, for example
+        // while another runner prefilled the prompt.
         if !self.node.may_send_to(&plan.choice.runner) {
             return Ok(Admission::Withheld);
         }
@@ -62,8 +63,8 @@
         runner_limits::request_permit(self.node, request, &plan.choice.runner).await.is_some()
     }
 
-    /// Requests payment for the next run from the keepers of the tenant's quota. `None` if the run
-    /// is already paid for or free.
+    /// Requests a reservation for the next run from the keepers of the tenant's quota. Returns
+    /// `None` if there already is one or if the run costs nothing.
     pub(super) async fn request_reservation(&self) -> Result<Option<QuotaReservation>, EndReason> {
         match &self.run_cost {
             Some(run) if self.reservation.is_none() => {
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Ensures that the run is paid for. A grant that has expired, for example during a prefill, is
-    /// returned and requested again.
+    /// Ensures that there is a usable reservation for the run. One that has expired, for example
+    /// during a prefill, is refunded and requested again with top priority.
     pub(super) async fn ensure_reserved(&mut self) -> Result<(), EndReason> {
         let Some(run) = &self.run_cost else { return Ok(()) };
         if self.reservation.as_ref().is_some_and(QuotaReservation::is_usable) {
@@ -89,8 +90,8 @@
         Ok(())
     }
 
-    /// Draws on the retry budget for sending a request to a runner, if its cost requires it;
-    /// `false` if the request must not be sent.
+    /// Charges the retry budget for sending a request to a runner, if that is an extra attempt.
+    /// Returns `false` if the budget is exhausted, so that the request must not be sent.
     pub(super) fn charge_arrival(&mut self, cost: ArrivalCost) -> bool {
         cost == ArrivalCost::Free || std::mem::take(&mut self.has_charged_retry) || self.withdraw()
     }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -42,7 +42,8 @@
 const MAX_UNREACHABLE_RUNNERS: usize = 8;
 /// Share of the remaining time that one attempt may take if another one could follow.
 const MAX_ATTEMPT_TIME_SHARE: f64 = 0.45;
-/// Share of a request's target time without data from the runner after which the runner is checked.
+/// Time without data from a runner after which the runner is probed, as a share of the request's
+/// target time.
 const PROBE_AFTER_TARGET_SHARE: f64 = 0.5;
 /// Maximum gap between two events of a stream, as a multiple of the route's gap target, before the
 /// stream counts as stalled.
@@ -65,9 +66,10 @@
     /// Whether the configuration has tenants.
     has_tenants: bool,
     config_version: u64,
-    /// What a run costs the tenant; `None` if it is free.
+    /// What a run costs the tenant; `None` if it costs nothing.
     run_cost: Option<RunCost>,
-    /// The payment for the next run, if the keepers of the tenant's quota have granted it.
+    /// The reservation for the next run; `None` if the keepers of the tenant's quota have not
+    /// granted one yet, or if the run costs nothing.
     reservation: Option<QuotaReservation>,
     /// Whether the request has been counted as begun for its tenant.
     is_counted: bool,
@@ -75,7 +77,7 @@
     /// stalled attempt is abandoned.
     has_charged_retry: bool,
     deadline: Instant,
-    /// What is known about the execution of the request after the attempts so far.
+    /// Whether the request has been executed, as far as the attempts so far show.
     execution: Execution,
     /// Number of attempts that may have been executed.
     runs: u32,
@@ -223,7 +225,8 @@
         self.request.identity(self.tenant.as_ref().map(|tenant| &tenant.name))
     }
 
-    /// Counts the request for its tenant when it begins to run, once regardless of repetitions.
+    /// A recorder that counts the request for its tenant when it begins to run. A request is
+    /// counted once, however often it is repeated.
     fn start_recorder(&self, sent_at: Instant) -> StartRecorder {
         let tenant = self.tenant.as_ref().filter(|_| !self.is_counted);
         let tenant = tenant.map(|tenant| tenant.name.clone());
@@ -269,7 +272,7 @@
         }
     }
 
-    /// A slow attempt is only ended early if another one can follow.
+    /// How long an attempt may take. A slow attempt is only ended early if another one can follow.
     fn attempt_timeout(&self) -> Duration {
         let remaining = self.time_remaining();
         if self.allows_another_attempt() {
@@ -461,10 +464,10 @@
         let execution = format!("{:?}", self.execution);
         let reason_name = format!("{reason:?}");
         let runs = self.runs;
-        log::info!(target: "request", request = id, reason = reason_name, execution, runs; "given up");
+        log::info!(target: "request", request = id, reason = reason_name, execution, runs; "no further attempts");
         if reason == EndReason::Quarantined {
             let identity = self.identity().to_string();
-            log::info!(target: "crash", request = id, identity; "held back");
+            log::info!(target: "crash", request = id, identity; "request not sent: quarantined");
         }
         if self.stream.is_head_sent {
             return Step::Done(RequestOutcome::Truncated);
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -51,8 +51,8 @@
 }
 
 impl NextAvailability {
-    /// The reason for failing a request that cannot wait this long. With a limit, other nodes have
-    /// no requests left either, so the client is told when to retry.
+    /// The reason for failing a request that cannot wait this long. A runner's limit applies to all
+    /// nodes together, so the response states when the client may retry.
     fn end_reason(self) -> EndReason {
         let wait_ms = u64::try_from(self.available_in.as_millis()).unwrap_or(u64::MAX);
         match self.has_limit {
@@ -93,8 +93,8 @@
                 return Ok(plan);
             }
             let remaining = give_up_at.saturating_duration_since(Instant::now());
-            // Waiting for a rest period that ends too late would keep the client from retrying
-            // elsewhere.
+            // If the runner becomes available too late, waiting for it would only keep the client
+            // from retrying at another node.
             let availability = self.next_availability();
             if let Some(availability) =
                 availability.filter(|availability| availability.available_in > remaining)
@@ -158,8 +158,8 @@
         scheduling::place(self.node, &demand).await
     }
 
-    /// Has the prompt prefilled, then plans the decode at the planned runner or, if that accepts no
-    /// work any more, at another one. If the separate prefill fails, the decode runner prefills the
+    /// Runs the prefill, then plans the decode at the planned runner or, if that runner accepts no
+    /// more work, at another one. If the separate prefill fails, the decode runner prefills the
     /// prompt itself.
     async fn prefill_then_decode(
         &mut self,
--- a/crates/gateway/src/http/pool.rs
+++ b/crates/gateway/src/http/pool.rs
@@ -25,7 +25,7 @@
 
 /// The learned idle limit as a share of the idle time of the connection that was found closed.
 const LEARNED_LIMIT_PERCENT: u32 = 60;
-/// Shortest idle time after which a lost connection counts as stale. A connection that is lost after a shorter
+/// Minimum idle time after which a lost connection counts as stale. A connection that is lost after a shorter
 /// idle time means that the runner failed. It is also the lower bound of the learned idle limit.
 const MIN_STALE_IDLE: Duration = Duration::from_millis(60);
 /// Time in which the learned idle limit doubles.
@@ -39,7 +39,7 @@
 
 /// A connection taken from the pool.
 pub struct PooledConnection {
-    /// The open connection.
+    /// The connection, on which no response is outstanding.
     pub connection: Upstream,
     /// How long it was idle in the pool.
     pub idle_for: Duration,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The limit at `now`; `None`: nothing has been learned.
+    /// The limit at `now`; `None` if nothing has been learned.
     pub fn at(&self, now: Instant) -> Option<Duration> {
         let (limit, learned_at) = self.learned?;
         let age = now.saturating_duration_since(learned_at);
--- a/crates/gateway/src/http/response_codec.rs
+++ b/crates/gateway/src/http/response_codec.rs
@@ -1,7 +1,7 @@
 //! Decoding of HTTP/1.1 responses.
 //!
 //! The end of a response is given by its length, by its chunks, or by the end of the connection. In the
-//! last case the reader of the body must distinguish an orderly close from a reset.
+//! last case, whoever reads the body must distinguish an orderly close from a reset.
 
 use super::Header;
 use ntex::codec::Decoder;
@@ -25,7 +25,7 @@
     /// The head exceeds its maximum size.
     #[error("response head is too large")]
     HeadTooLarge,
-    /// The length is given more than once or in two ways, is not a number, or exceeds what the reader accepts.
+    /// The length is given more than once or in two ways, is not a number, or exceeds the accepted maximum.
     #[error("response length is invalid, ambiguous or over the limit")]
     InvalidLength,
     /// A chunk cannot be parsed.
@@ -47,7 +47,7 @@
 /// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The HTTP status code.
+    /// The HTTP status code; 200 or more, since interim responses are skipped.
     pub status: u16,
     /// Headers in the order received, with names in lower case.
     pub headers: Vec<Header>,
@@ -55,7 +55,7 @@
     pub framing: Framing,
     /// Whether the connection may be reused after the body.
     pub keep_alive: bool,
-    /// How long the server keeps an idle connection open; `None`: it does not say.
+    /// How long the server keeps an idle connection open, from `keep-alive: timeout=`; `None` if it is not stated.
     pub idle_timeout: Option<Duration>,
 }
 
--- a/crates/gateway/src/http/upstream.rs
+++ b/crates/gateway/src/http/upstream.rs
@@ -63,7 +63,7 @@
         .await
         .map_err(|_| ConnectError::TimedOut)??;
     let stream = stream.into_std()?;
-    // Without this socket option, a dead peer is only noticed later.
+    // Without this socket option, a dead peer is detected much later.
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     Ok(ntex::rt::from_tcp_stream(stream, UPSTREAM_CONFIG.with(Clone::clone))?)
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -21,17 +21,17 @@
 
 /// A request as received from a client, with its complete body.
 pub struct ClientRequest {
-    /// The HTTP method.
+    /// The HTTP method, such as `POST`.
     pub method: String,
     /// Path and query as received.
     pub target: String,
-    /// Path without the query.
+    /// Path without the query, by which the route is found.
     pub path: String,
     /// Value of the `host` header, with the port if the client named one.
     pub host: String,
     /// End-to-end headers. The gateway's own headers are removed before they are forwarded to a runner.
     pub headers: Vec<Header>,
-    /// The complete body.
+    /// The complete body, without transfer coding; empty if the request has none.
     pub body: Vec<u8>,
     /// Values that the node has parsed from the headers.
     pub metadata: RequestMetadata,
@@ -44,15 +44,15 @@
 /// A runner's response that was read completely before it is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BufferedResponse {
-    /// The HTTP status code.
+    /// The HTTP status code that the runner sent.
     pub status: u16,
     /// Headers that are sent to the client.
     pub headers: Vec<Header>,
-    /// The complete body.
+    /// The complete body, without transfer coding.
     pub body: Vec<u8>,
 }
 
-/// How a request ended.
+/// How a request ended, and what is still to be written to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// A runner's response has to be written.
--- a/crates/gateway/src/interrupted_attempt.rs
+++ b/crates/gateway/src/interrupted_attempt.rs
@@ -1,7 +1,7 @@
 //! Handling of attempts that ended before their responses were complete.
 //!
-//! Each of them may mean that the runner has crashed. The runner is therefore checked, and the
-//! request that was in progress there is remembered until the result is known (see
+//! Each of them may mean that the runner has crashed. The runner is therefore probed, and the
+//! request that was in progress there is recorded until the result is known (see
 //! [`pitchstall_serving::crash_evidence`]).
 
 use crate::clock::Instant;
@@ -36,7 +36,7 @@
     record_and_probe(node, attempt);
 }
 
-/// Records the unfinished attempt and checks whether its runner has crashed.
+/// Records the unfinished attempt and probes its runner, which may have crashed.
 pub fn record_and_probe(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     record_unfinished_attempt(node, attempt);
     probe(node, attempt.runner, node.now_us());
@@ -48,7 +48,7 @@
     node.on_attempt_interrupted(attempt.runner, attempt.request.metadata.id.as_str(), identity);
 }
 
-/// How the connection of a lost attempt was used.
+/// How the connection was used by an attempt that was lost with it.
 #[derive(Clone, Copy)]
 pub struct ConnectionUse {
     /// How long a pooled connection was idle before the request; `None` for a new connection.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,34 +4,40 @@
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | [`daemon`] | starts and stops the node |
-//! | [`listener`] | accepts connections |
+//! | [`listener`] | accepts connections of clients and on the health address |
 //! | [`connection`] | reads requests from a client connection and writes responses |
-//! | [`intake`] | rejects invalid requests early, finds the route and the service |
+//! | [`intake`] | validates a request and finds its route, tenant and service |
 //! | [`policy`] | runs the operators' policy program |
 //! | [`dispatch`] | plans and makes attempts until the request has its final response |
-//! | [`scheduling`] | asks the scheduler that owns the runners where the request is to run |
-//! | [`prefill`] | runs a separate prefill and keeps the KV handle that it returns |
+//! | [`scheduling`] | places the request by querying the scheduler of the runners' shard |
+//! | [`prefill`] | runs a separate prefill and holds the KV handle that it returns |
 //! | [`attempt`] | makes one attempt on one runner |
-//! | [`broken_attempt`] | updates the state of a runner whose attempt ended early |
+//! | [`interrupted_attempt`] | handles an attempt that ended before its response was complete |
 //! | [`runner_probe`] | checks whether a silent runner can be reached |
 //! | [`relay`] | forwards a stream to the client, also across several runners |
-//! | [`local_responses`] | the responses that the node creates itself |
+//! | [`local_responses`] | defines the responses that the node creates itself |
 //!
-//! Before a run is sent, [`quota`] charges it to its tenant if the tenant has a limit.
+//! Before a run is sent, [`quota`] charges it to its tenant if the tenant has a limit, and [`runner_limits`]
+//! requests a permit for it if the runner has a limit.
 //!
 //! The other modules:
 //!
-//! - [`entries`] applies entries of the store, and [`refused_entries`] reports those that cannot be used.
+//! - [`daemon`] starts all tasks of the node and stops it. [`settings`] reads the settings file. [`node`] holds the
+//!   state that the tasks share, [`clock`] measures elapsed time, and [`logging`] and [`metrics`] report on the node.
+//! - [`watcher`] keeps replicas of the store up to date, either through [`platform_client`] ([`store_pages`],
+//!   [`store_responses`]) or from another node ([`replication`], [`json_lines`], [`compression`]).
+//!   [`replica_limits`] bounds the age of a replica, and [`transfer`] tracks the progress of a large response.
+//! - [`entries`] applies the entries of the store, and [`refused_entries`] reports those that cannot be used.
+//! - [`peers`] discovers the other nodes and exchanges [`peer_messages`] with them. [`cross_region_traffic`] counts
+//!   the bytes of messages to other regions.
+//! - [`shard_scheduler`] places the requests of other nodes. [`missed_replies`] tracks schedulers and keepers that do
+//!   not reply, [`cache_listing`] requests the contents of runners' caches after a start, and
+//!   [`prefix_announcements`] announces cached prefixes to other regions.
 //! - [`authority`] holds the leases that [`roles`], [`scaling`] and [`usage`] need before they give orders or
 //!   report something on behalf of all nodes.
-//! - [`peers`] exchanges digests with other nodes over [`json_lines`].
-//! - [`watcher`] follows the store through [`platform_client`] ([`store_answers`], [`store_pages`]) or through
-//!   another node with [`mirror`] ([`compression`]). [`copy_limits`] bounds the age of what is read, and
-//!   [`transfer`] measures the progress of a transfer.
 //! - [`quarantine`] keeps requests that crash runners away from them.
-//! - [`node`] holds the state of the node, [`clock`] measures elapsed time, and [`http`] speaks HTTP to runners
-//!   and to the store.
+//! - [`http`] is the HTTP client for runners and the store, and [`unknown_headers`] tracks names of response headers
+//!   that this version does not know.
 
 pub mod attempt;
 pub mod authority;
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -23,10 +23,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Path of the metrics on the health address.
+/// Path of the OpenMetrics text on the health address.
 pub const METRICS_PATH: &str = "/metrics";
-/// Path of the requests under which runners have crashed, on the health address. `DELETE` on this path
-/// followed by a request's identity takes that request out of quarantine.
+/// Path of the list of requests under which runners have crashed, on the health address. `DELETE` on this
+/// path followed by `/` and a request's identity takes that request out of quarantine.
 pub const QUARANTINE_PATH: &str = "/quarantine";
 /// Path of the node's view of tenants' limits, on the health address.
 pub const QUOTA_PATH: &str = "/quota";
@@ -43,7 +43,7 @@
         let Some(stream) = accept(&listener).await else { continue };
         if !node.can_accept_client() {
             // The connection is closed without reading from it, so the client can safely try another node.
-            log::warn!(target: "listener", open = node.open_connections(); "connection limit reached");
+            log::warn!(target: "listener", open = node.open_connections(); "client connection rejected: connection limit reached");
             continue;
         }
         let limits = node.configuration().map(|it| it.limits).unwrap_or_default();
@@ -72,7 +72,7 @@
         Ok((stream, _)) => Some(stream),
         Err(error) => {
             let error = error.to_string();
-            log::warn!(target: "listener", error; "accept failed");
+            log::warn!(target: "listener", error; "incoming connection not accepted");
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
@@ -82,7 +82,7 @@
 /// Wraps an accepted connection in an ntex stream. Returns `None` if it cannot be registered with the runtime.
 pub fn into_ntex_io(stream: TcpStream, config: SharedCfg) -> Option<Io> {
     let stream = stream.into_std().ok()?;
-    // Without this socket option, a dead peer is only noticed later.
+    // Without this socket option, a dead peer is detected much later.
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     ntex::rt::from_tcp_stream(stream, config).ok()
 }
--- a/crates/gateway/src/local_responses.rs
+++ b/crates/gateway/src/local_responses.rs
@@ -12,15 +12,15 @@
 /// client will most likely reach another node, which has the current configuration.
 const UNVERIFIABLE_RETRY_AFTER_S: f64 = 0.1;
 
-/// `retry-after` for requests whose tenant's quota keeper did not answer, in seconds. It is short for the same
-/// reason as for keys.
+/// `retry-after` for requests whose tenant's quota keeper did not reply, in seconds. It is short because the client
+/// will most likely reach another node, which may reach the keeper.
 const QUOTA_UNKNOWN_RETRY_AFTER_S: f64 = 0.1;
 const MS_PER_S: f64 = 1_000.0;
 
 /// A response that the node creates without a response of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalResponse {
-    /// The request is malformed.
+    /// The head or the body of the request is malformed, or a required header is missing.
     BadRequest,
     /// No route matches the request.
     NoRoute,
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -21,7 +21,7 @@
 const MAX_QUEUED_LINES: usize = 4_096;
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Starts the logger with the given levels (`info`, or levels for single modules). The handle must live as long as the
+/// Starts the logger with the given levels, such as `info` or `info,pitchstall_gateway=debug`. The handle must live as long as the
 /// process.
 pub fn start(levels: &str) -> Result<LoggerHandle, FlexiLoggerError> {
     let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
@@ -38,7 +38,7 @@
     }
 }
 
-/// Rate limit of one kind of line.
+/// Limits the rate of lines of one kind to [`MAX_LINES_PER_S`].
 struct RateLimit {
     window_start: Instant,
     written: u32,
@@ -77,7 +77,7 @@
 }
 
 impl BoundedWriter {
-    /// Whether a line may be written, and how many lines of its kind were dropped before it.
+    /// Returns whether a line may be written, and how many lines of its kind were dropped in the window before it.
     fn admit(&self, target: &str, event: &str) -> (bool, u32) {
         let now = Instant::now();
         let Ok(mut limits) = self.limits.lock() else { return (false, 0) };
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -18,7 +18,7 @@
 /// Labels of a finished request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// Name of the outcome.
+    /// Outcome of the request, see [`crate::intake::RequestOutcome::name`].
     pub outcome: &'static str,
 }
 
@@ -32,7 +32,7 @@
 /// Labels of a notice that a runner gives about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct NoticeLabels {
-    /// Kind of the notice.
+    /// What the runner announced, such as `leaving` or `rest`.
     pub notice: &'static str,
 }
 
@@ -48,7 +48,7 @@
 pub struct Metrics {
     /// Finished requests, by outcome.
     pub requests: Family<RequestLabels, Counter>,
-    /// Attempts sent to runners.
+    /// Attempts sent to runners, including separate prefills.
     pub attempts: Counter,
     /// Attempts that were charged to the retry budget.
     pub retries: Counter,
@@ -56,11 +56,11 @@
     pub retries_denied: Counter,
     /// Requests that were running on a runner when it crashed.
     pub requests_on_crashed_runners: Counter,
-    /// Requests that this node has seen enter quarantine.
+    /// Requests that entered quarantine, as observed by this node.
     pub quarantines: Counter,
-    /// Streams that broke on one runner and may continue on another.
+    /// Streams that were interrupted at one runner and may continue at another.
     pub resumes: Counter,
-    /// Connections opened to runners.
+    /// New connections to runners, including those that could not be opened.
     pub connections: Counter,
     /// Placement replies received from schedulers in time.
     pub placements: Counter,
@@ -86,13 +86,14 @@
     pub cross_region_requests: Family<CrossRegionLabels, Counter>,
     /// Metrics of tenants' limits.
     pub quota: QuotaMetrics,
-    /// Calls to the store.
+    /// Calls to the store, including those that failed.
     pub store_calls: Counter,
     /// Calls to the store that failed.
     pub store_failures: Counter,
     /// Revisions of store entries that could not be used.
     pub refused_entries: Family<EntryLabels, Counter>,
-    /// Time in seconds since another node first reported a configuration that this node has not received; 0: none.
+    /// Time since another node first reported a configuration that this node has not received, in seconds; 0 if there
+    /// is none.
     pub configuration_lag: Gauge<f64, AtomicU64>,
     /// Era of the store that this node uses.
     pub store_era: Gauge<f64, AtomicU64>,
@@ -104,7 +105,7 @@
 }
 
 impl Metrics {
-    /// Creates the metrics with all values 0. `far_traffic` counts the bytes sent to other regions.
+    /// Creates the metrics with all values 0. `cross_region_traffic` counts the bytes sent to other regions.
     pub fn new(cross_region_traffic: &CrossRegionTraffic) -> Self {
         const FIRST_BUCKET_S: f64 = 0.002;
         const BUCKETS: u16 = 14;
@@ -243,7 +244,7 @@
         self.registry.register("first_byte_seconds", help, first_byte);
     }
 
-    /// Counts a finished request.
+    /// Counts a finished request. `outcome` is the name of its outcome.
     pub fn on_request(&self, outcome: &'static str) {
         self.requests.get_or_create(&RequestLabels { outcome }).inc();
     }
--- a/crates/gateway/src/missed_replies.rs
+++ b/crates/gateway/src/missed_replies.rs
@@ -4,10 +4,11 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// Number of consecutive missed replies after which a node is skipped, and for how long, in
-/// microseconds. A single missing reply may be a lost datagram. A process that was killed is
-/// restarted within a few seconds.
+/// Number of consecutive missed replies after which a node is skipped. A single missing reply may
+/// be a lost datagram.
 const MISSED_BEFORE_SKIP: u32 = 2;
+/// How long a node is skipped, in microseconds. A process that was killed is restarted within a few
+/// seconds.
 const SKIP_DURATION_US: u64 = 2_000_000;
 
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -19,7 +19,7 @@
     pub priority: u8,
 }
 
-/// A compiled program.
+/// The operators' policy program, compiled.
 pub struct PolicyProgram {
     engine: PolicyEngine,
     policy: Policy,
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -57,28 +57,28 @@
         connection.read_head().await.ok()
     };
     let freed = matches!(timeout(RELEASE_TIMEOUT, exchange).await, Ok(Some(_)));
-    log::info!(target: "reading", runner = runner.as_str(), handle = name, freed; "handle released");
+    log::info!(target: "reading", runner = runner.as_str(), handle = name, freed; "release of KV handle requested");
 }
 
-/// How a prefill ended.
+/// How the attempt to prefill a prompt on a prefill runner ended.
 pub enum PrefillOutcome {
-    /// The prompt was prefilled.
+    /// The runner has prefilled the prompt and returned a KV handle.
     Prefilled(PrefilledPrompt),
-    /// The runner declined the request without running it.
+    /// The runner stated that it has not run the prefill and will not do so.
     Declined,
     /// The prefill failed and may be repeated.
     Failed,
 }
 
-/// A prefill to run.
+/// A prefill that is sent to a chosen runner.
 pub struct PrefillRequest<'a> {
-    /// The client's request.
+    /// The client's request, which is forwarded to the prefill runner.
     pub request: &'a ClientRequest,
-    /// Service of the request.
+    /// The service, whose prefill speed the measured time updates.
     pub service: &'a ServiceName,
-    /// Prompt of the request.
+    /// The prompt, whose shared prefixes the runner caches by prefilling it.
     pub prompt: &'a Prompt,
-    /// The chosen prefill runner.
+    /// The prefill runner, with the number of tokens that it is expected to prefill.
     pub choice: &'a RunnerChoice,
 }
 
@@ -102,7 +102,7 @@
         Ok(Ok(full_response)) => full_response,
         Ok(Err(error)) => {
             let (request, error) = (prefill.request.metadata.id.as_str(), error.to_string());
-            log::info!(target: "reading", request, runner = runner.as_str(), error; "response interrupted");
+            log::info!(target: "reading", request, runner = runner.as_str(), error; "prefill response interrupted");
             let tenant = params.tenant.as_ref();
             let interrupted =
                 InterruptedAttempt { request: prefill.request, tenant, runner: &runner };
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,7 +14,7 @@
     pub deduplicator: EventDeduplicator,
     /// Whether the head of the response has been written.
     pub is_head_sent: bool,
-    /// When the last events were forwarded to the client; `None`: none yet.
+    /// When events were last forwarded to the client; `None` if none has been forwarded.
     pub last_event_at: Option<Instant>,
 }
 
@@ -40,16 +40,16 @@
     Stalled,
     /// The deadline of the request has passed.
     DeadlineExceeded,
-    /// The client has disconnected.
+    /// The client has disconnected, or did not read the written bytes in time.
     ClientDisconnected,
 }
 
 /// Time limits for relaying a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayLimits {
-    /// Deadline of the request.
+    /// Time at which the request's deadline expires.
     pub deadline: Instant,
-    /// Longest time without any bytes before the run counts as stalled.
+    /// Maximum time without bytes from the runner before the run counts as stalled.
     pub max_pause: Duration,
 }
 
@@ -116,8 +116,8 @@
     Ok(())
 }
 
-/// Handles the end of the body. If the body ends with the connection and an event is incomplete, the runner has
-/// stopped in the middle of that event.
+/// Handles the end of the body. If the end of the connection marks the end of the body and the last event is
+/// incomplete, the runner has stopped in the middle of that event.
 async fn finish(
     response: &AttemptResponse,
     splitter: &EventSplitter,
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -29,7 +29,7 @@
 /// Maximum duration of a call to a runner.
 const RUNNER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Maximum time for which a runner counts as changing its role, in microseconds. The registry
-/// usually shows the new role earlier, unless the order was lost.
+/// usually shows the new role earlier. It never does if the order was lost.
 const MAX_ROLE_CHANGE_US: u64 = 6_000_000;
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
@@ -204,7 +204,7 @@
     }
 }
 
-/// Wait, wait because of overdue work, occupied slots and used memory, each in hundredths.
+/// Wait, wait because of overdue work, occupied slots and used memory, each in percent.
 fn percents(metrics: &RoleMetrics) -> [u64; 4] {
     let percent = |share: f64| (share * 100.0).round() as u64;
     [metrics.wait, metrics.overdue_wait, metrics.occupancy, metrics.memory].map(percent)
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -27,16 +27,16 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How long to wait for a keeper's reply in addition to the round trip. It is the same as for the
-/// keepers of tenants' quotas.
+/// How long to wait for a keeper's reply in addition to the round trip. Queries to the keepers of
+/// tenants' quotas use the same value.
 const REPLY_TIMEOUT_MARGIN: Duration = Duration::from_millis(30);
 /// Maximum number of keepers that are queried for one request.
 const MAX_KEEPERS_QUERIED: usize = 2;
 /// How long a runner receives no requests of this node after no keeper has replied, in
 /// microseconds.
 const NO_KEEPER_BACKOFF_US: u64 = 250_000;
-/// Minimum time for which an exhausted runner receives no requests of this node, in microseconds.
-/// With a shorter one, the queries would cost more than the request gains.
+/// Minimum time for which a runner with an exhausted limit receives no requests of this node, in
+/// microseconds. With a shorter time, the queries would cost more than the request gains.
 const MIN_BACKOFF_US: u64 = 5_000;
 /// Maximum number of runner limits reported in one digest, about 2 KB.
 const MAX_DIGEST_LIMITS: usize = 32;
@@ -83,8 +83,8 @@
 /// Permission to send one request to a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPermit {
-    /// A runner without a limit may report one at any moment. A permit for it expires at once, as
-    /// requesting another one costs nothing.
+    /// Microseconds on the node's clock. A runner without a limit may report one at any moment, so a
+    /// permit for it expires at once; requesting another one costs nothing.
     expires_at_us: u64,
 }
 
@@ -219,7 +219,7 @@
     }
 }
 
-/// Answers another node's query.
+/// Decides another node's query and sends the reply.
 pub fn on_query(node: &Node, query: &LimitQuery, from: SocketAddr) {
     let verdict = verdict_of(node, query);
     let reply = LimitReply { ticket: query.ticket, verdict };
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -41,7 +41,6 @@
     plans: HashMap<ServiceName, ServicePlan>,
 }
 
-/// The plan of a service.
 struct ServicePlan {
     planner: CapacityPlanner,
     record: CapacityRecord,
@@ -126,7 +125,8 @@
         true
     }
 
-    /// The existing capacity. Operators set up a service with as many runners as it needs.
+    /// The existing capacity, which is the initial requirement: operators set up a service with as
+    /// many runners as it needs.
     fn observed(&self, service: &ServiceName) -> CapacityRecord {
         let supply = self.supply(service);
         let need = supply.values().map(|zone| zone.reserved + zone.preemptible).sum();
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The service's runners by zone, without those that are leaving.
+    /// Number of the service's runners in each zone, without those that are leaving.
     fn supply(&self, service: &ServiceName) -> BTreeMap<ZoneId, ZoneSupply> {
         let mut supply: BTreeMap<ZoneId, ZoneSupply> = BTreeMap::new();
         let fleet = self.node.fleet.borrow();
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Sends an order. Returns whether the next one may follow.
+    /// Sends an order to the platform. Returns whether the next order may be sent.
     async fn order(&mut self, service: &ServiceName, order: &CapacityOrder) -> bool {
         let current_fence = self.node.authority.fence_for_orders(self.node.now_us());
         let Some(fence) = current_fence.filter(|fence| self.fence == Some(*fence)) else {
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -30,21 +30,21 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Share of a request's target time to wait for a scheduler's reply, in addition to the round trip.
-/// It is a small part of what a bad placement costs.
+/// How long to wait for a scheduler's reply in addition to the round trip, as a share of the
+/// request's target time. The wait costs little in comparison to a bad placement.
 const REPLY_TIMEOUT_TARGET_SHARE: f64 = 0.06;
-/// Minimum and maximum of the wait for a scheduler's reply, besides the round trip. With a shorter
-/// wait, nodes on machines with a shared processor would reply too late. With a longer wait, a
-/// crashed scheduler would cost more than a good placement gains.
+/// Minimum and maximum wait for a scheduler's reply in addition to the round trip. With a shorter
+/// wait, schedulers on machines with a shared processor would reply too late. With a longer wait,
+/// a crashed scheduler would cost more than a good placement gains.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(12);
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 const MS_PER_SECOND: f64 = 1_000.0;
 
 /// A request that is to be placed.
 pub struct PlacementDemand<'a> {
-    /// ID of the request.
+    /// The client's id for the request, by which all nodes log it.
     pub request: &'a str,
-    /// The service that the request addresses.
+    /// The service whose runners may be chosen.
     pub service: &'a ServiceName,
     /// The criteria for the choice of runners.
     pub demand: Demand<'a>,
@@ -74,7 +74,7 @@
 }
 
 impl ProgressReporter {
-    /// For a request that this node has placed itself: nothing is reported.
+    /// The reporter for a request that this node has placed itself. It sends no messages.
     fn local(node: &Rc<Node>) -> Self {
         Self { node: node.clone(), scheduled_by: None }
     }
@@ -110,7 +110,8 @@
 }
 
 impl Scheduling {
-    /// Creates the state without pending queries and reservations.
+    /// Creates the state, without pending queries and without reservations. `socket` sends the
+    /// messages.
     pub fn new(socket: PeerSocket) -> Self {
         Self {
             socket,
@@ -199,7 +200,8 @@
     node.scheduling.socket.send(&PeerMessage::PlacementQuery(query), &[address]);
     let reply = timeout(reply_timeout(node, &scheduler, demand.target_ms), receiver).await;
     node.scheduling.pending_queries.borrow_mut().remove(&ticket);
-    // If the reply arrives late, or a message is lost, the end report frees the reservation.
+    // The scheduler may have made a reservation although its reply arrives late or is lost. The end
+    // report that is sent when the reporter is dropped frees that reservation.
     let reporter_to =
         |address| ProgressReporter { node: node.clone(), scheduled_by: Some((address, ticket)) };
     let Ok(Ok((reply, from))) = reply else {
@@ -258,7 +260,7 @@
     }
 }
 
-/// How long to wait for a scheduler's reply: one round trip plus its processing time.
+/// How long to wait for a scheduler's reply: one round trip plus the time for processing the query.
 fn reply_timeout(node: &Node, scheduler: &NodeId, target_ms: u64) -> Duration {
     let share = Duration::from_millis(target_ms).mul_f64(REPLY_TIMEOUT_TARGET_SHARE);
     let members = node.members.borrow();
@@ -267,7 +269,7 @@
     round_trip + share.clamp(MIN_REPLY_TIMEOUT, MAX_REPLY_TIMEOUT)
 }
 
-/// `None` if the reply contains no plan, or if its first runner is unknown to this node or accepts
+/// Converts a scheduler's reply; `None` if the reply contains no plan, or if its first runner is unknown to this node or accepts
 /// no work.
 fn placement_from_reply(
     node: &Rc<Node>,
@@ -292,7 +294,7 @@
     let accepts_work = node.accepts_placements(&choice.runner);
     if !accepts_work {
         node.metrics.placements_rejected.inc();
-        log::info!(target: "scheduling", runner = choice.runner.as_str(); "chosen runner unusable");
+        log::info!(target: "scheduling", runner = choice.runner.as_str(); "placement rejected: runner accepts no requests of this node");
     }
     accepts_work
 }
@@ -423,7 +425,7 @@
 }
 
 /// Handles a scheduler's reply. A late reply is discarded: the request has been placed by other
-/// means, and the scheduler is told again to end its reservation.
+/// means, and another end report is sent, so that the scheduler frees its reservation.
 pub fn on_reply(node: &Node, reply: PlacementReply, from: SocketAddr) {
     let pending_query = node.scheduling.pending_queries.borrow_mut().remove(&reply.ticket);
     match pending_query {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Settings of a node.
+/// The settings of one node. Unknown names in the file are rejected.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Identity of the node.
+    /// Name and location of the node, and addresses of other nodes.
     pub node: NodeSection,
     /// Addresses on which the node listens.
     pub listen: ListenSection,
@@ -24,7 +24,7 @@
     /// Bounds on the number of runners that are ordered.
     #[serde(default)]
     pub capacity: CapacitySection,
-    /// Resources of the machine.
+    /// Resources of the machine that this process may use.
     #[serde(default)]
     pub machine: MachineSection,
     /// Tolerance for exceeding tenants' limits.
@@ -33,12 +33,12 @@
     /// The operators' policy program.
     #[serde(default)]
     pub policy: PolicySection,
-    /// Logging.
+    /// What the node logs.
     #[serde(default)]
     pub log: LogSection,
 }
 
-/// Identity of the node.
+/// Name and location of the node, and addresses of other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSection {
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSection {
-    /// Address for clients.
+    /// Address on which clients connect, TCP.
     pub callers: SocketAddr,
-    /// Address for readiness checks, metrics and reports.
+    /// Address for readiness checks, metrics and reports, TCP.
     pub health: SocketAddr,
     /// Address for other nodes, UDP and TCP.
     pub peers: SocketAddr,
@@ -85,9 +85,9 @@
     pub grace_s: f64,
     /// Minimum time between orders of two different nodes to the same runner, in milliseconds.
     pub lease_ms: u64,
-    /// Number of extra attempts allowed per request, over all nodes.
+    /// Number of extra attempts allowed per request, over all nodes; 0 to 10.
     pub retry_ratio: f64,
-    /// Number of extra attempts allowed in addition, over all nodes.
+    /// Number of extra attempts allowed in addition, over all nodes; 0 or more.
     pub retry_slack: f64,
     /// Time within which all nodes apply a new configuration, in milliseconds.
     #[serde(default = "default_config_apply_ms")]
@@ -99,7 +99,7 @@
     pub revoke_ms: Option<u64>,
 }
 
-/// The strictest of the users' deployments allows 2 s.
+/// The strictest of the users' deployments requires a new configuration to be applied within 2 s.
 fn default_config_apply_ms() -> u64 {
     2_000
 }
@@ -110,9 +110,9 @@
 pub struct CloudSection {
     /// Address of the interface (`IP:port`).
     pub address: SocketAddr,
-    /// The duties to perform.
+    /// The duties that the node performs while it holds the authority for them.
     pub duties: Vec<Duty>,
-    /// When usage is reported; `None`: it is not reported.
+    /// Windows and due time of usage reports; `None`: usage is not reported.
     pub usage: Option<UsageSection>,
 }
 
@@ -137,10 +137,11 @@
     Unknown,
 }
 
-/// Minimum length of a window. Shorter windows could not be distinguished by the clocks of different machines.
+/// Minimum length of a window, in seconds. Shorter windows could not be distinguished by the clocks of different
+/// machines.
 const MIN_WINDOW_S: f64 = 0.1;
 
-/// When usage is reported.
+/// For which windows usage is reported, and how soon.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageSection {
@@ -186,13 +187,13 @@
 }
 
 impl Default for QuotaSection {
-    /// The shortest window that the users' deployments require, and no excess.
+    /// No excess, over the shortest window that the users' deployments require.
     fn default() -> Self {
         Self { window_s: 8.0, overage: 0.0, slack: 0 }
     }
 }
 
-/// Resources of the machine.
+/// Resources of the machine that this process may use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineSection {
@@ -219,11 +220,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySection {
-    /// File with the program; `None`: requests may run in every zone.
+    /// Path of the program; `None`: requests may run in every zone.
     pub program: Option<PathBuf>,
 }
 
-/// Logging.
+/// What the node logs.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSection {
@@ -240,10 +241,10 @@
 /// Why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// The settings file or the policy program cannot be read.
     #[error("{path}: {cause}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file or of the policy program.
         path: PathBuf,
         /// The error of the operating system.
         cause: std::io::Error,
@@ -251,7 +252,7 @@
     /// The file is not valid TOML or does not match the expected structure.
     #[error("{path}: {cause}")]
     Invalid {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
         /// Line, column and the expected value.
         cause: Box<toml::de::Error>,
@@ -259,7 +260,7 @@
     /// The policy program does not compile.
     #[error("{path}: {cause}")]
     Policy {
-        /// The program's file.
+        /// Path of the policy program.
         path: PathBuf,
         /// The error of the compiler.
         cause: PolicyError,
@@ -267,11 +268,11 @@
     /// A value is out of its range.
     #[error("{path}: {field}: expected {expected}")]
     Value {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
         /// Section and name of the field.
         field: &'static str,
-        /// The expected value.
+        /// Description of the accepted values.
         expected: &'static str,
     },
 }
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -39,10 +39,10 @@
 /// per second.
 const REPORTS_PER_REGION_REPORT: u32 = 4;
 
-/// Answers a placement query, or forwards it to the scheduler of a shard with shorter waits.
+/// Replies to a placement query, or forwards it to the scheduler of a shard with shorter waits.
 pub fn on_query(node: &Node, mut query: PlacementQuery) {
-    // Otherwise the querying node would only learn after the prefill that the decode runner accepts
-    // no more requests.
+    // Runners whose limit is exhausted are excluded here. Otherwise the querying node would only
+    // learn after the prefill that the decode runner accepts no more requests.
     query.excluded.extend(runner_limits::exhausted_runners(node, &query.shard));
     let prompt = query.prompt();
     let zones: Option<BTreeSet<ZoneId>> =
