--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -125,9 +125,9 @@
         return Err(PrepareError::Unreachable);
     }
     let in_flight = InFlightGuard::new(node, choice);
-    if let Some(kept) = node.pool.take(&record.id) {
-        let idle = Some(kept.idle_for);
-        return Ok(PreparedConnection { connection: kept.connection, record, in_flight, idle });
+    if let Some(pooled) = node.pool.take(&record.id) {
+        let idle = Some(pooled.idle_for);
+        return Ok(PreparedConnection { connection: pooled.connection, record, in_flight, idle });
     }
     node.metrics.connections.inc();
     let started_at = Instant::now();
@@ -411,10 +411,10 @@
 impl AttemptResponse {
     /// The response headers that are forwarded to the client.
     pub fn client_headers(&self) -> Vec<Header> {
-        let named = crate::http::connection_options(&self.head.headers);
+        let options = crate::http::connection_options(&self.head.headers);
         let passes = |header: &&Header| {
             headers::is_forwarded_to_client(&header.0)
-                && !crate::http::is_hop_by_hop_header(&header.0, &named)
+                && !crate::http::is_hop_by_hop_header(&header.0, &options)
         };
         self.head.headers.iter().filter(passes).cloned().collect()
     }
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -93,10 +93,12 @@
     /// Charges the retry budget for sending a request to a runner, if that is an extra attempt.
     /// Returns `false` if the budget is exhausted, so that the request must not be sent.
     pub(super) fn charge_arrival(&mut self, cost: ArrivalCost) -> bool {
-        cost == ArrivalCost::Free || std::mem::take(&mut self.has_charged_retry) || self.withdraw()
+        cost == ArrivalCost::Free
+            || std::mem::take(&mut self.has_charged_retry)
+            || self.charge_retry()
     }
 
-    pub(super) fn withdraw(&self) -> bool {
+    pub(super) fn charge_retry(&self) -> bool {
         let allowed = self.node.with_retry_budget(&self.service, SharedRetryBudget::withdraw);
         let metrics = &self.node.metrics;
         if allowed { &metrics.retries } else { &metrics.retries_denied }.inc();
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -427,7 +427,7 @@
         };
         let has_other = self.node.fleet.borrow().has_healthy(&eligible, self.node.now_us());
         self.has_charged_retry =
-            self.has_charged_retry || (has_other && self.may_run_again(1) && self.withdraw());
+            self.has_charged_retry || (has_other && self.may_run_again(1) && self.charge_retry());
         self.has_charged_retry
     }
 
@@ -435,8 +435,8 @@
     /// abandoned because of a gap.
     fn max_stream_gap(&self) -> Duration {
         let gap = self.route.gap_target_ms.filter(|_| self.allows_another_attempt());
-        let silence = gap.map(|gap_ms| Duration::from_millis(gap_ms) * STALL_GAP_TARGETS);
-        silence.map_or(self.time_remaining(), |silence| silence.max(MIN_STALL_TIMEOUT))
+        let max_gap = gap.map(|gap_ms| Duration::from_millis(gap_ms) * STALL_GAP_TARGETS);
+        max_gap.map_or(self.time_remaining(), |max_gap| max_gap.max(MIN_STALL_TIMEOUT))
     }
 
     fn on_out_of_time(&mut self) -> Step {
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -262,13 +262,13 @@
         params.after_event = None;
         params.head_timeout = self.time_remaining().mul_f64(MAX_PREFILL_TIME_SHARE);
         params.abandons_suspects = self.has_retry_budget();
-        let demand = PrefillRequest {
+        let prefill_request = PrefillRequest {
             request: self.request,
             service: &self.service,
             prompt: &self.prompt,
             choice: &prefill_runner,
         };
-        match prefill::run_prefill(self.node, &demand, prepared, &params).await {
+        match prefill::run_prefill(self.node, &prefill_request, prepared, &params).await {
             PrefillOutcome::Prefilled(prompt) => {
                 if cost == ArrivalCost::Deposit {
                     self.node.with_retry_budget(&self.service, SharedRetryBudget::refund);
--- a/crates/gateway/src/interrupted_attempt.rs
+++ b/crates/gateway/src/interrupted_attempt.rs
@@ -61,7 +61,7 @@
     /// The idle time of a pooled connection that was already closed by the runner when the request
     /// was sent. This is assumed if the connection ended faster than any response could have been
     /// computed. `None` otherwise.
-    fn stale_after(&self) -> Option<Duration> {
+    fn idle_if_stale(&self) -> Option<Duration> {
         self.idle.filter(|_| self.sent_at.elapsed() < STALE_CONNECTION_WINDOW)
     }
 }
@@ -76,10 +76,10 @@
     let error = error.to_string();
     let runner = attempt.runner;
     let id = attempt.request.metadata.id.as_str();
-    let stale_after = connection.stale_after();
-    let idle_ms = stale_after.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
+    let idle_if_stale = connection.idle_if_stale();
+    let idle_ms = idle_if_stale.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
     log::info!(target: "attempt", request = id, runner = runner.as_str(), rested_ms = idle_ms, error; "lost");
-    match stale_after {
+    match idle_if_stale {
         Some(idle) => {
             node.pool.on_stale_connection(idle);
             node.pool.remove_runner(runner);
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -56,7 +56,7 @@
         let subject = roles_subject(&controller.node);
         let has_new_subject =
             std::mem::replace(&mut controller.subject, subject) != controller.subject;
-        if has_new_subject || controller.holding().fence().is_none() {
+        if has_new_subject || controller.authority().fence().is_none() {
             // Measurements of an earlier term or of another region's runners do not apply to the
             // next term.
             controller.planners.clear();
@@ -67,7 +67,7 @@
 }
 
 impl RoleController {
-    fn holding(&self) -> &LocalAuthority {
+    fn authority(&self) -> &LocalAuthority {
         local_roles_authority(&self.node, &self.subject)
     }
 
@@ -165,7 +165,7 @@
 
     /// The current fencing token, if orders are allowed now.
     fn fence_now(&self) -> Option<FencingToken> {
-        self.holding().fence_for_orders(self.node.now_us())
+        self.authority().fence_for_orders(self.node.now_us())
     }
 
     async fn send_order(
@@ -198,7 +198,7 @@
         let (status, _) = call_runner(&self.node, record, "POST", paths::ORDER, &order).await?;
         let response = paths::parse_order_status(status);
         if response == Some(OrderResponse::Outdated) {
-            self.holding().on_refused(fence);
+            self.authority().on_refused(fence);
         }
         response
     }
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -78,7 +78,7 @@
             self.plans.clear();
         }
         for (service, spec) in self.scalable_services() {
-            if !self.plans.contains_key(&service) && !self.begin_plan(&service).await {
+            if !self.plans.contains_key(&service) && !self.create_plan(&service).await {
                 continue;
             }
             self.count_initial_runners(&service).await;
@@ -105,7 +105,7 @@
     /// Creates the plan of a service from the record of an earlier authority holder or, if there is
     /// none, from the existing runners. Returns `false` if the store does not answer or its record
     /// is unreadable.
-    async fn begin_plan(&mut self, service: &ServiceName) -> bool {
+    async fn create_plan(&mut self, service: &ServiceName) -> bool {
         let read = store::read_capacity(service);
         let response = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
         let (record, counting_since) =
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -347,7 +347,7 @@
             (self.machine.processor_share > 0.0, "machine.processor_share", "more than 0"),
             (!self.log.levels.is_empty(), "log.levels", "a level"),
         ];
-        let invalid = checks.into_iter().find(|(holds, _, _)| !holds);
+        let invalid = checks.into_iter().find(|(is_valid, _, _)| !is_valid);
         invalid.map(|(_, field, expected)| (field, expected))
     }
 }
--- a/crates/serving/src/crash_evidence.rs
+++ b/crates/serving/src/crash_evidence.rs
@@ -114,12 +114,12 @@
         let is_recent = move |it: &InterruptedAttempt| {
             !it.seems_alive && now_us < it.interrupted_at_us + PROBE_TIMEOUT_US
         };
-        let broke = move |interrupted: &[InterruptedAttempt]| {
+        let was_interrupted = move |interrupted: &[InterruptedAttempt]| {
             interrupted.iter().any(|it| it.request == request && is_recent(it))
         };
         self.in_doubt
             .iter()
-            .filter(move |(_, interrupted)| broke(interrupted))
+            .filter(move |(_, interrupted)| was_interrupted(interrupted))
             .map(|(runner, _)| runner)
     }
 
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -200,13 +200,13 @@
     let choice = RunnerChoice {
         runner: best.record.id.clone(),
         demand: AttemptDemand {
-            prefill_tokens: view.unread_tokens(best),
+            prefill_tokens: view.uncached_tokens(best),
             overdue_tokens: 0,
             held_tokens: view.held_tokens(),
         },
         fetch_from: source.map(|source| source.record.id.clone()),
         expected_prefill_us: (view.expected_prefill_ms(best) * MICROS_PER_MILLI) as u64,
-        prefill_ms: view.prefill_duration_ms(best, view.unread_tokens(best)),
+        prefill_ms: view.prefill_duration_ms(best, view.uncached_tokens(best)),
     };
     Some((choice, cost_ms(best)))
 }
@@ -282,7 +282,7 @@
     }
 
     /// Prompt tokens that a runner has to prefill after it has fetched what another one holds.
-    fn unread_tokens(&self, runner: &Runner) -> u64 {
+    fn uncached_tokens(&self, runner: &Runner) -> u64 {
         let holder = self.source_for(runner).unwrap_or(runner);
         self.demand.prompt.tokens.saturating_sub(holder.cached_tokens(self.demand.prompt))
     }
@@ -322,7 +322,8 @@
     /// included.
     fn dedicated_prefill_ms(&self, runner: &Runner) -> f64 {
         let wait = self.speed.backlog_ms(runner, self.demand.now_us);
-        wait + self.speed.fixed_ms() + self.prefill_duration_ms(runner, self.unread_tokens(runner))
+        wait + self.speed.fixed_ms()
+            + self.prefill_duration_ms(runner, self.uncached_tokens(runner))
     }
 
     /// Expected time until the prompt is prefilled, by the runner's stage.
