--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -164,8 +164,8 @@
 /// Parameters of one attempt, set by the dispatcher for each attempt of a request.
 #[derive(Clone, Debug)]
 pub struct AttemptParams {
-    /// What the runner is asked to do: the whole request, only the prefill, or the decode of a
-    /// prefilled prompt.
+    /// The work for the runner: the whole request, only the prefill, or the decode of a prefilled
+    /// prompt.
     pub work: Work,
     /// Priority sent to the runner, 0 being the most urgent. `None` for services without an engine.
     pub priority: Option<u8>,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -178,7 +178,8 @@
         request.ok_or(RequestReadError::Respond(LocalResponse::BadRequest))
     }
 
-    /// Waits for the first byte of a request. A planned stop or the idle timeout ends the wait.
+    /// Waits for the first byte of a request. Fails on a planned stop, on the idle timeout, or if the client closes
+    /// the connection.
     async fn wait_for_request(&self) -> Result<(), RequestReadError> {
         let has_bytes = || self.io.with_read_buf(|buffer| !buffer.is_empty());
         if has_bytes() {
--- a/crates/gateway/src/dispatch/admission.rs
+++ b/crates/gateway/src/dispatch/admission.rs
@@ -17,10 +17,10 @@
 }
 
 impl Dispatch<'_> {
-    /// Checks whether a planned run may be sent. It may, unless the request is quarantined because
-    /// runners crashed under it, if its tenant has quota left, if its runner still accepts
-    /// requests, and if it is the first run or the retry budget covers it. After admission the run
-    /// must be sent without any further wait.
+    /// Checks whether a planned run may be sent. The request must not be quarantined because runners
+    /// crashed under it, its tenant must have quota left, its runner must still accept requests, and
+    /// it must be the first run or one that the retry budget covers. After admission, the run must be
+    /// sent without any further wait.
     pub(super) async fn admit(&mut self, plan: &Plan) -> Result<Admission, EndReason> {
         // The quarantine may have been reported while the request was being placed or prefilled.
         if self.is_quarantined() {
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -81,7 +81,7 @@
     execution: Execution,
     /// Number of attempts that may have been executed.
     runs: u32,
-    /// Determines which requests sent to runners draw on the retry budget.
+    /// Determines which requests sent to runners are charged to the retry budget.
     arrivals: ArrivalLedger,
     excluded: Vec<RunnerId>,
     unreachable_count: usize,
@@ -287,7 +287,7 @@
         self.may_run_again(1) && self.has_retry_budget()
     }
 
-    /// Whether the request may run once more after the given number of further runs.
+    /// Whether the request may run once more after `further` runs in addition to the past ones.
     fn may_run_again(&self, further: u32) -> bool {
         self.route.is_repeatable() && self.runs + further < self.route.max_attempts
     }
@@ -364,8 +364,8 @@
         Step::Retry
     }
 
-    /// Handles a successful response. If the end of the body was only marked by the end of the
-    /// connection, the runner may have crashed instead, so it is checked.
+    /// Handles a successful response. If only the end of the connection marked the end of the body,
+    /// the runner may have crashed before the real end, so it is probed.
     fn on_success(&self, runner: &RunnerId, is_framed: bool) {
         if is_framed {
             self.node.on_request_succeeded(|| self.identity());
@@ -405,8 +405,8 @@
             RelayOutcome::ClientDisconnected => Step::Done(RequestOutcome::ClientDisconnected),
             RelayOutcome::DeadlineExceeded => self.on_out_of_time(),
             RelayOutcome::ConnectionLost | RelayOutcome::Stalled => {
-                // The connection is closed first, so that this runner stops before the next one
-                // continues.
+                // Dropping the response closes the connection, so that this runner stops before the
+                // next one continues.
                 drop(response);
                 self.on_stream_interrupted(runner)
             }
--- a/crates/gateway/src/missed_replies.rs
+++ b/crates/gateway/src/missed_replies.rs
@@ -17,7 +17,7 @@
     skipped_until_us: u64,
 }
 
-/// The nodes that have recently missed replies.
+/// The nodes that have not replied in time since their last reply.
 #[derive(Debug, Default)]
 pub struct MissedReplies {
     by_node: RefCell<HashMap<NodeId, Missed>>,
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// Runs the current program for a request. `priority` applies if there is no program or if it decides
-/// none.
+/// Runs the current program for a request. `priority` applies if there is no program or if the
+/// program does not set one.
 pub fn placement_rules(
     node: &Node,
     request: &ClientRequest,
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -66,7 +66,7 @@
     Prefilled(PrefilledPrompt),
     /// The runner stated that it has not run the prefill and will not do so.
     Declined,
-    /// The prefill failed and may be repeated.
+    /// The prefill failed, timed out or returned no handle. It may be repeated.
     Failed,
 }
 
--- a/crates/gateway/src/runner_limits.rs
+++ b/crates/gateway/src/runner_limits.rs
@@ -1,5 +1,5 @@
-//! Enforces runners' request limits across all nodes: asks the keeper of a runner's limit for a
-//! permit before each request to that runner, and acts as a keeper for other nodes.
+//! Enforces runners' request limits across all nodes: requests a permit from the keeper of a
+//! runner's limit before each request to that runner, and acts as a keeper for other nodes.
 //!
 //! Grants are decided in [`pitchstall_serving::limit_keeper`]; a node's estimate of a runner's
 //! limit is kept in [`pitchstall_serving::runner_limit`]. No messages are sent while no runner
@@ -80,7 +80,7 @@
     }
 }
 
-/// Permission to send one request to a runner.
+/// Permission of a keeper to send one request to a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPermit {
     /// Microseconds on the node's clock. A runner without a limit may report one at any moment, so a
--- a/crates/gateway/src/runner_probe.rs
+++ b/crates/gateway/src/runner_probe.rs
@@ -17,8 +17,7 @@
 
 /// Opens a connection in the background to check whether a runner can be reached. Does nothing if data has arrived
 /// from the runner since `since_us` (microseconds on the node's clock), if the runner is already suspected of having
-/// failed, or if another check is under way. A connection that
-/// could be opened is added to the pool.
+/// failed, or if another check is under way. A connection that could be opened is added to the pool.
 pub fn probe(node: &Rc<Node>, runner: &RunnerId, since_us: u64) {
     let mut fleet = node.fleet.borrow_mut();
     let is_due = fleet.update_suspicion(runner, |suspicion| suspicion.begin_probe(since_us));
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -1,8 +1,8 @@
 //! Orders runners from the platform while this node holds the authority.
 //!
 //! The orders are decided in [`pitchstall_serving::capacity_planner`]. The required capacity is
-//! kept in the store. A node that takes over continues from this record and orders nothing before
-//! it has read it.
+//! kept in the store. A node that takes over continues from this record, and orders nothing before
+//! it has read the record.
 
 use crate::clock::Instant;
 use crate::node::Node;
@@ -103,7 +103,7 @@
     }
 
     /// Creates the plan of a service from the record of an earlier authority holder or, if there is
-    /// none, from the existing runners. Returns `false` if the store does not answer or its record
+    /// none, from the existing runners. Returns `false` if the store does not respond or its record
     /// is unreadable.
     async fn create_plan(&mut self, service: &ServiceName) -> bool {
         let read = store::read_capacity(service);
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -1,7 +1,7 @@
 //! Places requests by querying the scheduler of the runners' shard, in this node's own region
 //! first.
 //!
-//! The messages are defined in [`pitchstall_serving::scheduling`]; queries are answered in
+//! The messages are defined in [`pitchstall_serving::scheduling`]; queries are handled in
 //! [`crate::shard_scheduler`]. Messages are datagrams, and a lost one is not sent again.
 
 use crate::clock::Instant;
@@ -33,10 +33,11 @@
 /// How long to wait for a scheduler's reply in addition to the round trip, as a share of the
 /// request's target time. The wait costs little in comparison to a bad placement.
 const REPLY_TIMEOUT_TARGET_SHARE: f64 = 0.06;
-/// Minimum and maximum wait for a scheduler's reply in addition to the round trip. With a shorter
-/// wait, schedulers on machines with a shared processor would reply too late. With a longer wait,
-/// a crashed scheduler would cost more than a good placement gains.
+/// Minimum wait for a scheduler's reply in addition to the round trip. With a shorter wait,
+/// schedulers on machines with a shared processor would reply too late.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(12);
+/// Maximum wait for a scheduler's reply in addition to the round trip. With a longer wait, a crashed
+/// scheduler would cost more than a good placement gains.
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 const MS_PER_SECOND: f64 = 1_000.0;
 
@@ -269,8 +270,8 @@
     round_trip + share.clamp(MIN_REPLY_TIMEOUT, MAX_REPLY_TIMEOUT)
 }
 
-/// Converts a scheduler's reply; `None` if the reply contains no plan, or if its first runner is unknown to this node or accepts
-/// no work.
+/// Converts a scheduler's reply into a placement; `None` if the reply contains no plan, or if its
+/// first runner is unknown to this node or accepts no work.
 fn placement_from_reply(
     node: &Rc<Node>,
     reply: PlacementReply,
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -136,7 +136,7 @@
 }
 
 /// Handles a progress report of a request that this node has placed. If the other node could not
-/// reach a runner, this node checks the runner itself, since the other node may be the one that is
+/// reach a runner, this node probes the runner itself, since the other node may be the one that is
 /// disconnected.
 pub fn on_progress(node: &Rc<Node>, message: &ProgressMessage) {
     let now_us = node.now_us();
