--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -79,16 +79,16 @@
 
 /// How an attempt ended, up to and including the head of the response.
 pub enum AttemptEnd {
-    /// The runner responds; the body is still to be read.
+    /// The head of a valid response was received; the body is still to be read.
     Responding(Box<AttemptResponse>),
     /// The runner has not executed the request and will not do so.
     Declined,
     /// The connection broke, or the response is not valid. The runner may have executed the
     /// request.
     Lost,
-    /// No response head was received in time, or the runner became suspect. It may have executed
-    /// the request.
-    Unanswered,
+    /// No response head was received in time, or the runner was suspected of having failed
+    /// meanwhile. It may have executed the request.
+    NoResponse,
 }
 
 /// A response whose head has been received.
@@ -106,7 +106,7 @@
 /// Why no connection to a chosen runner is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrepareError {
-    /// The runner currently accepts no requests of this node, or not any more.
+    /// The runner accepts no requests of this node at the moment, or is leaving.
     Withheld,
     /// The runner cannot be reached, or this node's connection limit for it is used up.
     Unreachable,
@@ -121,21 +121,21 @@
     let record = record_accepting_work(node, &choice.runner)?;
     if attempts_in_flight(node, &choice.runner) >= node.max_connections_per_runner(&record.service)
     {
-        log::info!(target: "attempt", runner = choice.runner.as_str(); "connection limit reached");
+        log::info!(target: "attempt", runner = choice.runner.as_str(); "runner not used: connection limit for one runner reached");
         return Err(PrepareError::Unreachable);
     }
     let in_flight = InFlightGuard::new(node, choice);
-    if let Some(kept) = node.pool.take(&record.id) {
-        let idle = Some(kept.idle_for);
-        return Ok(PreparedConnection { connection: kept.connection, record, in_flight, idle });
+    if let Some(pooled) = node.pool.take(&record.id) {
+        let idle = Some(pooled.idle_for);
+        return Ok(PreparedConnection { connection: pooled.connection, record, in_flight, idle });
     }
     node.metrics.connections.inc();
     let started_at = Instant::now();
     match Upstream::open(record.address, RUNNER_CONNECT_TIMEOUT).await {
         Ok(connection) => {
             node.on_round_trip(&record.zone, started_at.elapsed());
-            // The runner may have started to leave or to rest while the connection was being
-            // opened.
+            // The runner may have started to leave, or may have requested a rest, while the
+            // connection was being opened.
             let record = record_accepting_work(node, &choice.runner)?;
             Ok(PreparedConnection { connection, record, in_flight, idle: None })
         }
@@ -161,11 +161,11 @@
     accepting.map(|runner| runner.record.clone()).ok_or(PrepareError::Withheld)
 }
 
-/// Parameters of an attempt.
+/// Parameters of one attempt, set by the dispatcher for each attempt of a request.
 #[derive(Clone, Debug)]
 pub struct AttemptParams {
-    /// What the runner is asked to do: the whole request, only the prefill, or the decode of a
-    /// prefilled prompt.
+    /// The work for the runner: the whole request, only the prefill, or the decode of a prefilled
+    /// prompt.
     pub work: Work,
     /// Priority sent to the runner, 0 being the most urgent. `None` for services without an engine.
     pub priority: Option<u8>,
@@ -179,16 +179,16 @@
     /// Whether the configuration has tenants. If so, the client's credentials are not forwarded to
     /// the runner.
     pub has_tenants: bool,
-    /// When the request's deadline expires.
+    /// When the request's deadline expires. The runner receives the remaining time.
     pub deadline: Instant,
     /// Maximum wait for the head of the response.
     pub head_timeout: Duration,
     /// Expected time until the prefill is finished. It is only logged.
     pub expected_prefill: Duration,
-    /// Time without data from the runner after which the runner is checked.
-    pub verify_after: Duration,
-    /// Whether the attempt is abandoned when its runner becomes suspect. Only set if the request
-    /// may be repeated.
+    /// Time without data from the runner after which the runner is probed for the first time.
+    pub probe_after: Duration,
+    /// Whether the attempt is abandoned when its runner is suspected of having failed. Only set if
+    /// the request may be repeated.
     pub abandons_suspects: bool,
 }
 
@@ -220,9 +220,9 @@
         () = wait_until_suspected(node, &runner), if params.abandons_suspects => {
             log::info!(target: "attempt", request = request.metadata.id.as_str(), runner = runner.as_str(); "left");
             record_unfinished_attempt(node, attempt);
-            return AttemptEnd::Unanswered;
+            return AttemptEnd::NoResponse;
         }
-        () = probe_while_silent(node, &runner, params.verify_after) => return AttemptEnd::Unanswered,
+        () = probe_while_silent(node, &runner, params.probe_after) => return AttemptEnd::NoResponse,
     };
     match outcome {
         Err(_) => {
@@ -231,7 +231,7 @@
             log::info!(target: "attempt", request = id, runner = runner.as_str(), limit_ms; "silent");
             node.on_attempt_timeout(&runner, sent_at_us);
             record_unfinished_attempt(node, attempt);
-            AttemptEnd::Unanswered
+            AttemptEnd::NoResponse
         }
         Ok(Err(error)) => {
             on_connection_lost(node, attempt, connection, &error);
@@ -259,12 +259,12 @@
         fetch_from: params.fetch_from,
         tenant: params.tenant.clone(),
     };
-    let left_out = OmittedHeaders {
+    let omitted = OmittedHeaders {
         last_event_id: params.after_event.is_some(),
         authorization: params.has_tenants,
     };
     let is_forwarded =
-        |(name, value): &&Header| headers::is_forwarded_to_runner(name, value, left_out);
+        |(name, value): &&Header| headers::is_forwarded_to_runner(name, value, omitted);
     let forwarded_headers = request.headers.iter().filter(is_forwarded);
     let mut headers_to_send: Vec<Header> = forwarded_headers.cloned().collect();
     let attempt_headers = headers::attempt_headers(&instructions).into_iter();
@@ -274,7 +274,7 @@
 }
 
 /// Reads response heads until one matches this request. On a reused connection, a surplus response
-/// to an earlier request may come first. What it reports about the runner is used too.
+/// to an earlier request may come first. What that one reports about the runner is used too.
 async fn read_matching_head(
     node: &Node,
     request: &ClientRequest,
@@ -299,7 +299,7 @@
     Err(ReadError::Closed)
 }
 
-/// Decides what the head of a response means for the attempt.
+/// Classifies the attempt by the head of its response, and updates the state of the runner.
 fn classify(
     node: &Rc<Node>,
     request: &ClientRequest,
@@ -315,17 +315,17 @@
         node.fleet.borrow_mut().on_load(&runner, load, node.now_us());
     }
     let is_own = metadata.request_id.as_deref() == Some(id);
-    if metadata.not_run && (is_own || metadata.request_id.is_none()) {
-        let misdirected = metadata.misdirected;
+    if metadata.is_declined && (is_own || metadata.request_id.is_none()) {
+        let misdirected = metadata.is_misdirected;
         log::info!(target: "attempt", request = id, runner = runner.as_str(), status, misdirected; "declined");
         on_declined(node, prepared, head, misdirected);
         return AttemptEnd::Declined;
     }
     let is_success = (200..300).contains(&status);
     let is_prefill_response = params.work == Work::Prefill && is_success;
-    // A response without a runner's stamp was not sent by a runner, whatever its status.
-    if !is_own || metadata.encoded || !(metadata.signed || is_prefill_response) {
-        log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "invalid response");
+    // A response without a runner's signature was not sent by a runner, whatever its status.
+    if !is_own || metadata.is_encoded || !(metadata.is_signed || is_prefill_response) {
+        log::warn!(target: "attempt", request = id, runner = runner.as_str(), status, is_own; "invalid response discarded");
         node.fleet.borrow_mut().on_response(&runner, true, node.now_us());
         return AttemptEnd::Lost;
     }
@@ -346,10 +346,10 @@
     node: &Rc<Node>,
     prepared: PreparedConnection,
     head: ResponseHead,
-    misdirected: bool,
+    is_misdirected: bool,
 ) {
     let runner = prepared.record.id.clone();
-    if misdirected {
+    if is_misdirected {
         node.fleet.borrow_mut().on_misdirected(&runner);
         node.pool.remove_runner(&runner);
         return;
@@ -378,12 +378,12 @@
     let runner = prepared.record.id.as_str();
     let reused = prepared.idle.is_some();
     let revision = prepared.record.revision.to_string();
-    let unread = prepared.in_flight.demand.prefill_tokens;
-    let late = prepared.in_flight.demand.overdue_tokens;
+    let prefill_tokens = prepared.in_flight.demand.prefill_tokens;
+    let overdue_tokens = prepared.in_flight.demand.overdue_tokens;
     let expected_ms = u64::try_from(params.expected_prefill.as_millis()).unwrap_or(u64::MAX);
     let rank = params.priority.unwrap_or_default();
     let fetch = params.fetch_from.is_some();
-    log::info!(target: "attempt", request = id, runner, work, reused, revision, unread, late, rank, fetch, expected_ms; "sent");
+    log::info!(target: "attempt", request = id, runner, work, reused, revision, unread = prefill_tokens, late = overdue_tokens, rank, fetch, expected_ms; "sent");
 }
 
 fn log_head(
@@ -399,22 +399,22 @@
     let head_ms = u64::try_from(sent_at.elapsed().as_millis()).unwrap_or(u64::MAX);
     let running = metadata.load.map_or(0, |load| load.running);
     let waiting = metadata.load.map_or(0, |load| load.waiting);
-    let RunnerNotice { leaving, rest_us, limit, malformed } = metadata.notice;
+    let RunnerNotice { is_leaving, rest_us, limit, is_malformed } = metadata.notice;
     let limit = limit.map_or_else(|| "none".to_owned(), |limit| limit.to_string());
     let rest_ms = rest_us / US_PER_MS;
     log::info!(
         target: "attempt",
-        request = id, runner, status, head_ms, running, waiting, leaving, rest_ms, limit, malformed; "head"
+        request = id, runner, status, head_ms, running, waiting, leaving = is_leaving, rest_ms, limit, malformed = is_malformed; "head"
     );
 }
 
 impl AttemptResponse {
     /// The response headers that are forwarded to the client.
     pub fn client_headers(&self) -> Vec<Header> {
-        let named = crate::http::connection_options(&self.head.headers);
+        let options = crate::http::connection_options(&self.head.headers);
         let passes = |header: &&Header| {
             headers::is_forwarded_to_client(&header.0)
-                && !crate::http::is_hop_by_hop_header(&header.0, &named)
+                && !crate::http::is_hop_by_hop_header(&header.0, &options)
         };
         self.head.headers.iter().filter(passes).cloned().collect()
     }
--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -51,8 +51,8 @@
 }
 
 impl NextAvailability {
-    /// The reason for failing a request that cannot wait this long. With a limit, other nodes have
-    /// no requests left either, so the client is told when to retry.
+    /// The reason for failing a request that cannot wait this long. A runner's limit applies to all
+    /// nodes together, so the response states when the client may retry.
     fn end_reason(self) -> EndReason {
         let wait_ms = u64::try_from(self.available_in.as_millis()).unwrap_or(u64::MAX);
         match self.has_limit {
@@ -96,8 +96,8 @@
                 return Ok(plan);
             }
             let remaining = give_up_at.saturating_duration_since(Instant::now());
-            // Waiting for a rest period that ends too late would keep the client from retrying
-            // elsewhere.
+            // If the runner becomes available too late, waiting for it would only keep the client
+            // from retrying at another node.
             let availability = self.next_availability();
             if let Some(availability) =
                 availability.filter(|availability| availability.available_in > remaining)
@@ -125,7 +125,7 @@
 
     async fn plan_now(&mut self) -> Result<Option<Plan>, EndReason> {
         if self.engine.is_none() {
-            self.ensure_paid().await?;
+            self.ensure_reserved().await?;
             let choice = choose_least_occupied(&self.node.fleet.borrow(), &self.demand());
             return Ok(choice.map(|choice| Plan {
                 choice,
@@ -134,8 +134,8 @@
                 permit: None,
             }));
         }
-        let (placement, payment) = tokio::join!(self.place(), self.request_payment());
-        self.payment = payment?.or(self.payment.take());
+        let (placement, reservation) = tokio::join!(self.place(), self.request_reservation());
+        self.reservation = reservation?.or(self.reservation.take());
         let Placement { prefill, decode, progress_reporter } = placement;
         match prefill {
             None => Ok(None),
@@ -161,8 +161,8 @@
         scheduling::place(self.node, &demand).await
     }
 
-    /// Has the prompt prefilled, then plans the decode at the planned runner or, if that accepts no
-    /// work any more, at another one. If the separate prefill fails, the decode runner prefills the
+    /// Runs the prefill, then plans the decode at the planned runner or, if that runner accepts no
+    /// more work, at another one. If the separate prefill fails, the decode runner prefills the
     /// prompt itself.
     async fn prefill_then_decode(
         &mut self,
@@ -258,20 +258,20 @@
         if cost != ArrivalCost::Free && self.would_miss_deadline(&prefill_runner) {
             return None;
         }
-        if !self.pay_for_arrival(cost) {
+        if !self.charge_arrival(cost) {
             return None;
         }
         let mut params = self.attempt_params(Work::Prefill, &prefill_runner);
         params.after_event = None;
         params.head_timeout = self.time_remaining().mul_f64(MAX_PREFILL_TIME_SHARE);
         params.abandons_suspects = self.has_retry_budget();
-        let demand = PrefillRequest {
+        let prefill_request = PrefillRequest {
             request: self.request,
             service: &self.service,
             prompt: &self.prompt,
             choice: &prefill_runner,
         };
-        match prefill::run_prefill(self.node, &demand, prepared, &params).await {
+        match prefill::run_prefill(self.node, &prefill_request, prepared, &params).await {
             PrefillOutcome::Prefilled(prompt) => {
                 if cost == ArrivalCost::Deposit {
                     self.node.with_retry_budget(&self.service, SharedRetryBudget::refund);
--- a/crates/gateway/src/http/response_codec.rs
+++ b/crates/gateway/src/http/response_codec.rs
@@ -1,7 +1,7 @@
 //! Decoding of HTTP/1.1 responses.
 //!
 //! The end of a response is given by its length, by its chunks, or by the end of the connection. In the
-//! last case the reader of the body must distinguish an orderly close from a reset.
+//! last case, whoever reads the body must distinguish an orderly close from a reset.
 
 use super::Header;
 use ntex::codec::Decoder;
@@ -25,7 +25,7 @@
     /// The head exceeds its maximum size.
     #[error("response head is too large")]
     HeadTooLarge,
-    /// The length is given more than once or in two ways, is not a number, or exceeds what the reader accepts.
+    /// The length is given more than once or in two ways, is not a number, or exceeds the accepted maximum.
     #[error("response length is invalid, ambiguous or over the limit")]
     InvalidLength,
     /// A chunk cannot be parsed.
@@ -47,7 +47,7 @@
 /// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The HTTP status code.
+    /// The HTTP status code; 200 or more, since interim responses are skipped.
     pub status: u16,
     /// Headers in the order received, with names in lower case.
     pub headers: Vec<Header>,
@@ -55,7 +55,7 @@
     pub framing: Framing,
     /// Whether the connection may be reused after the body.
     pub keep_alive: bool,
-    /// How long the server keeps an idle connection open; `None`: it does not say.
+    /// How long the server keeps an idle connection open, from `keep-alive: timeout=`; `None` if it is not stated.
     pub idle_timeout: Option<Duration>,
 }
 
@@ -143,13 +143,14 @@
 fn read_connection_headers(head: &mut ResponseHead) {
     if let Some(connection) = head.header_text("connection") {
         let has_option = |wanted: &str| {
-            connection.split(',').any(|word| word.trim().eq_ignore_ascii_case(wanted))
+            connection.split(',').any(|option| option.trim().eq_ignore_ascii_case(wanted))
         };
         head.keep_alive = !has_option("close") && (head.keep_alive || has_option("keep-alive"));
     }
     head.keep_alive &= head.framing != Framing::UntilClose;
     let seconds = head.header_text("keep-alive").and_then(|text| {
-        let parameter = text.split(',').find_map(|word| word.trim().strip_prefix("timeout="));
+        let parameter =
+            text.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="));
         parameter.and_then(|seconds| seconds.trim().parse::<u64>().ok())
     });
     head.idle_timeout = seconds.map(Duration::from_secs);
--- a/crates/gateway/src/interrupted_attempt.rs
+++ b/crates/gateway/src/interrupted_attempt.rs
@@ -1,7 +1,7 @@
 //! Handling of attempts that ended before their responses were complete.
 //!
-//! Each of them may mean that the runner has crashed. The runner is therefore checked, and the
-//! request that was in progress there is remembered until the result is known (see
+//! Each of them may mean that the runner has crashed. The runner is therefore probed, and the
+//! request that was in progress there is recorded until the result is known (see
 //! [`pitchstall_serving::crash_evidence`]).
 
 use crate::clock::Instant;
@@ -33,11 +33,11 @@
 pub fn on_interrupted(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     let now_us = node.now_us();
     node.fleet.borrow_mut().on_response_interrupted(attempt.runner, now_us);
-    verify_runner(node, attempt);
+    record_and_probe(node, attempt);
 }
 
-/// Records the unfinished attempt and checks whether its runner has crashed.
-pub fn verify_runner(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
+/// Records the unfinished attempt and probes its runner, which may have crashed.
+pub fn record_and_probe(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     record_unfinished_attempt(node, attempt);
     probe(node, attempt.runner, node.now_us());
 }
@@ -45,10 +45,10 @@
 /// Records that a request was in progress at a runner that may have crashed.
 pub fn record_unfinished_attempt(node: &Rc<Node>, attempt: InterruptedAttempt<'_>) {
     let identity = attempt.request.identity(attempt.tenant);
-    node.on_broken_attempt(attempt.runner, attempt.request.metadata.id.as_str(), identity);
+    node.on_attempt_interrupted(attempt.runner, attempt.request.metadata.id.as_str(), identity);
 }
 
-/// How the connection of a lost attempt was used.
+/// How the connection was used by an attempt that was lost with it.
 #[derive(Clone, Copy)]
 pub struct ConnectionUse {
     /// How long a pooled connection was idle before the request; `None` for a new connection.
@@ -61,7 +61,7 @@
     /// The idle time of a pooled connection that was already closed by the runner when the request
     /// was sent. This is assumed if the connection ended faster than any response could have been
     /// computed. `None` otherwise.
-    fn stale_after(&self) -> Option<Duration> {
+    fn idle_if_stale(&self) -> Option<Duration> {
         self.idle.filter(|_| self.sent_at.elapsed() < STALE_CONNECTION_WINDOW)
     }
 }
@@ -76,15 +76,15 @@
     let error = error.to_string();
     let runner = attempt.runner;
     let id = attempt.request.metadata.id.as_str();
-    let stale_after = connection.stale_after();
-    let rested_ms = stale_after.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
-    log::info!(target: "attempt", request = id, runner = runner.as_str(), rested_ms, error; "lost");
-    match stale_after {
+    let idle_if_stale = connection.idle_if_stale();
+    let idle_ms = idle_if_stale.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
+    log::info!(target: "attempt", request = id, runner = runner.as_str(), rested_ms = idle_ms, error; "lost");
+    match idle_if_stale {
         Some(idle) => {
             node.pool.on_stale_connection(idle);
             node.pool.remove_runner(runner);
             // The runner may also have crashed just after it accepted the request.
-            verify_runner(node, attempt);
+            record_and_probe(node, attempt);
         }
         None => on_interrupted(node, attempt),
     }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -19,7 +19,7 @@
     pub priority: u8,
 }
 
-/// A compiled program.
+/// The operators' policy program, compiled.
 pub struct PolicyProgram {
     engine: PolicyEngine,
     policy: Policy,
@@ -39,8 +39,8 @@
     }
 }
 
-/// Runs the current program for a request. `priority` applies if there is no program or if it decides
-/// none.
+/// Runs the current program for a request. `priority` applies if there is no program or if the
+/// program does not set one.
 pub fn placement_rules(
     node: &Node,
     request: &ClientRequest,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,7 +14,7 @@
     pub deduplicator: EventDeduplicator,
     /// Whether the head of the response has been written.
     pub is_head_sent: bool,
-    /// When the last events were forwarded to the client; `None`: none yet.
+    /// When events were last forwarded to the client; `None` if none has been forwarded.
     pub last_event_at: Option<Instant>,
 }
 
@@ -40,40 +40,40 @@
     Stalled,
     /// The deadline of the request has passed.
     DeadlineExceeded,
-    /// The client has disconnected.
+    /// The client has disconnected, or did not read the written bytes in time.
     ClientDisconnected,
 }
 
 /// Time limits for relaying a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayLimits {
-    /// Deadline of the request.
+    /// Time at which the request's deadline expires.
     pub deadline: Instant,
-    /// Longest time without any bytes before the run counts as stalled.
+    /// Maximum time without bytes from the runner before the run counts as stalled.
     pub max_pause: Duration,
 }
 
 /// Forwards one run of a stream. Only complete events are forwarded, so that another run can continue the stream.
 /// Bytes of an incomplete event stay in `splitter`, so that relaying a stalled run can be resumed.
 pub async fn relay(
-    answering: &AttemptResponse,
+    response: &AttemptResponse,
     client: &ClientConnection,
     state: &mut StreamState,
     splitter: &mut EventSplitter,
     limits: RelayLimits,
 ) -> RelayOutcome {
-    let headers = answering.client_headers();
+    let headers = response.client_headers();
     loop {
         let remaining = limits.deadline.saturating_duration_since(Instant::now());
-        let result = match timeout(remaining.min(limits.max_pause), answering.read_chunk()).await {
+        let result = match timeout(remaining.min(limits.max_pause), response.read_chunk()).await {
             Ok(result) => result,
             Err(_) if remaining <= limits.max_pause => return RelayOutcome::DeadlineExceeded,
             Err(_) => return RelayOutcome::Stalled,
         };
-        answering.in_flight.on_progress();
+        response.in_flight.on_progress();
         let forwarded = match result {
             Ok(Some(bytes)) => forward(&bytes, splitter, client, state, &headers).await,
-            Ok(None) => return finish(answering, splitter, client, state, &headers).await,
+            Ok(None) => return finish(response, splitter, client, state, &headers).await,
             Err(_) => return RelayOutcome::ConnectionLost,
         };
         if forwarded.is_err() {
@@ -116,17 +116,17 @@
     Ok(())
 }
 
-/// Handles the end of the body. If the body ends with the connection and an event is incomplete, the runner has
-/// stopped in the middle of that event.
+/// Handles the end of the body. If the end of the connection marks the end of the body and the last event is
+/// incomplete, the runner has stopped in the middle of that event.
 async fn finish(
-    answering: &AttemptResponse,
+    response: &AttemptResponse,
     splitter: &EventSplitter,
     client: &ClientConnection,
     state: &mut StreamState,
     headers: &[Header],
 ) -> RelayOutcome {
     let incomplete_event = splitter.pending();
-    if !incomplete_event.is_empty() && answering.ends_with_connection() {
+    if !incomplete_event.is_empty() && response.ends_with_connection() {
         return RelayOutcome::ConnectionLost;
     }
     let written = async {
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -29,7 +29,7 @@
 /// Maximum duration of a call to a runner.
 const RUNNER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Maximum time for which a runner counts as changing its role, in microseconds. The registry
-/// usually shows the new role earlier, unless the order was lost.
+/// usually shows the new role earlier. It never does if the order was lost.
 const MAX_ROLE_CHANGE_US: u64 = 6_000_000;
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
@@ -56,7 +56,7 @@
         let subject = roles_subject(&controller.node);
         let has_new_subject =
             std::mem::replace(&mut controller.subject, subject) != controller.subject;
-        if has_new_subject || controller.holding().fence().is_none() {
+        if has_new_subject || controller.authority().fence().is_none() {
             // Measurements of an earlier term or of another region's runners do not apply to the
             // next term.
             controller.planners.clear();
@@ -67,7 +67,7 @@
 }
 
 impl RoleController {
-    fn holding(&self) -> &LocalAuthority {
+    fn authority(&self) -> &LocalAuthority {
         local_roles_authority(&self.node, &self.subject)
     }
 
@@ -149,22 +149,23 @@
         }
         let record = self.node.fleet.borrow().get(&change.runner).map(|it| it.record.clone());
         let Some(record) = record else { return };
-        let answer = self.send_order(&record, change.stage, fence).await;
+        let response = self.send_order(&record, change.stage, fence).await;
         let now_us = self.node.now_us();
         // An order without a response may have been accepted.
-        if !matches!(answer, Some(OrderResponse::Refused | OrderResponse::Outdated)) {
+        if !matches!(response, Some(OrderResponse::Refused | OrderResponse::Outdated)) {
             let until_us = now_us + MAX_ROLE_CHANGE_US;
             self.node.on_role_change_ordered(&record.id, change.stage, until_us);
         }
         let runner = record.id.as_str();
         let (stage, fence) = (format!("{:?}", change.stage), fence.number());
-        let answer = answer.map_or_else(|| "none".to_owned(), |answer| format!("{answer:?}"));
-        log::info!(target: "authority", runner, stage, fence, answer; "ordered");
+        let response =
+            response.map_or_else(|| "none".to_owned(), |response| format!("{response:?}"));
+        log::info!(target: "authority", runner, stage, fence, answer = response; "ordered");
     }
 
     /// The current fencing token, if orders are allowed now.
     fn fence_now(&self) -> Option<FencingToken> {
-        self.holding().fence_for_orders(self.node.now_us())
+        self.authority().fence_for_orders(self.node.now_us())
     }
 
     async fn send_order(
@@ -183,9 +184,9 @@
             self.node.on_incarnation_mismatch(&record.id, report.started_at_ms);
             return Some(OrderResponse::Refused);
         }
-        let RunnerReport { accepted_orders, is_busy, is_draining: leaving } = report.value;
-        self.node.on_notice(&record.id, RunnerNotice { leaving, ..RunnerNotice::default() });
-        if is_busy || leaving {
+        let RunnerReport { accepted_orders, is_busy, is_draining: is_leaving } = report.value;
+        self.node.on_notice(&record.id, RunnerNotice { is_leaving, ..RunnerNotice::default() });
+        if is_busy || is_leaving {
             return Some(OrderResponse::Refused);
         }
         // The term may have ended while the runner's report was awaited.
@@ -195,15 +196,15 @@
         let name = self.node.settings().node.name.clone();
         let order = paths::role_order_body(stage, &name, fence, accepted_orders);
         let (status, _) = call_runner(&self.node, record, "POST", paths::ORDER, &order).await?;
-        let answer = paths::parse_order_status(status);
-        if answer == Some(OrderResponse::Outdated) {
-            self.holding().on_refused(fence);
+        let response = paths::parse_order_status(status);
+        if response == Some(OrderResponse::Outdated) {
+            self.authority().on_refused(fence);
         }
-        answer
+        response
     }
 }
 
-/// Wait, wait because of overdue work, occupied slots and used memory, each in hundredths.
+/// Wait, wait because of overdue work, occupied slots and used memory, each in percent.
 fn percents(metrics: &RoleMetrics) -> [u64; 4] {
     let percent = |share: f64| (share * 100.0).round() as u64;
     [metrics.wait, metrics.overdue_wait, metrics.occupancy, metrics.memory].map(percent)
--- a/crates/gateway/src/scaling.rs
+++ b/crates/gateway/src/scaling.rs
@@ -1,8 +1,8 @@
 //! Orders runners from the platform while this node holds the authority.
 //!
 //! The orders are decided in [`pitchstall_serving::capacity_planner`]. The required capacity is
-//! kept in the store. A node that takes over continues from this record and orders nothing before
-//! it has read it.
+//! kept in the store. A node that takes over continues from this record, and orders nothing before
+//! it has read the record.
 
 use crate::clock::Instant;
 use crate::node::Node;
@@ -41,7 +41,6 @@
     plans: HashMap<ServiceName, ServicePlan>,
 }
 
-/// The plan of a service.
 struct ServicePlan {
     planner: CapacityPlanner,
     record: CapacityRecord,
@@ -79,7 +78,7 @@
             self.plans.clear();
         }
         for (service, spec) in self.scalable_services() {
-            if !self.plans.contains_key(&service) && !self.begin_plan(&service).await {
+            if !self.plans.contains_key(&service) && !self.create_plan(&service).await {
                 continue;
             }
             self.count_initial_runners(&service).await;
@@ -104,20 +103,21 @@
     }
 
     /// Creates the plan of a service from the record of an earlier authority holder or, if there is
-    /// none, from the existing runners. Returns `false` if the store does not answer or its record
+    /// none, from the existing runners. Returns `false` if the store does not respond or its record
     /// is unreadable.
-    async fn begin_plan(&mut self, service: &ServiceName) -> bool {
+    async fn create_plan(&mut self, service: &ServiceName) -> bool {
         let read = store::read_capacity(service);
-        let answer = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
-        let (record, counting_since) = match answer.map(|answer| (answer.status, answer.body)) {
-            Some((StoreStatus::Done, body)) => {
-                let record = ok_or_log(service.as_str(), store::parse_capacity(&body));
-                let Some(record) = record else { return false };
-                (record, None)
-            }
-            Some((StoreStatus::Absent, _)) => (self.observed(service), Some(Instant::now())),
-            _ => return false,
-        };
+        let response = self.node.call_store(&mut self.store, &read, CALL_TIMEOUT).await;
+        let (record, counting_since) =
+            match response.map(|response| (response.status, response.body)) {
+                Some((StoreStatus::Done, body)) => {
+                    let record = ok_or_log(service.as_str(), store::parse_capacity(&body));
+                    let Some(record) = record else { return false };
+                    (record, None)
+                }
+                Some((StoreStatus::Absent, _)) => (self.observed(service), Some(Instant::now())),
+                _ => return false,
+            };
         let planner = CapacityPlanner::new(self.policy(), record.clone());
         let initial_preemptible = self.supply(service).values().map(|zone| zone.preemptible).sum();
         let plan = ServicePlan { planner, record, initial_preemptible, counting_since };
@@ -125,7 +125,8 @@
         true
     }
 
-    /// The existing capacity. Operators set up a service with as many runners as it needs.
+    /// The existing capacity, which is the initial requirement: operators set up a service with as
+    /// many runners as it needs.
     fn observed(&self, service: &ServiceName) -> CapacityRecord {
         let supply = self.supply(service);
         let need = supply.values().map(|zone| zone.reserved + zone.preemptible).sum();
@@ -151,15 +152,15 @@
         }
         let Some(fence) = self.fence else { return };
         let write = store::write_capacity(service, &plan.record, fence);
-        let answer = self.node.call_store(&mut self.store, &write, CALL_TIMEOUT).await;
-        match answer.map(|answer| answer.status) {
+        let response = self.node.call_store(&mut self.store, &write, CALL_TIMEOUT).await;
+        match response.map(|response| response.status) {
             Some(StoreStatus::Done) => plan.counting_since = None,
             Some(StoreStatus::Conflict) => self.node.authority.on_refused(fence),
             _ => {}
         }
     }
 
-    /// The service's runners by zone, without those that are leaving.
+    /// Number of the service's runners in each zone, without those that are leaving.
     fn supply(&self, service: &ServiceName) -> BTreeMap<ZoneId, ZoneSupply> {
         let mut supply: BTreeMap<ZoneId, ZoneSupply> = BTreeMap::new();
         let fleet = self.node.fleet.borrow();
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Sends an order. Returns whether the next one may follow.
+    /// Sends an order to the platform. Returns whether the next order may be sent.
     async fn order(&mut self, service: &ServiceName, order: &CapacityOrder) -> bool {
         let current_fence = self.node.authority.fence_for_orders(self.node.now_us());
         let Some(fence) = current_fence.filter(|fence| self.fence == Some(*fence)) else {
@@ -206,11 +207,11 @@
             preemptible,
         };
         self.node.metrics.cloud_calls.inc();
-        let answer = self
+        let response = self
             .cloud
             .call(cloud.address, &cloud::scale(&holder, &scale_order), CALL_TIMEOUT)
             .await;
-        let outcome = answer.as_ref().map(|answer| cloud::parse_status(answer.status));
+        let outcome = response.as_ref().map(|response| cloud::parse_status(response.status));
         log_order(service, order, fence, &outcome);
         let now_us = self.node.now_us();
         let Some(plan) = self.plans.get_mut(service) else { return false };
@@ -239,11 +240,11 @@
     fence: FencingToken,
     outcome: &Result<DutyResponse, E>,
 ) {
-    let answer = match outcome {
-        Ok(answer) => format!("{answer:?}"),
+    let response = match outcome {
+        Ok(response) => format!("{response:?}"),
         Err(error) => error.to_string(),
     };
     let (service, zone, runners) = (service.as_str(), order.zone.as_str(), order.runners);
     let (runner_kind, fence) = (format!("{:?}", order.kind), fence.number());
-    log::info!(target: "scaling", service, zone, runner_kind, runners, fence, answer; "ordered");
+    log::info!(target: "scaling", service, zone, runner_kind, runners, fence, answer = response; "ordered");
 }
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -1,7 +1,7 @@
 //! Places requests by querying the scheduler of the runners' shard, in this node's own region
 //! first.
 //!
-//! The messages are defined in [`pitchstall_serving::scheduling`]; queries are answered in
+//! The messages are defined in [`pitchstall_serving::scheduling`]; queries are handled in
 //! [`crate::shard_scheduler`]. Messages are datagrams, and a lost one is not sent again.
 
 use crate::clock::Instant;
@@ -30,21 +30,22 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Share of a request's target time to wait for a scheduler's reply, in addition to the round trip.
-/// It is a small part of what a bad placement costs.
+/// How long to wait for a scheduler's reply in addition to the round trip, as a share of the
+/// request's target time. The wait costs little in comparison to a bad placement.
 const REPLY_TIMEOUT_TARGET_SHARE: f64 = 0.06;
-/// Minimum and maximum of the wait for a scheduler's reply, besides the round trip. With a shorter
-/// wait, nodes on machines with a shared processor would reply too late. With a longer wait, a
-/// crashed scheduler would cost more than a good placement gains.
+/// Minimum wait for a scheduler's reply in addition to the round trip. With a shorter wait,
+/// schedulers on machines with a shared processor would reply too late.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(12);
+/// Maximum wait for a scheduler's reply in addition to the round trip. With a longer wait, a crashed
+/// scheduler would cost more than a good placement gains.
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 const MS_PER_SECOND: f64 = 1_000.0;
 
 /// A request that is to be placed.
 pub struct PlacementDemand<'a> {
-    /// ID of the request.
+    /// The client's id for the request, by which all nodes log it.
     pub request: &'a str,
-    /// The service that the request addresses.
+    /// The service whose runners may be chosen.
     pub service: &'a ServiceName,
     /// The criteria for the choice of runners.
     pub demand: Demand<'a>,
@@ -74,7 +75,7 @@
 }
 
 impl ProgressReporter {
-    /// For a request that this node has placed itself: nothing is reported.
+    /// The reporter for a request that this node has placed itself. It sends no messages.
     fn local(node: &Rc<Node>) -> Self {
         Self { node: node.clone(), scheduled_by: None }
     }
@@ -110,7 +111,8 @@
 }
 
 impl Scheduling {
-    /// Creates the state without pending queries and reservations.
+    /// Creates the state, without pending queries and without reservations. `socket` sends the
+    /// messages.
     pub fn new(socket: PeerSocket) -> Self {
         Self {
             socket,
@@ -199,7 +201,8 @@
     node.scheduling.socket.send(&PeerMessage::PlacementQuery(query), &[address]);
     let reply = timeout(reply_timeout(node, &scheduler, demand.target_ms), receiver).await;
     node.scheduling.pending_queries.borrow_mut().remove(&ticket);
-    // If the reply arrives late, or a message is lost, the end report frees the reservation.
+    // The scheduler may have made a reservation although its reply arrives late or is lost. The end
+    // report that is sent when the reporter is dropped frees that reservation.
     let reporter_to =
         |address| ProgressReporter { node: node.clone(), scheduled_by: Some((address, ticket)) };
     let Ok(Ok((reply, from))) = reply else {
@@ -218,8 +221,8 @@
     log_reply(demand.request, &scheduler, shard, &reply, elapsed);
     node.metrics.placements.inc();
     node.scheduling.missed_replies.on_reply(&scheduler);
-    if let Some(remote) = reply.remote_region {
-        return Outcome::RemoteRegion(remote);
+    if let Some(remote_region) = reply.remote_region {
+        return Outcome::RemoteRegion(remote_region);
     }
     placement_from_reply(node, reply, reporter_to(from)).map_or(Outcome::NoReply, Outcome::Placed)
 }
@@ -244,9 +247,9 @@
     elapsed: Duration,
 ) {
     let took_us = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
-    let (reader, writer) = runner_names(reply.plan.as_ref());
+    let (prefill, decode) = runner_names(reply.plan.as_ref());
     let (scheduler, region) = (scheduler.as_str(), shard.region.as_str());
-    log::info!(target: "scheduling", request, scheduler, region, took_us, reader, writer; "told");
+    log::info!(target: "scheduling", request, scheduler, region, took_us, reader = prefill, writer = decode; "told");
 }
 
 /// Names of the prefill runner and the decode runner, for logging.
@@ -258,7 +261,7 @@
     }
 }
 
-/// How long to wait for a scheduler's reply: one round trip plus its processing time.
+/// How long to wait for a scheduler's reply: one round trip plus the time for processing the query.
 fn reply_timeout(node: &Node, scheduler: &NodeId, target_ms: u64) -> Duration {
     let share = Duration::from_millis(target_ms).mul_f64(REPLY_TIMEOUT_TARGET_SHARE);
     let members = node.members.borrow();
@@ -267,8 +270,8 @@
     round_trip + share.clamp(MIN_REPLY_TIMEOUT, MAX_REPLY_TIMEOUT)
 }
 
-/// `None` if the reply contains no plan, or if its first runner is unknown to this node or accepts
-/// no work.
+/// Converts a scheduler's reply into a placement; `None` if the reply contains no plan, or if its
+/// first runner is unknown to this node or accepts no work.
 fn placement_from_reply(
     node: &Rc<Node>,
     reply: PlacementReply,
@@ -292,7 +295,7 @@
     let accepts_work = node.accepts_placements(&choice.runner);
     if !accepts_work {
         node.metrics.placements_rejected.inc();
-        log::info!(target: "scheduling", runner = choice.runner.as_str(); "chosen runner unusable");
+        log::info!(target: "scheduling", runner = choice.runner.as_str(); "placement rejected: runner accepts no requests of this node");
     }
     accepts_work
 }
@@ -423,10 +426,10 @@
 }
 
 /// Handles a scheduler's reply. A late reply is discarded: the request has been placed by other
-/// means, and the scheduler is told again to end its reservation.
+/// means, and another end report is sent, so that the scheduler frees its reservation.
 pub fn on_reply(node: &Node, reply: PlacementReply, from: SocketAddr) {
-    let pending_queries = node.scheduling.pending_queries.borrow_mut().remove(&reply.ticket);
-    match pending_queries {
+    let pending_query = node.scheduling.pending_queries.borrow_mut().remove(&reply.ticket);
+    match pending_query {
         // If the request has just ended, the receiver is gone and the reservation expires.
         Some(sender) => drop(sender.send((reply, from))),
         None => {
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -39,10 +39,10 @@
 /// per second.
 const REPORTS_PER_REGION_REPORT: u32 = 4;
 
-/// Answers a placement query, or forwards it to the scheduler of a shard with shorter waits.
+/// Replies to a placement query, or forwards it to the scheduler of a shard with shorter waits.
 pub fn on_query(node: &Node, mut query: PlacementQuery) {
-    // Otherwise the querying node would only learn after the prefill that the decode runner accepts
-    // no more requests.
+    // Runners whose limit is exhausted are excluded here. Otherwise the querying node would only
+    // learn after the prefill that the decode runner accepts no more requests.
     query.excluded.extend(runner_limits::exhausted_runners(node, &query.shard));
     let prompt = query.prompt();
     let zones: Option<BTreeSet<ZoneId>> =
@@ -102,10 +102,10 @@
     plan: Option<WirePlan>,
     remote_region: Option<RemoteRegion>,
 ) {
-    let (reader, writer) = runner_names(plan.as_ref());
+    let (prefill, decode) = runner_names(plan.as_ref());
     let (region, shard) = (query.shard.region.as_str(), query.shard.number);
     let other_region = remote_region.as_ref().map_or("", |preferred| preferred.region.as_str());
-    log::info!(target: "scheduling", request = query.request.as_str(), region, shard, reader, writer, other_region; "placed");
+    log::info!(target: "scheduling", request = query.request.as_str(), region, shard, reader = prefill, writer = decode, other_region; "placed");
     let reply = PlacementReply { ticket: query.ticket, plan, remote_region };
     node.scheduling.socket.send(&PeerMessage::PlacementReply(reply), &[query.reply_to]);
 }
@@ -136,7 +136,7 @@
 }
 
 /// Handles a progress report of a request that this node has placed. If the other node could not
-/// reach a runner, this node checks the runner itself, since the other node may be the one that is
+/// reach a runner, this node probes the runner itself, since the other node may be the one that is
 /// disconnected.
 pub fn on_progress(node: &Rc<Node>, message: &ProgressMessage) {
     let now_us = node.now_us();
--- a/crates/serving/src/fleet/estimates.rs
+++ b/crates/serving/src/fleet/estimates.rs
@@ -314,7 +314,7 @@
     /// one. The runner gets no requests until a newer entry arrives.
     pub fn on_misdirected(&mut self, id: &RunnerId) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.misdirected = true;
+            runner.is_misdirected = true;
         }
     }
 }
--- a/crates/serving/src/runner.rs
+++ b/crates/serving/src/runner.rs
@@ -133,7 +133,7 @@
     pub(crate) role_transition: Option<(Stage, u64)>,
     /// Whether another runner, or a runner in another role than this entry states, responded at the
     /// address. A newer entry resets it.
-    pub(crate) misdirected: bool,
+    pub(crate) is_misdirected: bool,
     /// Set when the entry is gone from the registry but may only have lapsed.
     pub(crate) lapsed: Option<Lapsed>,
     pub(crate) cache: PrefixCacheModel,
@@ -170,7 +170,7 @@
             availability,
             full_until_us: 0,
             role_transition: None,
-            misdirected: false,
+            is_misdirected: false,
             lapsed: None,
             cache: PrefixCacheModel::default(),
             speed: RunnerSpeed::default(),
@@ -185,7 +185,7 @@
 
     /// Whether new requests may be sent to the runner by at least some node.
     pub fn accepts_work(&self) -> bool {
-        !self.is_leaving() && !self.misdirected
+        !self.is_leaving() && !self.is_misdirected
     }
 
     /// Whether this node may send a request to the runner now.
--- a/crates/serving/tests/runner_incarnations.rs
+++ b/crates/serving/tests/runner_incarnations.rs
@@ -79,7 +79,7 @@
         "pending role change" => fleet.on_role_change_ordered(id, Stage::Prefill, 9 * SECOND_US),
         "misdirected" => fleet.on_misdirected(id),
         "leaving by its own notice" => {
-            let notice = RunnerNotice { leaving: true, ..RunnerNotice::default() };
+            let notice = RunnerNotice { is_leaving: true, ..RunnerNotice::default() };
             fleet.on_notice(id, notice, SECOND_US);
         }
         "rest" => {
@@ -246,7 +246,7 @@
     let mut evidence = CrashEvidence::default();
     let changes: Vec<CrashChange> = (1..=3)
         .map(|born_ms| {
-            assert!(!evidence.on_attempt_broken(
+            assert!(!evidence.on_attempt_interrupted(
                 &incarnation(born_ms),
                 request,
                 born_ms * SECOND_US
