--- a/crates/gateway/tests/message_compatibility.rs
+++ b/crates/gateway/tests/message_compatibility.rs
@@ -14,7 +14,7 @@
 /// A hello message recorded from the version whose commit names the folder; it does not know the
 /// limits of runners.
 fn hello_of_earlier_build() -> Value {
-    serde_json::from_str(include_str!("recorded_words/5d6b701/hello.json")).unwrap()
+    serde_json::from_str(include_str!("recorded_messages/5d6b701/hello.json")).unwrap()
 }
 
 /// The same message from a later version, with fields that this version does not know.
