--- a/crates/gateway/src/cross_region_traffic.rs
+++ b/crates/gateway/src/cross_region_traffic.rs
@@ -33,11 +33,11 @@
     }
 
     /// Counts a message of `bytes` bytes, of the kind `word`, for each receiver in another region.
-    pub fn on_sent(&self, word: &'static str, bytes: usize, to: &[SocketAddr]) {
+    pub fn on_sent(&self, kind: &'static str, bytes: usize, to: &[SocketAddr]) {
         let remote_addresses = self.remote_addresses.borrow();
         let sent = to.iter().filter(|address| remote_addresses.contains(address)).count();
         if sent > 0 {
-            self.bytes.get_or_create(&MessageLabels { word }).inc_by((sent * bytes) as u64);
+            self.bytes.get_or_create(&MessageLabels { word: kind }).inc_by((sent * bytes) as u64);
         }
     }
 
--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -53,12 +53,12 @@
             node.adopt_configuration(configuration);
         }
         Err(error) => {
-            let fault = EntryError::InvalidDocument(error.to_string());
+            let error = EntryError::InvalidDocument(error.to_string());
             node.on_refused_entry(
                 Subject::Configuration.name(),
                 &entry.key,
                 entry.revision,
-                &fault,
+                &error,
             );
         }
     }
@@ -122,12 +122,12 @@
 /// The crash that an entry describes; `None` if the entry was removed or cannot be parsed.
 fn parse_crash(node: &Node, entry: &StoreEntry) -> Option<(Crash, CrashRecord)> {
     let document = entry.document.as_deref()?;
-    let fault = match (store::parse_crash_key(&entry.key), serde_json::from_str(document)) {
+    let error = match (store::parse_crash_key(&entry.key), serde_json::from_str(document)) {
         (Some(crash), Ok(record)) => return Some((crash, record)),
         (None, _) => EntryError::InvalidKey,
         (_, Err(error)) => EntryError::InvalidDocument(error.to_string()),
     };
-    node.on_refused_entry(Subject::Crashes.name(), &entry.key, entry.revision, &fault);
+    node.on_refused_entry(Subject::Crashes.name(), &entry.key, entry.revision, &error);
     None
 }
 
@@ -141,16 +141,16 @@
     let record = match documents::parse_runner(&entry.key, document.as_bytes(), revision) {
         Ok(record) => record,
         Err(error) => {
-            let fault = EntryError::InvalidDocument(error.to_string());
-            node.on_refused_entry(Subject::Runners.name(), &entry.key, entry.revision, &fault);
+            let error = EntryError::InvalidDocument(error.to_string());
+            node.on_refused_entry(Subject::Runners.name(), &entry.key, entry.revision, &error);
             return None;
         }
     };
     if record.id.started_at_ms().is_some() {
         node.entries_have_start_times.set(true);
     } else if node.entries_have_start_times.get() {
-        let fault = EntryError::MissingStartTime;
-        node.on_refused_entry(Subject::Runners.name(), &entry.key, entry.revision, &fault);
+        let error = EntryError::MissingStartTime;
+        node.on_refused_entry(Subject::Runners.name(), &entry.key, entry.revision, &error);
         return None;
     }
     Some(record)
@@ -164,8 +164,8 @@
         let Item { key, value, revision } = item;
         let document = match value.map(|value| to_document(subject, value)).transpose() {
             Ok(document) => document,
-            Err(fault) => {
-                node.on_refused_entry(subject.name(), &key, revision, &fault);
+            Err(error) => {
+                node.on_refused_entry(subject.name(), &key, revision, &error);
                 if subject == Subject::Configuration {
                     return None;
                 }
--- a/crates/gateway/src/http/response_codec.rs
+++ b/crates/gateway/src/http/response_codec.rs
@@ -143,13 +143,14 @@
 fn read_connection_headers(head: &mut ResponseHead) {
     if let Some(connection) = head.header_text("connection") {
         let has_option = |wanted: &str| {
-            connection.split(',').any(|word| word.trim().eq_ignore_ascii_case(wanted))
+            connection.split(',').any(|option| option.trim().eq_ignore_ascii_case(wanted))
         };
         head.keep_alive = !has_option("close") && (head.keep_alive || has_option("keep-alive"));
     }
     head.keep_alive &= head.framing != Framing::UntilClose;
     let seconds = head.header_text("keep-alive").and_then(|text| {
-        let parameter = text.split(',').find_map(|word| word.trim().strip_prefix("timeout="));
+        let parameter =
+            text.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="));
         parameter.and_then(|seconds| seconds.trim().parse::<u64>().ok())
     });
     head.idle_timeout = seconds.map(Duration::from_secs);
--- a/crates/gateway/src/json_lines.rs
+++ b/crates/gateway/src/json_lines.rs
@@ -86,7 +86,7 @@
     match io.recv(decoder).await {
         Ok(Some(bytes)) => Ok(bytes),
         Ok(None) | Err(ntex::util::Either::Right(_)) => Err(LineError::Closed),
-        Err(ntex::util::Either::Left(failure)) => Err(failure),
+        Err(ntex::util::Either::Left(error)) => Err(error),
     }
 }
 
--- a/crates/gateway/src/node/eras.rs
+++ b/crates/gateway/src/node/eras.rs
@@ -19,7 +19,7 @@
             return None;
         }
         let reported = reported.unwrap_or_else(|error| {
-            if !self.has_logged_unreadable_era.replace(true) {
+            if !self.has_logged_invalid_era.replace(true) {
                 let error = error.to_string();
                 log::warn!(target: "store", error; "store reported an invalid era");
             }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -82,7 +82,7 @@
     /// from its responses.
     pub store_generation: Cell<u64>,
     /// Whether an invalid era in a response has been logged; it is logged only once.
-    pub has_logged_unreadable_era: Cell<bool>,
+    pub has_logged_invalid_era: Cell<bool>,
     /// Notified when a later era of the store begins, or the store is replaced.
     pub later_era_began: Notify,
     /// How fresh the replicas of the store are.
@@ -115,7 +115,7 @@
     /// Entries of the store that cannot be used.
     pub refused_entries: RefusedEntries,
     /// Names of runners' response headers that this build does not support.
-    pub unknown_words: RefCell<UnknownHeaders>,
+    pub unknown_headers: RefCell<UnknownHeaders>,
     /// Whether any runner's entry in the registry has reported its start time; entries without one
     /// are refused from then on.
     pub entries_have_start_times: Cell<bool>,
@@ -184,7 +184,7 @@
             store_replica_changed: Notify::new(),
             store_eras: RefCell::default(),
             store_generation: Cell::new(0),
-            has_logged_unreadable_era: Cell::new(false),
+            has_logged_invalid_era: Cell::new(false),
             later_era_began: Notify::new(),
             freshness: RefCell::default(),
             replica_confirmed: Notify::new(),
@@ -200,7 +200,7 @@
             runner_limits: RunnerLimits::default(),
             usage_collector: RefCell::default(),
             refused_entries: RefusedEntries::default(),
-            unknown_words: RefCell::default(),
+            unknown_headers: RefCell::default(),
             entries_have_start_times: Cell::new(false),
             incarnation: rand::rng().random(),
             wall_clock: RefCell::default(),
@@ -333,9 +333,9 @@
         subject: &'static str,
         key: &str,
         revision: RevisionNumber,
-        fault: &EntryError,
+        error: &EntryError,
     ) {
-        if self.refused_entries.on_refused(subject, key, revision, fault) {
+        if self.refused_entries.on_refused(subject, key, revision, error) {
             self.metrics.on_refused_entry(subject);
         }
     }
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -148,7 +148,7 @@
     /// logs each name once.
     fn on_unknown_headers(&self, runner: &RunnerId, names: &[String]) {
         for name in names {
-            if self.unknown_words.borrow_mut().record(name) {
+            if self.unknown_headers.borrow_mut().record(name) {
                 log::warn!(target: "fleet", runner = runner.as_str(), header = name.as_str(); "unknown response header of a runner");
             }
             self.metrics.on_runner_notice("unknown");
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -59,7 +59,7 @@
 
 /// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CallFailure {
+enum CallError {
     /// The object of the call does not exist.
     Absent,
     /// The call was rejected or got no response.
@@ -328,8 +328,8 @@
             let sent_at_us = self.node.now_us();
             match self.call(client, &store::renew_lease(lease.number)).await {
                 Ok(_) => self.node.quotas.on_renewed(sent_at_us),
-                Err(CallFailure::Absent) => return self.node.quotas.on_lease_expired(),
-                Err(CallFailure::Other) => {}
+                Err(CallError::Absent) => return self.node.quotas.on_lease_expired(),
+                Err(CallError::Other) => {}
             }
             if renewal % RENEWALS_PER_LISTING == 0 {
                 self.list_nodes(client, store::read_nodes_stale).await;
@@ -345,7 +345,7 @@
     ) {
         let page = read_pages(async |after| {
             let (body, _) = self.call(client, &read(after.as_deref())).await?;
-            ok_or_log("nodes", store::parse_page(&body)).ok_or(CallFailure::Other)
+            ok_or_log("nodes", store::parse_page(&body)).ok_or(CallError::Other)
         });
         let Ok(page) = page.await else { return };
         let listed = page.items.iter().filter_map(|item| self.read_node(item));
@@ -368,8 +368,8 @@
     fn read_node(&self, item: &Item) -> Option<(NodeId, Member)> {
         let node = store::parse_node(item);
         if node.is_none() {
-            let fault = EntryError::InvalidDocument("the entry names no node".to_owned());
-            self.node.on_refused_entry("nodes", &item.key, item.revision, &fault);
+            let error = EntryError::InvalidDocument("the entry names no node".to_owned());
+            self.node.on_refused_entry("nodes", &item.key, item.revision, &error);
         }
         node
     }
@@ -378,25 +378,25 @@
         &self,
         client: &mut PlatformClient,
         call: &PlatformCall,
-    ) -> Result<(Vec<u8>, StoreEra), CallFailure> {
+    ) -> Result<(Vec<u8>, StoreEra), CallError> {
         self.node.metrics.store_calls.inc();
         let address = self.node.settings().store.address;
-        let (outcome, failure) = match client.call(address, call, STORE_TIMEOUT).await {
+        let (outcome, error) = match client.call(address, call, STORE_TIMEOUT).await {
             Ok(response) => {
                 let Some(era) = self.node.on_era_reported(address, response.era) else {
-                    return Err(CallFailure::Other);
+                    return Err(CallError::Other);
                 };
                 match store::parse_status(response.status) {
                     StoreStatus::Done => return Ok((response.body, era)),
-                    StoreStatus::Absent => (response.status.to_string(), CallFailure::Absent),
-                    _ => (response.status.to_string(), CallFailure::Other),
+                    StoreStatus::Absent => (response.status.to_string(), CallError::Absent),
+                    _ => (response.status.to_string(), CallError::Other),
                 }
             }
-            Err(error) => (error.to_string(), CallFailure::Other),
+            Err(error) => (error.to_string(), CallError::Other),
         };
         self.node.metrics.store_failures.inc();
         self.node.store_suspected.notify_waiters();
         log::info!(target: "peers", target = call.target.as_str(), outcome; "store call failed");
-        Err(failure)
+        Err(error)
     }
 }
--- a/crates/gateway/src/platform_client.rs
+++ b/crates/gateway/src/platform_client.rs
@@ -5,7 +5,7 @@
 
 use crate::http::request::encode_request;
 use crate::http::{BodyDecoder, ConnectError, ReadError, ResponseHead, Upstream};
-use crate::transfer::{read_body, Transfer, TransferFailure};
+use crate::transfer::{read_body, Transfer, TransferError};
 use pitchstall_platform_adapter::call::PlatformCall;
 use pitchstall_platform_adapter::store::{parse_era, EraError};
 use pitchstall_serving::store_revision::StoreEra;
@@ -34,7 +34,7 @@
     TimedOut,
     /// The response began to arrive and was not completed.
     #[error("incomplete response from the platform: {0}")]
-    Incomplete(#[from] TransferFailure),
+    Incomplete(#[from] TransferError),
 }
 
 /// A response of the platform.
--- a/crates/gateway/src/quota/candidate.rs
+++ b/crates/gateway/src/quota/candidate.rs
@@ -97,8 +97,8 @@
     /// Records the holder of a keeper from a store item that was read in the given era.
     fn learn(&self, item: &Item, era: StoreEra) {
         let Some((keeper, holder, revision)) = quota_slots::parse_keeper(item) else {
-            let fault = EntryError::InvalidDocument("the entry names no keeper".to_owned());
-            self.node.on_refused_entry("keepers", &item.key, item.revision, &fault);
+            let error = EntryError::InvalidDocument("the entry names no keeper".to_owned());
+            self.node.on_refused_entry("keepers", &item.key, item.revision, &error);
             return;
         };
         if era < self.node.store_era() {
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -13,20 +13,20 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Consecutive timeouts after which a keeper is not queried for [`BACKOFF_US`]; the same values as
+/// Consecutive timeouts after which a keeper is not queried for [`SKIP_DURATION_US`]; the same values as
 /// for schedulers of shards.
-const TIMEOUTS_UNTIL_BACKOFF: u32 = 2;
-const BACKOFF_US: u64 = 2_000_000;
+const MISSED_BEFORE_SKIP: u32 = 2;
+const SKIP_DURATION_US: u64 = 2_000_000;
 /// Each further timeout doubles the backoff, at most this many times, so that a machine that is
 /// gone for good is queried rarely.
-const MAX_BACKOFF_DOUBLINGS: u32 = 2;
+const MAX_SKIP_DOUBLINGS: u32 = 2;
 /// Time for which a node is not queried after it replied that it does not hold the keeper,
 /// microseconds.
-const NOT_KEEPER_BACKOFF_US: u64 = 500_000;
+const NOT_KEEPER_SKIP_US: u64 = 500_000;
 /// Time without a message from a keeper after which no query is forwarded to it, microseconds. The
 /// forwarding keeper would not notice that the query is lost. Keepers send each other a digest
 /// every second.
-const FORWARD_MAX_SILENCE_US: u64 = 2_500_000;
+const MAX_FORWARD_INACTIVITY_US: u64 = 2_500_000;
 /// Time within which a keeper acknowledges a forwarded query, microseconds. After it, no query is
 /// forwarded to that keeper until a message from it is received. It is about ten times what a
 /// datagram takes, and less than requesters wait for a reply.
@@ -46,8 +46,8 @@
     pub last_received_us: u64,
     /// When the node or the store last confirmed that it holds the keeper, microseconds.
     last_confirmed_us: u64,
-    consecutive_timeouts: u32,
-    backoff_until_us: u64,
+    consecutive_missed: u32,
+    skipped_until_us: u64,
     /// When the oldest unacknowledged query was forwarded to the node, microseconds; `None` if a
     /// message was received from it since.
     unacked_forward_since_us: Option<u64>,
@@ -79,7 +79,7 @@
             known.unacked_forward_since_us = None;
             // The node may have been frozen or partitioned. One more timeout starts the backoff
             // again.
-            known.backoff_until_us = 0;
+            known.skipped_until_us = 0;
         }
     }
 
@@ -106,8 +106,8 @@
                     revision,
                     last_received_us: now_us,
                     last_confirmed_us: now_us,
-                    consecutive_timeouts: 0,
-                    backoff_until_us: 0,
+                    consecutive_missed: 0,
+                    skipped_until_us: 0,
                     unacked_forward_since_us: None,
                 };
                 self.by_keeper.insert(keeper.clone(), holder);
@@ -151,7 +151,7 @@
     /// backoff.
     pub fn query_address(&self, keeper: &KeeperId, now_us: u64) -> Option<SocketAddr> {
         let holder = self.by_keeper.get(keeper)?;
-        (now_us >= holder.backoff_until_us).then_some(holder.address)
+        (now_us >= holder.skipped_until_us).then_some(holder.address)
     }
 
     /// Address of the holder of a keeper, whether it replies or not; `None` if no holder is known.
@@ -165,7 +165,7 @@
         let is_ack_pending = |since_us: u64| now_us < since_us + FORWARD_ACK_TIMEOUT_US;
         let is_responsive = |holder: &Holder| {
             holder.address == own
-                || (now_us < holder.last_received_us + FORWARD_MAX_SILENCE_US
+                || (now_us < holder.last_received_us + MAX_FORWARD_INACTIVITY_US
                     && holder.unacked_forward_since_us.is_none_or(is_ack_pending))
         };
         self.query_address(keeper, now_us).is_some()
@@ -208,8 +208,8 @@
     pub fn on_reply(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
             holder.last_received_us = now_us;
-            holder.consecutive_timeouts = 0;
-            holder.backoff_until_us = 0;
+            holder.consecutive_missed = 0;
+            holder.skipped_until_us = 0;
         }
     }
 
@@ -217,21 +217,21 @@
     /// it does not know whether it still does.
     pub fn on_not_keeper(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
-            holder.backoff_until_us = now_us + NOT_KEEPER_BACKOFF_US;
+            holder.skipped_until_us = now_us + NOT_KEEPER_SKIP_US;
         }
     }
 
     /// Records that a keeper did not reply in time. Returns whether it is in backoff from now on.
     pub fn on_reply_timeout(&mut self, keeper: &KeeperId, now_us: u64) -> bool {
         let Some(holder) = self.by_keeper.get_mut(keeper) else { return false };
-        holder.consecutive_timeouts += 1;
-        let is_backing_off = holder.consecutive_timeouts >= TIMEOUTS_UNTIL_BACKOFF;
-        if is_backing_off {
+        holder.consecutive_missed += 1;
+        let is_skipped = holder.consecutive_missed >= MISSED_BEFORE_SKIP;
+        if is_skipped {
             let doublings =
-                (holder.consecutive_timeouts - TIMEOUTS_UNTIL_BACKOFF).min(MAX_BACKOFF_DOUBLINGS);
-            holder.backoff_until_us = now_us + (BACKOFF_US << doublings);
+                (holder.consecutive_missed - MISSED_BEFORE_SKIP).min(MAX_SKIP_DOUBLINGS);
+            holder.skipped_until_us = now_us + (SKIP_DURATION_US << doublings);
         }
-        is_backing_off
+        is_skipped
     }
 
     /// Addresses of all holders, without duplicates.
--- a/crates/gateway/src/refused_entries.rs
+++ b/crates/gateway/src/refused_entries.rs
@@ -47,7 +47,7 @@
         subject: &str,
         key: &str,
         revision: RevisionNumber,
-        fault: &EntryError,
+        error: &EntryError,
     ) -> bool {
         let mut logged = self.logged.borrow_mut();
         if logged.get(key) == Some(&revision) {
@@ -57,9 +57,9 @@
             logged.clear();
         }
         logged.insert(key.to_owned(), revision);
-        let fault = fault.to_string();
+        let error = error.to_string();
         let revision = revision.0;
-        log::warn!(target: "store", subject, key, revision, fault = fault.as_str(); "entry refused");
+        log::warn!(target: "store", subject, key, revision, fault = error.as_str(); "entry refused");
         true
     }
 }
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -22,7 +22,7 @@
 
 /// Why a response is incomplete.
 #[derive(Debug, thiserror::Error)]
-pub enum TransferFailure {
+pub enum TransferError {
     /// The connection failed.
     #[error(transparent)]
     Read(#[from] ReadError),
@@ -78,8 +78,8 @@
     decoder: &BodyDecoder,
     max_bytes: usize,
     transfer: &Transfer,
-) -> Result<Vec<u8>, TransferFailure> {
-    let stalled = || TransferFailure::Stalled { received: transfer.received() };
+) -> Result<Vec<u8>, TransferError> {
+    let stalled = || TransferError::Stalled { received: transfer.received() };
     let read = async {
         let mut body = Vec::new();
         loop {
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -288,9 +288,9 @@
         for item in page.items {
             let (key, revision) = (item.key.clone(), item.revision);
             let Some((window, body)) = store::parse_stored_usage_report(item) else {
-                let fault =
+                let error =
                     EntryError::InvalidDocument("the entry names no usage window".to_owned());
-                self.node.on_refused_entry("usage", &key, revision, &fault);
+                self.node.on_refused_entry("usage", &key, revision, &error);
                 continue;
             };
             self.finalized_windows.push(window);
@@ -408,7 +408,7 @@
         let response = self.cloud.call(cloud.address, &call, CALL_TIMEOUT).await;
         let outcome = response.as_ref().map(|response| cloud::parse_status(response.status));
         let outcome_text = match &outcome {
-            Ok(answer) => format!("{answer:?}"),
+            Ok(response) => format!("{response:?}"),
             Err(error) => error.to_string(),
         };
         log::info!(target: "usage", window, fence = fence.number(), answer = outcome_text; "reported");
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -76,7 +76,7 @@
     #[error("the store responded with status {0:?}")]
     Status(StoreStatus),
     #[error("the configuration in the store is invalid")]
-    UnreadableConfiguration,
+    InvalidConfiguration,
     #[error("the response is of the superseded store era {0}")]
     SupersededEra(StoreEra),
     #[error("the settings name another store since the call was made")]
@@ -352,7 +352,7 @@
         let entries = to_entries(&self.node, self.subject, vec![item]);
         if entries.is_empty() {
             // Another node may have the version before it.
-            return Err(FollowError::UnreadableConfiguration);
+            return Err(FollowError::InvalidConfiguration);
         }
         Ok(StoreUpdate { era, known_to: at, is_snapshot: true, entries })
     }
