--- a/crates/gateway/src/dispatch/planning.rs
+++ b/crates/gateway/src/dispatch/planning.rs
@@ -80,7 +80,10 @@
             prompt: &self.prompt,
             zone: &self.node.zone,
             cache_tokens: self.engine.as_ref().map_or(0, |engine| engine.kv_tokens),
-            region_move_ms: self.engine.as_ref().and_then(EngineSpec::cross_region_ms_per_token),
+            cross_region_ms_per_token: self
+                .engine
+                .as_ref()
+                .and_then(EngineSpec::cross_region_ms_per_token),
             now_us: self.node.now_us(),
         }
     }
--- a/crates/gateway/src/node/configuration.rs
+++ b/crates/gateway/src/node/configuration.rs
@@ -84,7 +84,7 @@
 
     /// Time to transfer KV cache between regions, in milliseconds per token; `None` if it is not
     /// configured.
-    pub fn cross_region_kv_ms_per_token(&self, service: &ServiceName) -> Option<f64> {
+    pub fn cross_region_ms_per_token(&self, service: &ServiceName) -> Option<f64> {
         self.with_engine(service, EngineSpec::cross_region_ms_per_token).flatten()
     }
 
--- a/crates/gateway/src/shard_scheduler.rs
+++ b/crates/gateway/src/shard_scheduler.rs
@@ -62,7 +62,7 @@
             prompt: &prompt,
             zone: &query.zone,
             cache_tokens: node.kv_cache_tokens(&query.service),
-            region_move_ms: node.cross_region_kv_ms_per_token(&query.service),
+            cross_region_ms_per_token: node.cross_region_ms_per_token(&query.service),
             now_us: node.now_us(),
         },
         target_ms: query.target_ms,
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -26,7 +26,7 @@
     pub cache_tokens: u64,
     /// Time to transfer the KV cache of one token between regions, in milliseconds. `None` disables
     /// fetching a prefix from another region.
-    pub region_move_ms: Option<f64>,
+    pub cross_region_ms_per_token: Option<f64>,
     /// Current time of a steady clock, in microseconds.
     pub now_us: u64,
 }
@@ -151,12 +151,12 @@
 /// Chooses how the prompt is prefilled and by which runner. `None` if no decode runner takes work.
 pub fn plan_prefill(
     fleet: &Fleet,
-    pace: &PrefillSpeed,
+    speed: &PrefillSpeed,
     demand: &Demand<'_>,
 ) -> Option<PrefillPlan> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let (prefill_runners, decode_runners) = partition_by_stage(&candidates);
-    let view = PromptView::new(fleet, &candidates, pace, demand);
+    let view = PromptView::new(fleet, &candidates, speed, demand);
     let split =
         cheapest(&prefill_runners, &view, |runner| view.prefill_cost_ms(runner) + HANDOVER_MS);
     let direct = cheapest(&decode_runners, &view, |runner| view.direct_cost_ms(runner));
@@ -179,8 +179,8 @@
 ) -> Option<RunnerChoice> {
     let candidates = fleet.candidates(&demand.eligible, demand.now_us);
     let (_, decode_runners) = partition_by_stage(&candidates);
-    let pace = PrefillSpeed::default();
-    let view = PromptView::new(fleet, &candidates, &pace, demand);
+    let speed = PrefillSpeed::default();
+    let view = PromptView::new(fleet, &candidates, &speed, demand);
     let near = source.unwrap_or(demand.zone);
     cheapest(&decode_runners, &view, |runner| view.decode_cost_ms(runner, near))
         .map(|(choice, _)| RunnerChoice { fetch_from: None, ..choice })
@@ -214,7 +214,7 @@
 /// A prompt and its cost on each runner of the service.
 struct PromptView<'a> {
     fleet: &'a Fleet,
-    pace: &'a PrefillSpeed,
+    speed: &'a PrefillSpeed,
     demand: &'a Demand<'a>,
     /// The homes of the shared prefix among the prefill and the decode runners.
     prefill_home: Option<&'a RunnerId>,
@@ -229,7 +229,7 @@
     fn new(
         fleet: &'a Fleet,
         candidates: &[&'a Runner],
-        pace: &'a PrefillSpeed,
+        speed: &'a PrefillSpeed,
         demand: &'a Demand<'a>,
     ) -> Self {
         let (prefill_runners, decode_runners) = partition_by_stage(candidates);
@@ -238,7 +238,7 @@
         let source = source.filter(|runner| runner.cached_tokens(demand.prompt) > 0);
         Self {
             fleet,
-            pace,
+            speed,
             demand,
             prefill_home: rendezvous_home(&prefill_runners, demand.prompt),
             decode_home: rendezvous_home(&decode_runners, demand.prompt),
@@ -268,7 +268,7 @@
         let moved_tokens =
             source.cached_tokens(self.demand.prompt).saturating_sub(cached_tokens) as f64;
         self.cross_region_fetch_ms(source, runner)
-            <= self.pace.prefill_ms(moved_tokens) * PREFILL_COST_FACTOR
+            <= self.speed.prefill_ms(moved_tokens) * PREFILL_COST_FACTOR
     }
 
     /// Time to fetch the prefix from a runner of another region, in milliseconds.
@@ -278,7 +278,7 @@
             source.cached_tokens(self.demand.prompt).saturating_sub(cached_tokens) as f64;
         let (from, to) = (&source.record.zone, &runner.record.zone);
         let rtt_ms = self.fleet.round_trip_ms(from, to, self.demand.now_us);
-        rtt_ms + moved_tokens * self.demand.region_move_ms.unwrap_or(f64::INFINITY)
+        rtt_ms + moved_tokens * self.demand.cross_region_ms_per_token.unwrap_or(f64::INFINITY)
     }
 
     /// Prompt tokens that a runner has to prefill after it has fetched what another one holds.
@@ -315,14 +315,14 @@
 
     /// Time that a runner takes to prefill so many tokens, without queueing.
     fn prefill_duration_ms(&self, runner: &Runner, tokens: u64) -> f64 {
-        self.pace.prefill_ms_at(runner, tokens as f64, self.demand.now_us)
+        self.speed.prefill_ms_at(runner, tokens as f64, self.demand.now_us)
     }
 
     /// Expected time until the prompt is prefilled by a runner that is not decoding, queueing
     /// included.
     fn dedicated_prefill_ms(&self, runner: &Runner) -> f64 {
-        let wait = self.pace.backlog_ms(runner, self.demand.now_us);
-        wait + self.pace.fixed_ms() + self.prefill_duration_ms(runner, self.unread_tokens(runner))
+        let wait = self.speed.backlog_ms(runner, self.demand.now_us);
+        wait + self.speed.fixed_ms() + self.prefill_duration_ms(runner, self.unread_tokens(runner))
     }
 
     /// Expected time until the prompt is prefilled, by the runner's stage.
@@ -373,7 +373,7 @@
         let cached = runner.cached_tokens(self.demand.prompt);
         let moved_tokens = self.demand.prompt.tokens.saturating_sub(cached) as f64;
         let zone_factor = if runner.record.zone == *near { 1.0 } else { CROSS_ZONE_FETCH_FACTOR };
-        let wait = self.pace.backlog_ms(runner, self.demand.now_us) / DECODE_PREFILL_SPEED;
+        let wait = self.speed.backlog_ms(runner, self.demand.now_us) / DECODE_PREFILL_SPEED;
         wait + moved_tokens * FETCH_COST_MS_PER_TOKEN * zone_factor
             + self.decode_load_cost_ms(runner, near)
     }
@@ -400,7 +400,7 @@
     demand: &Demand<'_>,
     local: Option<&Runner>,
 ) -> Option<&'a Runner> {
-    demand.region_move_ms?;
+    demand.cross_region_ms_per_token?;
     let local_tokens = local.map_or(0, |runner| runner.cached_tokens(demand.prompt));
     if local_tokens >= demand.prompt.shared_prefix_tokens() {
         return None;
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -92,7 +92,7 @@
 /// The load of the runners of a service in a region; `None` without a prefill runner.
 pub fn service_load(
     fleet: &Fleet,
-    pace: &PrefillSpeed,
+    speed: &PrefillSpeed,
     service: &ServiceName,
     region: &RegionId,
     now_us: u64,
@@ -104,7 +104,7 @@
     if prefill_runners.is_empty() {
         return None;
     }
-    let waits_ms: f64 = prefill_runners.iter().map(|runner| pace.backlog_ms(runner, now_us)).sum();
+    let waits_ms: f64 = prefill_runners.iter().map(|runner| speed.backlog_ms(runner, now_us)).sum();
     let slots: f64 = decode_runners.iter().map(|runner| f64::from(runner.record.slots)).sum();
     let taken: f64 = decode_runners.iter().map(|runner| runner.occupancy(now_us)).sum();
     Some(ServiceLoad {
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -53,18 +53,18 @@
 /// then of the other regions. If `shard` is `None`, the region of the requesting zone comes first.
 pub fn choose_placement(
     fleet: &Fleet,
-    pace: &PrefillSpeed,
+    speed: &PrefillSpeed,
     demand: &Demand<'_>,
     shard: Option<&Shard>,
     due: ResponseTarget,
 ) -> PlacementDecision {
-    let of_shard = shard.and_then(|shard| choose_within(fleet, pace, demand, Scope::Shard(shard)));
+    let of_shard = shard.and_then(|shard| choose_within(fleet, speed, demand, Scope::Shard(shard)));
     let own = || fleet.topology().region_of(demand.zone);
     let of_regions = || {
         let own = shard.map_or_else(own, |shard| shard.region.clone());
         let regions = regions_in_order(fleet, demand, &own);
         let mut regions = regions.iter().map(Scope::Region);
-        regions.find_map(|region| choose_within(fleet, pace, demand, region))
+        regions.find_map(|region| choose_within(fleet, speed, demand, region))
     };
     let Some(placed) = of_shard.or_else(of_regions) else { return PlacementDecision::default() };
     let prefill = placed.prefill.map(|it| defer_if_overdue(it, due.target_ms, due.elapsed_ms));
@@ -75,12 +75,12 @@
 /// prefilled in one region is not moved to another.
 fn choose_within(
     fleet: &Fleet,
-    pace: &PrefillSpeed,
+    speed: &PrefillSpeed,
     demand: &Demand<'_>,
     scope: Scope<'_>,
 ) -> Option<PlacementDecision> {
     let within = Demand { eligible: Eligible { scope, ..demand.eligible }, ..*demand };
-    let prefill = plan_prefill(fleet, pace, &within)?;
+    let prefill = plan_prefill(fleet, speed, &within)?;
     let decode = match &prefill {
         PrefillPlan::Split(prefill) => {
             let source = fleet.get(&prefill.runner).map(|runner| &runner.record.zone);
@@ -150,7 +150,7 @@
 /// placed. Requests that were already forwarded stay where they are.
 pub fn less_loaded_shard(
     fleet: &Fleet,
-    pace: &PrefillSpeed,
+    speed: &PrefillSpeed,
     query: &PlacementQuery,
     placed: &PlacementDecision,
     now_us: u64,
@@ -164,7 +164,7 @@
     let mean_wait_ms = |shard: &Shard| {
         let scope = Scope::Shard(shard);
         let eligible = Eligible { scope, ..Eligible::all_of(&query.service) };
-        mean_wait_ms(fleet, pace, &eligible, now_us)
+        mean_wait_ms(fleet, speed, &eligible, now_us)
     };
     let waits = others.filter_map(|shard| {
         let wait_ms = mean_wait_ms(&shard)?;
@@ -211,13 +211,13 @@
 /// none.
 fn mean_wait_ms(
     fleet: &Fleet,
-    pace: &PrefillSpeed,
+    speed: &PrefillSpeed,
     eligible: &Eligible<'_>,
     now_us: u64,
 ) -> Option<f64> {
     let runners = fleet.candidates(eligible, now_us);
     let prefill_runners =
         runners.iter().filter(|runner| runner.record.stage == Some(Stage::Prefill));
-    let waits: Vec<f64> = prefill_runners.map(|runner| pace.backlog_ms(runner, now_us)).collect();
+    let waits: Vec<f64> = prefill_runners.map(|runner| speed.backlog_ms(runner, now_us)).collect();
     (!waits.is_empty()).then(|| waits.iter().sum::<f64>() / waits.len() as f64)
 }
--- a/crates/serving/tests/placement.rs
+++ b/crates/serving/tests/placement.rs
@@ -170,7 +170,7 @@
             prompt: &self.prompt,
             zone: &self.zone,
             cache_tokens: CACHE_TOKENS,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us: 1_000,
         }
     }
@@ -198,9 +198,9 @@
 fn all_nodes_choose_the_same_home_and_avoid_it_when_it_is_busy() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = PrefillSpeed::default();
-    let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
-    assert_eq!(planned_runner(plan_prefill(&engines(), &pace, &case.demand())), home);
+    let speed = PrefillSpeed::default();
+    let home = planned_runner(plan_prefill(&fleet, &speed, &case.demand()));
+    assert_eq!(planned_runner(plan_prefill(&engines(), &speed, &case.demand())), home);
     // The scheduler reports a long prefill queue at the home.
     let load = RunnerLoad {
         runner: RunnerId::new(&home),
@@ -212,22 +212,22 @@
         prefill_tokens_per_s: 0,
     };
     fleet.on_shard_loads(&only_shard(), &[load], 1_000);
-    assert_ne!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
+    assert_ne!(planned_runner(plan_prefill(&fleet, &speed, &case.demand())), home);
     // Its next report contains no load.
     fleet.on_shard_loads(&only_shard(), &[], 1_000);
-    assert_eq!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
+    assert_eq!(planned_runner(plan_prefill(&fleet, &speed, &case.demand())), home);
 }
 
 #[test]
 fn a_shared_prefix_is_fetched_from_the_runner_that_holds_it() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = PrefillSpeed::default();
-    let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
+    let speed = PrefillSpeed::default();
+    let home = planned_runner(plan_prefill(&fleet, &speed, &case.demand()));
     let other = ["p1", "p2", "p3"].into_iter().find(|id| *id != home).unwrap();
     let held = case.prompt.shared_prefix();
     fleet.on_prefix_cached(&RunnerId::new(other), held, 1_000, CACHE_TOKENS);
-    let Some(PrefillPlan::Split(choice)) = plan_prefill(&fleet, &pace, &case.demand()) else {
+    let Some(PrefillPlan::Split(choice)) = plan_prefill(&fleet, &speed, &case.demand()) else {
         unreachable!("prefill runners are idle")
     };
     assert_eq!(choice.demand.prefill_tokens, 3_000);
@@ -368,14 +368,14 @@
 fn a_failing_runner_is_avoided_and_retried_later() {
     let mut fleet = engines();
     let case = Case::new(10_000, 3_000);
-    let pace = PrefillSpeed::default();
-    let home = planned_runner(plan_prefill(&fleet, &pace, &case.demand()));
+    let speed = PrefillSpeed::default();
+    let home = planned_runner(plan_prefill(&fleet, &speed, &case.demand()));
     for _ in 0..5 {
         fleet.on_answered(&RunnerId::new(&home), true, 1_000);
     }
-    assert_ne!(planned_runner(plan_prefill(&fleet, &pace, &case.demand())), home);
+    assert_ne!(planned_runner(plan_prefill(&fleet, &speed, &case.demand())), home);
     let later = Demand { now_us: 60_000_000, ..case.demand() };
-    assert_eq!(planned_runner(plan_prefill(&fleet, &pace, &later)), home);
+    assert_eq!(planned_runner(plan_prefill(&fleet, &speed, &later)), home);
 }
 
 #[test]
--- a/crates/serving/tests/region_fetch.rs
+++ b/crates/serving/tests/region_fetch.rs
@@ -48,10 +48,10 @@
 }
 
 /// The choice for a request of the region `w` if transferring a token between regions takes
-/// `region_move_ms`. The runners of `e` only serve as sources.
+/// `cross_region_ms_per_token`. The runners of `e` only serve as sources.
 fn plan_in_w(
     fleet: &Fleet,
-    region_move_ms: Option<f64>,
+    cross_region_ms_per_token: Option<f64>,
     zones: Option<&BTreeSet<ZoneId>>,
 ) -> RunnerChoice {
     let (service, prompt, zone) = (ServiceName::new("llm"), prompt(), ZoneId::new("w-1"));
@@ -61,7 +61,7 @@
         prompt: &prompt,
         zone: &zone,
         cache_tokens: CACHE_TOKENS,
-        region_move_ms,
+        cross_region_ms_per_token,
         now_us: 1_000_000,
     };
     match plan_prefill(fleet, &PrefillSpeed::default(), &demand).unwrap() {
@@ -79,13 +79,13 @@
 #[test_case(Some(SLOW_MOVE_MS), None, PROMPT_TOKENS; "a link slower than prefilling")]
 #[test_case(None, None, PROMPT_TOKENS; "a link of unknown speed")]
 fn a_prefix_is_fetched_from_another_region_if_that_is_faster_than_prefill(
-    region_move_ms: Option<f64>,
+    cross_region_ms_per_token: Option<f64>,
     expected_source: Option<&str>,
     expected_unread: u64,
 ) {
     let mut fleet = fleet();
     announce_prefix_of_e(&mut fleet);
-    let choice = plan_in_w(&fleet, region_move_ms, None);
+    let choice = plan_in_w(&fleet, cross_region_ms_per_token, None);
     assert_eq!(choice.fetch_from, expected_source.map(RunnerId::new));
     assert_eq!(choice.prefill_tokens(), expected_unread);
 }
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -84,7 +84,7 @@
             prompt: &self.prompt,
             zone: &self.zone,
             cache_tokens: 400_000,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us: SECOND,
         }
     }
@@ -460,17 +460,17 @@
 fn a_regions_load_covers_only_its_own_runners() {
     let mut fleet = fleet(&two_regions());
     let service = ServiceName::new("llm");
-    let pace = PrefillSpeed::default();
+    let speed = PrefillSpeed::default();
     for id in ["p-w-1-0", "p-w-1-1", "p-w-2-0", "p-w-2-1"] {
         fleet.on_sent(&RunnerId::new(id), read_load(20_000));
     }
     let load = |region: &str| {
-        service_load(&fleet, &pace, &service, &RegionId::new(region), SECOND).unwrap()
+        service_load(&fleet, &speed, &service, &RegionId::new(region), SECOND).unwrap()
     };
     assert_eq!((load("w").prefill_runners, load("e").prefill_runners), (4, 4));
-    let expected_prefill_us = (pace.prefill_ms(20_000.0) * 1_000.0) as u64;
+    let expected_prefill_us = (speed.prefill_ms(20_000.0) * 1_000.0) as u64;
     assert_eq!((load("w").wait_us, load("e").wait_us), (expected_prefill_us, 0));
-    assert_eq!(service_load(&fleet, &pace, &service, &RegionId::new("n"), SECOND), None);
+    assert_eq!(service_load(&fleet, &speed, &service, &RegionId::new("n"), SECOND), None);
 }
 
 #[test]
--- a/crates/serving/tests/roles_world/mod.rs
+++ b/crates/serving/tests/roles_world/mod.rs
@@ -244,7 +244,7 @@
             prompt: &prompt,
             zone: &zone,
             cache_tokens: 900_000,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us: self.now_us,
         };
         let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
--- a/crates/serving/tests/runner_speed.rs
+++ b/crates/serving/tests/runner_speed.rs
@@ -213,7 +213,7 @@
             prompt: &prompt,
             zone: &ZoneId::new("north"),
             cache_tokens: 10_000_000,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us,
         };
         let plan = plan_prefill(&self.fleet, &self.speed, &demand).unwrap();
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -165,7 +165,7 @@
             prompt: &prompt,
             zone: &zone,
             cache_tokens: 400_000,
-            region_move_ms: None,
+            cross_region_ms_per_token: None,
             now_us,
         };
         let shards = match self.strategy {
@@ -196,8 +196,8 @@
             Strategy::Schedulers { .. } => shard.number,
             Strategy::EachNode => rng.below(NODES as u64) as usize,
         };
-        let pace = PrefillSpeed::default();
-        let mut placed = self.decide(placer, &demand, &query.shard, &pace);
+        let speed = PrefillSpeed::default();
+        let mut placed = self.decide(placer, &demand, &query.shard, &speed);
         let reported: Vec<_> = self
             .placers
             .iter()
@@ -216,12 +216,13 @@
                 }
             }
         }
-        let better = less_loaded_shard(&self.placers[placer].fleet, &pace, &query, &placed, now_us);
+        let better =
+            less_loaded_shard(&self.placers[placer].fleet, &speed, &query, &placed, now_us);
         if let Some(better) = better {
             placer = better.number;
             query.shard = better;
             query.is_forwarded = true;
-            placed = self.decide(placer, &demand, &query.shard, &pace);
+            placed = self.decide(placer, &demand, &query.shard, &speed);
         }
         let plan = wire_plan(placed).unwrap();
         let Placer { fleet, reservations } = &mut self.placers[placer];
@@ -229,7 +230,7 @@
         reservations.reserve(fleet, query.ticket, reservation);
         let (WirePlan::Split(prefill, _) | WirePlan::Direct(prefill)) = &plan;
         let slower = if matches!(plan, WirePlan::Direct(_)) { 2.0 } else { 1.0 };
-        let prefill_us = (pace.prefill_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
+        let prefill_us = (speed.prefill_ms(tokens as f64) * MICROS_PER_MILLI * slower) as u64;
         let (wait_us, prefilled_at_us) = self.queues.add(&prefill.runner, now_us, prefill_us);
         self.waits_us.push(wait_us);
         self.prefills.push(Reverse((prefilled_at_us, placer, query.ticket)));
@@ -240,11 +241,11 @@
         placer: usize,
         demand: &Demand<'_>,
         shard: &Shard,
-        pace: &PrefillSpeed,
+        speed: &PrefillSpeed,
     ) -> PlacementDecision {
         let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
         let shard = matches!(self.strategy, Strategy::Schedulers { .. }).then_some(shard);
-        choose_placement(&self.placers[placer].fleet, pace, demand, shard, due)
+        choose_placement(&self.placers[placer].fleet, speed, demand, shard, due)
     }
 }
 
@@ -326,7 +327,7 @@
         prompt: &prompt,
         zone: &query.zone,
         cache_tokens: 400_000,
-        region_move_ms: None,
+        cross_region_ms_per_token: None,
         now_us: 0,
     };
     let due = ResponseTarget { target_ms: TARGET_MS as f64, elapsed_ms: 0.0 };
