--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -101,8 +101,8 @@
         );
     }
     node.replace_runners(used, update.known_to(), node.lapses_until_us());
-    let unusable = update.entries.iter().filter(|entry| !entry.is_tombstone());
-    for entry in unusable {
+    let present = update.entries.iter().filter(|entry| !entry.is_tombstone());
+    for entry in present {
         let name = documents::parse_runner_key(&entry.key);
         if let Some(name) = name.filter(|name| !used_names.contains(name)) {
             node.remove_runner(&name, update.revision_of(entry), None);
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -160,13 +160,13 @@
 /// A report that is finalized and not yet accepted by the platform.
 struct PendingReport {
     body: Vec<u8>,
-    next_try: Instant,
+    next_attempt: Instant,
     pause: Duration,
 }
 
 impl PendingReport {
     fn new(body: Vec<u8>) -> Self {
-        Self { body, next_try: Instant::now(), pause: MIN_RETRY_PAUSE }
+        Self { body, next_attempt: Instant::now(), pause: MIN_RETRY_PAUSE }
     }
 }
 
@@ -369,7 +369,7 @@
     ) -> Option<Vec<u8>> {
         let items = ok_or_log("usage report", store::parse_conflict(body))?;
         let reports = items.into_iter().filter_map(store::parse_stored_usage_report);
-        let found = reports.into_iter().find(|(of, _)| *of == window);
+        let found = reports.into_iter().find(|(stored_window, _)| *stored_window == window);
         if found.is_none() {
             log::warn!(target: "usage", window, fence = fence.number(); "usage report not finalized: another node has the authority");
             self.node.authority.on_refused(fence);
@@ -391,7 +391,7 @@
             is_retained
         });
         let now = Instant::now();
-        let due = self.pending.iter().filter(|(_, report)| report.next_try <= now);
+        let due = self.pending.iter().filter(|(_, report)| report.next_attempt <= now);
         let due: Vec<u64> = due.map(|(window, _)| *window).collect();
         for window in due {
             self.send(window).await;
@@ -421,7 +421,7 @@
 
     fn postpone(&mut self, window: u64) {
         if let Some(report) = self.pending.get_mut(&window) {
-            report.next_try = Instant::now() + report.pause;
+            report.next_attempt = Instant::now() + report.pause;
             report.pause = (report.pause * 2).min(MAX_RETRY_PAUSE);
         }
     }
