--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -46,8 +46,8 @@
         self.holder.borrow().fence()
     }
 
-    /// Ends the orders of this term: an order was rejected because a higher fencing token has been
-    /// used, so another node has the authority.
+    /// Stops orders for the rest of this term: an order was rejected because a higher fencing token
+    /// has been used, so another node has the authority.
     pub fn on_refused(&self, fence: FencingToken) {
         self.holder.borrow_mut().on_refused(fence);
     }
@@ -62,7 +62,8 @@
     }
 }
 
-/// The subject under which this node may order roles; it depends on the configured regions.
+/// The subject under which this node may order role changes: its own region, or the whole fleet if
+/// at most one region is configured.
 pub fn roles_subject(node: &Node) -> AuthoritySubject {
     AuthoritySubject::for_roles(node.fleet.borrow().topology(), &node.region())
 }
@@ -203,7 +204,7 @@
     async fn undo_acquisition(&mut self, acquired_at: StoreRevision) {
         let remove = store::release_authority(&self.subject, acquired_at.number());
         let status = self.call(&remove).await.map(|response| response.status);
-        log::warn!(target: "authority", subject = self.name.as_str(), status:?; "removal of an authority key that was written in another era of the store");
+        log::warn!(target: "authority", subject = self.name.as_str(), status:?; "tried to remove an authority key that was written in another era of the store than its lease");
     }
 
     async fn renew(&mut self, lease: StoreLease) {
@@ -218,7 +219,7 @@
                 let (now_us, times) = (self.node.now_us(), self.times());
                 if self.with_holder(|holder| holder.on_renewed(sent_at_us, now_us, times)) {
                     let (subject, lease) = (self.name.as_str(), lease.number);
-                    log::info!(target: "authority", subject, lease; "the lease was renewed after the term had expired");
+                    log::info!(target: "authority", subject, lease; "authority lease renewed after the term had expired");
                 }
             }
             Some(StoreStatus::Absent) => self.on_lost("the lease has expired"),
@@ -231,7 +232,7 @@
         if self.with_holder(|holder| holder.check_expiry(now_us)) {
             let fence = self.with_holder(|holder| holder.fence()).map(FencingToken::number);
             let subject = self.name.as_str();
-            log::warn!(target: "authority", subject, fence; "the term has expired: the lease could not be renewed");
+            log::warn!(target: "authority", subject, fence; "authority term expired: the lease could not be renewed");
         }
     }
 
@@ -257,7 +258,7 @@
         let is_own = lease.era == self.node.store_era();
         if !is_own || self.call(&store::revoke_lease(lease.number)).await.is_none() {
             let (subject, lease) = (self.name.as_str(), lease.number);
-            log::info!(target: "authority", subject, lease; "lease not revoked: it expires by itself");
+            log::info!(target: "authority", subject, lease; "authority lease not revoked: it expires by itself");
         }
     }
 
--- a/crates/gateway/src/cross_region_traffic.rs
+++ b/crates/gateway/src/cross_region_traffic.rs
@@ -10,7 +10,7 @@
 /// Metric labels of messages to other regions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct MessageLabels {
-    /// The kind of message.
+    /// The kind of message, from [`PeerMessage::kind`](crate::peer_messages::PeerMessage::kind).
     pub word: &'static str,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Counts a message of `bytes` bytes, of the kind `word`, for each receiver in another region.
+    /// Counts a message of `bytes` bytes, of the given kind, for each receiver in another region.
     pub fn on_sent(&self, kind: &'static str, bytes: usize, to: &[SocketAddr]) {
         let remote_addresses = self.remote_addresses.borrow();
         let sent = to.iter().filter(|address| remote_addresses.contains(address)).count();
--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -74,16 +74,16 @@
     node.remove_runner(&name, revision, lapses_until_us);
 }
 
-/// Applies the entries of all runners. Entries that cannot be used name no runner, and do not
-/// affect the others.
+/// Applies the entries of all runners. A runner whose entry cannot be used is removed; the other
+/// runners are not affected.
 fn apply_runner_snapshot(node: &Rc<Node>, update: &StoreUpdate) {
     let records: Vec<RunnerRecord> = update
         .entries
         .iter()
         .filter_map(|entry| parse_runner_record(node, entry, update.revision_of(entry)))
         .collect();
-    // All entries have been parsed by now, so this is set if any of them has a start time, also one
-    // that follows entries without.
+    // All entries have been parsed by now, so this is set if any entry has a start time, whatever
+    // their order.
     let entries_have_start_times = node.entries_have_start_times.get();
     let (used, refused): (Vec<_>, Vec<_>) = records
         .into_iter()
--- a/crates/gateway/src/node/configuration.rs
+++ b/crates/gateway/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration at a node: which version is in force, and whether it is fresh
+//! Holds the operators' configuration at a node: the version in force, and whether it is recent
 //! enough to be relied on.
 
 use super::Node;
@@ -32,8 +32,9 @@
     }
 
     /// Whether other nodes have had a later configuration for so long that this node must no longer
-    /// apply its own. A configuration has to be in force everywhere within `config_apply_ms` of its
-    /// acknowledgement, and reports of it take a second or more to arrive.
+    /// apply its own. A configuration has to be in force everywhere within `bounds.config_apply_ms`
+    /// of its acknowledgement. Reports of it take a second or more to arrive, so the limit is two
+    /// thirds of that time.
     pub fn has_outdated_configuration(&self) -> bool {
         const TOTAL_PARTS: u64 = 3;
         const ALLOWED_PARTS: u64 = 2;
@@ -69,7 +70,8 @@
         log::info!(target: "configuration", version, before, routes, tenants, behind_ms; "adopted");
     }
 
-    /// The services that serve language models, each with its engine specification.
+    /// The services that serve language models, each with its engine specification; empty without a
+    /// configuration.
     pub fn engine_services(&self) -> Vec<(ServiceName, EngineSpec)> {
         let Some(configuration) = self.configuration() else { return Vec::new() };
         let services = configuration.services.iter();
@@ -82,8 +84,8 @@
         self.with_engine(service, |engine| engine.kv_tokens).unwrap_or_default()
     }
 
-    /// Time to transfer KV cache between regions, in milliseconds per token; `None` if it is not
-    /// configured.
+    /// Time to transfer the KV cache of one token between regions, in milliseconds; `None` if the
+    /// service is unknown or the configuration does not determine the time.
     pub fn cross_region_ms_per_token(&self, service: &ServiceName) -> Option<f64> {
         self.with_engine(service, EngineSpec::cross_region_ms_per_token).flatten()
     }
--- a/crates/gateway/src/node/crashes.rs
+++ b/crates/gateway/src/node/crashes.rs
@@ -1,5 +1,6 @@
-//! Crashes of runners at a node: requests that were open when a runner crashed may have caused the
-//! crash, and are quarantined, that is, no longer sent to any runner.
+//! Records crashes of runners at a node. Requests that were open when a runner crashed may have
+//! caused the crash. They can be quarantined, that is, no longer sent to any runner
+//! ([`pitchstall_serving::quarantine`]).
 
 use super::Node;
 use crate::peer_messages::PeerMessage;
@@ -8,15 +9,15 @@
 use pitchstall_serving::request_identity::RequestIdentity;
 use rand::RngExt;
 
-/// Maximum number of requests that the log line on a crash names: about 1,100 bytes.
+/// Maximum number of requests that the log line on a crash names, which is about 1,100 bytes.
 const MAX_LOGGED_IDENTITIES: usize = 32;
 /// Maximum number of requests in one message to other nodes: as many as one runner in the users'
-/// deployments runs at a time, about 2,300 bytes by calculation.
+/// deployments runs at a time. By calculation, such a message is about 2,300 bytes.
 const MAX_REQUESTS_PER_MESSAGE: usize = 64;
 
-/// Delay with which a node rewrites the crashes that a restored store has lost, in milliseconds
-/// after it detects the restore. Store readers go first. The delays are spread over many times the
-/// latency after which a write is visible to the others.
+/// Delay before a node rewrites the crashes that a restored store has lost, in milliseconds after
+/// it detects the restore. Store readers write first. The delays are spread over many times the
+/// latency after which a write is visible to the other nodes.
 const STORE_READER_WRITE_DELAY_MS: std::ops::Range<u64> = 0..800;
 const FOLLOWER_WRITE_DELAY_MS: std::ops::Range<u64> = 2_000..6_000;
 const MICROS_PER_MILLI: u64 = 1_000;
--- a/crates/gateway/src/node/eras.rs
+++ b/crates/gateway/src/node/eras.rs
@@ -1,5 +1,5 @@
-//! The store's era at a node: it is learned from the first store response or peer's update that
-//! reports it, and a later era invalidates state that depends on store revisions.
+//! Tracks the store's era at a node. The node learns of an era from the first store response or
+//! peer's update that reports it. A later era invalidates state that depends on store revisions.
 
 use super::Node;
 use pitchstall_platform_adapter::store::EraError;
@@ -46,7 +46,7 @@
                 self.on_store_replaced();
             }
             EraChange::Superseded => {
-                log::info!(target: "store", era = era_text; "response of a superseded era")
+                log::info!(target: "store", era = era_text; "received data of a superseded store era")
             }
             EraChange::Unchanged => {}
         }
--- a/crates/gateway/src/node/locations.rs
+++ b/crates/gateway/src/node/locations.rs
@@ -1,4 +1,5 @@
-//! Locations of a node, its peers and its runners, and the round-trip times between them.
+//! Locates a node, its peers and its runners in regions, and measures the round-trip times between
+//! zones.
 
 use super::Node;
 use pitchstall_serving::ids::{RegionId, RunnerId, ZoneId};
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! State of a node, shared by all tasks of its single thread.
+//! Holds the state of a node, which all tasks of its single thread share.
 
 mod configuration;
 mod crashes;
@@ -52,15 +52,15 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// State of a node.
+/// State of a node. Its tasks run on one thread, so they share it without locks.
 pub struct Node {
-    /// The node's zone.
+    /// Zone of the node in the settings at its start; a change takes effect at the next start.
     pub zone: ZoneId,
     /// The runners that this node knows, and its estimate of their state.
     pub fleet: RefCell<Fleet>,
-    /// Idle connections to runners.
+    /// Idle connections to runners, which later attempts reuse.
     pub pool: ConnectionPool,
-    /// Counters and histograms.
+    /// Counters, gauges and histograms, as exported to operators.
     pub metrics: Metrics,
     /// Notified when the suspicion of a runner may have changed.
     pub suspicion_changed: Notify,
@@ -68,9 +68,9 @@
     pub role_change_ordered: Notify,
     /// Notified when a runner's registry entry is added or updated.
     pub fleet_changed: Notify,
-    /// Requests placements from schedulers and answers placement queries.
+    /// Requests placements from schedulers and replies to placement queries.
     pub scheduling: Scheduling,
-    /// All known nodes.
+    /// The known nodes, including this one, and which of them read the store.
     pub members: RefCell<Membership>,
     /// Replicas of the store's entries, which followers receive as snapshots and updates.
     pub store_replicas: RefCell<StoreReplicas>,
@@ -90,7 +90,7 @@
     /// Notified when the store has confirmed a replica. Reporting it spares the other store readers
     /// a call.
     pub replica_confirmed: Notify,
-    /// Notified when a call to the store has failed: pending watches may wait in vain.
+    /// Notified when a call to the store has failed: pending watches may never receive a response.
     pub store_suspected: Notify,
     /// Notified when idle client connections are to be closed.
     pub closing_started: Notify,
@@ -106,13 +106,13 @@
     pub quarantine: RefCell<Quarantine>,
     /// Notified when there are crashes to write to the store or to remove from it.
     pub quarantine_changed: Notify,
-    /// Limits of tenants.
+    /// Tenants' limits: pending charges, and the part of the quotas that this node keeps.
     pub quotas: Quotas,
-    /// Limits of runners.
+    /// Limits that runners have reported, and the permits granted under them.
     pub runner_limits: RunnerLimits,
     /// State of the usage collector, used while this node has that duty.
     pub usage_collector: RefCell<UsageCollector>,
-    /// Entries of the store that cannot be used.
+    /// Entries of the store that cannot be used, each of which is logged once per revision.
     pub refused_entries: RefusedEntries,
     /// Names of runners' response headers that this build does not support.
     pub unknown_headers: RefCell<UnknownHeaders>,
@@ -219,12 +219,13 @@
         })
     }
 
-    /// The settings in force.
+    /// The settings in force; the next reload replaces them.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// Applies changed settings. Another store address counts as the replacement of the store.
+    /// Puts changed settings into force. Another store address counts as the replacement of the
+    /// store.
     pub fn adopt_settings(&self, settings: Settings) {
         self.adopt_topology(configured_topology(&settings));
         let store_before = self.settings().store.address;
@@ -373,7 +374,8 @@
         self.role_change_ordered.notify_one();
     }
 
-    /// Processes another node's digest.
+    /// Applies another node's digest: its reports on role changes, runners' limits and the store,
+    /// and its clock.
     pub fn on_peer_digest(&self, digest: &Digest) {
         let now_us = self.now_us();
         self.fleet.borrow_mut().on_role_changes_reported(&digest.changing, now_us);
@@ -382,7 +384,7 @@
         self.wall_clock.borrow_mut().on_peer_clock(&digest.node, digest.wall_ms, now_us);
     }
 
-    /// Processes a scheduler's report on the loads of its runners.
+    /// Applies a scheduler's report on the loads of its runners.
     pub fn on_shard_loads(&self, report: &ShardLoads) {
         let now_us = self.now_us();
         self.fleet.borrow_mut().on_shard_loads(&report.shard, &report.loads, now_us);
@@ -462,7 +464,7 @@
         self.is_stopping.get()
     }
 
-    /// Begins a planned stop.
+    /// Begins a planned stop. The node reports that it is not ready from then on.
     pub fn begin_stop(&self) {
         self.is_stopping.set(true);
     }
--- a/crates/gateway/src/node/open_work.rs
+++ b/crates/gateway/src/node/open_work.rs
@@ -1,11 +1,12 @@
-//! Guards that count open connections and requests, which a planned stop waits for, and reserve
-//! memory for request bodies.
+//! Counts open connections and requests, which a planned stop waits for, and reserves memory for
+//! request bodies. Each is held by a guard until it is dropped.
 
 use super::Node;
 use std::rc::Rc;
 
 impl Node {
-    /// Number of open client connections. One that is not idle may be about to deliver a request.
+    /// Number of open client connections. A connection that is not idle may be about to deliver a
+    /// request.
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
@@ -27,7 +28,8 @@
         OpenRequest { node: self.clone() }
     }
 
-    /// Reserves memory for a request body until the guard is dropped; `None` if too little is left.
+    /// Reserves memory for a request body until the guard is dropped. All bodies together get a
+    /// quarter of the machine's memory; `None` if too little of it is left.
     pub fn reserve_body(self: &Rc<Self>, bytes: usize) -> Option<BodyReservation> {
         const BODY_MEMORY_DIVISOR: u64 = 4;
         const BYTES_PER_MEGABYTE: u64 = 1_000_000;
--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -1,4 +1,4 @@
-//! Updates to a node's view of its runners, from registry entries, responses and failures.
+//! Updates a node's view of the runners from their registry entries, responses and failures.
 
 use super::Node;
 use crate::http::ResponseHead;
@@ -16,8 +16,8 @@
 
 impl Node {
     /// Replaces the list of runners by one that was read from the store at `revision`. Entries that
-    /// are missing from it count as lapsed until `lapses_until_us`, and as removed if that is
-    /// `None`.
+    /// are missing from the new list count as lapsed until `lapses_until_us`, or as removed at once
+    /// if that is `None`.
     pub fn replace_runners(
         self: &Rc<Self>,
         records: Vec<RunnerRecord>,
@@ -33,7 +33,7 @@
         self.has_runner_list.set(true);
         let gone = gone.len();
         let revision = revision.to_string();
-        log::info!(target: "fleet", listed, gone, revision; "list read");
+        log::info!(target: "fleet", listed, gone, revision; "runner list received");
         self.fleet_changed.notify_waiters();
     }
 
@@ -66,8 +66,8 @@
         self.fleet_changed.notify_waiters();
     }
 
-    /// Handles the removal of a runner's registry entry. It counts as lapsed until
-    /// `lapses_until_us`, and as removed if that is `None`.
+    /// Handles the removal of a runner's registry entry. The entry counts as lapsed until
+    /// `lapses_until_us`, or as removed at once if that is `None`.
     pub fn remove_runner(
         self: &Rc<Self>,
         name: &RunnerName,
@@ -108,8 +108,8 @@
         });
     }
 
-    /// Handles the departure of a runner, by an entry or list at the given revision, or, if that is
-    /// `None`, because its lapsed entry has not come back.
+    /// Handles the departure of a runner. `revision` is that of the entry or list which shows the
+    /// departure; `None` if the runner's lapsed entry has not come back.
     fn on_runner_departed(&self, id: &RunnerId, revision: Option<StoreRevision>, is_planned: bool) {
         self.pool.remove_runner(id);
         if is_planned {
@@ -126,15 +126,15 @@
     /// incarnation.
     pub fn on_incarnation_mismatch(&self, runner: &RunnerId, born_ms: Option<u64>) {
         let born_ms = born_ms.unwrap_or_default();
-        log::info!(target: "fleet", runner = runner.as_str(), born_ms; "another incarnation responded");
+        log::info!(target: "fleet", runner = runner.as_str(), born_ms; "another incarnation of the runner responded");
         self.pool.remove_runner(runner);
         self.fleet.borrow_mut().on_misdirected(runner);
         self.on_runner_terminated(runner);
     }
 
     /// Parses the head of a runner's response and applies what the runner reports about itself in
-    /// it. The report holds whatever becomes of the request; the store may receive it many seconds
-    /// later, or never.
+    /// it. The report applies whatever the outcome of the request is: the store may receive the
+    /// same information many seconds later, or never.
     pub fn on_response_head(&self, runner: &RunnerId, head: &ResponseHead) -> ResponseMetadata {
         let metadata = headers::parse_response(head.status, head.header_pairs());
         self.on_unknown_headers(runner, &metadata.unknown_headers);
@@ -185,8 +185,8 @@
         fleet.get(runner).is_some_and(|runner| runner.accepts_work_from_this_node(now_us))
     }
 
-    /// Handles a connection to a runner that could not be opened. `is_refused`: no process listens
-    /// at the address, so the runner has terminated.
+    /// Handles a failure to open a connection to a runner. `is_refused`: no process listens at the
+    /// address, so the runner has terminated.
     pub fn on_unreachable(&self, runner: &RunnerId, is_refused: bool) {
         if is_refused {
             self.on_runner_terminated(runner);
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -22,7 +22,8 @@
 /// A message from one node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The sender's state and the reports in it; shows that the sender is alive.
+    /// The sender's state and what it reports about the store and runners. It also shows that the
+    /// sender is alive.
     #[serde(rename = "digest")]
     Digest(Digest),
     /// Sent by a node that cannot read the store, to ask for other members.
@@ -34,10 +35,10 @@
     /// Asks a shard's scheduler where to run a request.
     #[serde(rename = "ask")]
     PlacementQuery(PlacementQuery),
-    /// The runner chosen for a request.
+    /// The assigned runners, or another region to ask, in reply to [`Self::PlacementQuery`].
     #[serde(rename = "place")]
     PlacementReply(PlacementReply),
-    /// Progress of a placed request.
+    /// Progress of a placed request, reported to the scheduler that placed it.
     #[serde(rename = "progress")]
     ProgressMessage(ProgressMessage),
     /// The loads of the runners of a shard.
@@ -52,31 +53,33 @@
     /// Asks how many requests of each tenant started to run.
     #[serde(rename = "usage?")]
     UsageQuery(UsageQuery),
-    /// Runners that crashed with the requests in progress there, or a request that is cleared.
+    /// A runner that crashed, with the requests that were in progress there, or a request that is
+    /// cleared.
     #[serde(rename = "crash")]
     CrashMessage(CrashMessage),
     /// Asks a quota keeper whether a run of this cost may start.
     #[serde(rename = "quota?")]
     QuotaQuery(QuotaQuery),
-    /// A quota keeper's reply.
+    /// A quota keeper's reply to [`Self::QuotaQuery`].
     #[serde(rename = "quota")]
     QuotaReply(QuotaReply),
     /// Acknowledges a query that was forwarded to this quota keeper.
     #[serde(rename = "quota+")]
     QuotaForwardAck(KeeperId),
-    /// Returns the charge for a run that has not started.
+    /// Refunds the charge for a run that has not started.
     #[serde(rename = "quota-")]
     QuotaRefund(QuotaRefund),
     /// Asks whether one more request may be sent to a runner that has named a limit.
     #[serde(rename = "limit?")]
     LimitQuery(LimitQuery),
-    /// The reply to [`Self::LimitQuery`].
+    /// A limit keeper's reply to [`Self::LimitQuery`].
     #[serde(rename = "limit")]
     LimitReply(LimitReply),
     /// The limit that a runner has reported.
     #[serde(rename = "limit+")]
     LimitMessage(LimitMessage),
-    /// Counts of requests that started to run.
+    /// Counts of requests that started to run, by window and tenant, in reply to
+    /// [`Self::UsageQuery`].
     #[serde(rename = "usage")]
     UsageMessage(UsageMessage),
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -33,7 +33,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Pause after a failed receive.
+/// Pause after a datagram could not be received.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(120);
 /// Time between two digests of a node. Their contents are not urgent, except for role changes,
 /// which are sent to all nodes at once.
@@ -62,7 +62,7 @@
 enum CallError {
     /// The object of the call does not exist.
     Absent,
-    /// The call was rejected or got no response.
+    /// The call was rejected or received no response.
     Other,
 }
 
@@ -111,7 +111,7 @@
                 Err(error) => {
                     self.node.metrics.unreadable_datagrams.inc();
                     let (error, from) = (error.to_string(), from.to_string());
-                    log::warn!(target: "peers", from, error; "unreadable datagram");
+                    log::warn!(target: "peers", from, error; "datagram ignored: it cannot be parsed");
                 }
             }
         }
@@ -262,7 +262,7 @@
 
     /// Addresses of the nodes that receive the next digest.
     fn next_addresses(&self) -> Vec<SocketAddr> {
-        // Where tenants have limits, the loss of a keeper is detected by its missing digests. All
+        // If any tenant has a limit, the loss of a keeper is detected by its missing digests. All
         // nodes then receive every digest, so that each detects the loss equally soon.
         let (in_region, remote) = match quota::has_limits(&self.node) {
             true => (self.all_addresses(), Vec::new()),
@@ -320,8 +320,8 @@
                 let _ = timeout(RENEWAL_INTERVAL, self.node.later_era_began.notified()).await;
             }
             if lease.era != self.node.store_era() {
-                // All nodes register again after a random delay. Nodes that do so soon stay known in the
-                // meantime.
+                // All nodes register again after a random delay, which is much shorter than the
+                // time after which the others forget a node.
                 return sleep(rand::rng().random_range(Duration::ZERO..MAX_REREGISTRATION_DELAY))
                     .await;
             }
--- a/crates/gateway/src/platform_client.rs
+++ b/crates/gateway/src/platform_client.rs
@@ -1,7 +1,7 @@
 //! Calls to the platform's interfaces, one at a time over one kept connection.
 //!
-//! The connection is dropped after a failure: once a response has been lost on a connection,
-//! nothing more arrives on it.
+//! The connection is dropped after a failure: once a response has been lost on a connection, no
+//! further response arrives on it.
 
 use crate::http::request::encode_request;
 use crate::http::{BodyDecoder, ConnectError, ReadError, ResponseHead, Upstream};
@@ -23,7 +23,7 @@
 /// have been performed.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// No connection could be opened.
+    /// No connection to the platform could be opened.
     #[error("cannot connect to the platform: {0}")]
     Unreachable(#[from] ConnectError),
     /// The connection failed before the head of the response.
@@ -37,14 +37,14 @@
     Incomplete(#[from] TransferError),
 }
 
-/// A response of the platform.
+/// A complete response of the platform.
 #[derive(Debug)]
 pub struct PlatformResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Era that the platform's store reported; unknown for the other interfaces, which report none.
     pub era: Result<StoreEra, EraError>,
-    /// Body.
+    /// The complete body; empty if the response has none.
     pub body: Vec<u8>,
 }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -82,7 +82,7 @@
     };
     let remaining = until_write.min(until_removal);
     if !remaining.is_zero() {
-        // When this returns, another write or removal may be due, or nothing: the caller checks.
+        // The caller checks what is due after either outcome, which may be nothing.
         let _ = timeout(remaining, node.quarantine_changed.notified()).await;
     }
 }
--- a/crates/gateway/src/quota/candidate.rs
+++ b/crates/gateway/src/quota/candidate.rs
@@ -23,8 +23,8 @@
 /// Time between two checks for keepers that nobody holds.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Candidates beyond this rank do not attempt to acquire a keeper. Each attempt is a call to the
-/// store, and the candidates before them can all be gone only if the list of members is wrong.
+/// Maximum rank of a candidate that attempts to acquire a keeper. Each attempt is a call to the
+/// store, and all candidates up to this rank can be gone only if the list of members is wrong.
 const MAX_RANK: usize = 4;
 
 struct Candidate {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The lease, if the store has confirmed it within its time to live.
+    /// This node's registration lease, if the store has confirmed it within its time to live.
     fn valid_lease(&self) -> Option<RegistrationLease> {
         let lease = self.node.quotas.lease.get()?;
         (self.node.now_us() < lease.renewed_us + lease.ttl_us).then_some(lease)
@@ -187,7 +187,8 @@
         quotas.keepers_changed.notify_one();
     }
 
-    /// Another node holds the keeper, or the key is at another revision than expected.
+    /// Handles a failed attempt: another node holds the keeper, or the key is at another revision
+    /// than expected.
     fn on_conflict(&self, keeper: &KeeperId, era: StoreEra, body: &[u8]) {
         let Some(items) = ok_or_log("keeper", store::parse_conflict(body)) else { return };
         if items.is_empty() {
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -1,8 +1,8 @@
-//! Tracks which node holds which keeper, as far as this node knows, and whether it replies.
+//! Tracks which node holds which keeper, as far as this node knows, and whether the holder replies.
 //!
-//! Nodes list the keepers that they hold in their digests. If a key in the store conflicts with
-//! this node's own attempt, its value names the holder. Of two holders, the one with the higher
-//! store revision counts.
+//! Nodes list the keepers that they hold in their digests. If this node fails to acquire a keeper
+//! because its key exists, the value of the key names the holder. Of two holders, the one with the
+//! higher store revision counts.
 
 use super::LastReceivedUs;
 use pitchstall_serving::digest::{silence_timeout_us, HeldKeeper};
@@ -13,23 +13,23 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Consecutive timeouts after which a keeper is not queried for [`SKIP_DURATION_US`]; the same values as
-/// for schedulers of shards.
+/// Consecutive missed replies after which a keeper is skipped, and for how long, in microseconds;
+/// the same values as for schedulers of shards ([`crate::missed_replies`]).
 const MISSED_BEFORE_SKIP: u32 = 2;
 const SKIP_DURATION_US: u64 = 2_000_000;
-/// Each further timeout doubles the backoff, at most this many times, so that a machine that is
+/// Each further missed reply doubles this time, at most this many times, so that a machine that is
 /// gone for good is queried rarely.
 const MAX_SKIP_DOUBLINGS: u32 = 2;
-/// Time for which a node is not queried after it replied that it does not hold the keeper,
+/// Time for which a keeper is skipped after the queried node replied that it does not hold it,
 /// microseconds.
 const NOT_KEEPER_SKIP_US: u64 = 500_000;
-/// Time without a message from a keeper after which no query is forwarded to it, microseconds. The
-/// forwarding keeper would not notice that the query is lost. Keepers send each other a digest
+/// Maximum time since the last message from a keeper to which queries are forwarded, microseconds.
+/// The forwarding keeper would not notice the loss of a query. Keepers send each other a digest
 /// every second.
 const MAX_FORWARD_INACTIVITY_US: u64 = 2_500_000;
-/// Time within which a keeper acknowledges a forwarded query, microseconds. After it, no query is
-/// forwarded to that keeper until a message from it is received. It is about ten times what a
-/// datagram takes, and less than requesters wait for a reply.
+/// Time within which a keeper acknowledges a forwarded query, microseconds. A keeper that exceeds
+/// it receives no further forwarded query until a message from it arrives. The time is about ten
+/// times what a datagram takes, and less than requesters wait for a reply.
 const FORWARD_ACK_TIMEOUT_US: u64 = 20_000;
 
 /// A node that holds a keeper.
@@ -53,7 +53,7 @@
     unacked_forward_since_us: Option<u64>,
 }
 
-/// The known holders of keepers.
+/// The known holders of keepers, from digests and from the store.
 #[derive(Debug, Default)]
 pub struct Holders {
     by_keeper: BTreeMap<KeeperId, Holder>,
@@ -77,7 +77,7 @@
             known.address = address;
             known.last_received_us = now_us;
             known.unacked_forward_since_us = None;
-            // The node may have been frozen or partitioned. One more timeout starts the backoff
+            // The node may have been frozen or partitioned. One more missed reply makes it skipped
             // again.
             known.skipped_until_us = 0;
         }
@@ -142,13 +142,13 @@
         self.by_keeper.clear();
     }
 
-    /// Removes the holder of a keeper, as nobody holds it any more.
+    /// Removes the holder of a keeper that no node holds any more.
     pub fn remove(&mut self, keeper: &KeeperId) {
         self.by_keeper.remove(keeper);
     }
 
-    /// Address to send queries for a keeper to; `None` if no holder is known or if the holder is in
-    /// backoff.
+    /// Address to send queries for a keeper to; `None` if no holder is known or the holder is
+    /// skipped.
     pub fn query_address(&self, keeper: &KeeperId, now_us: u64) -> Option<SocketAddr> {
         let holder = self.by_keeper.get(keeper)?;
         (now_us >= holder.skipped_until_us).then_some(holder.address)
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Records a reply of a keeper, which ends its backoff.
+    /// Records a reply of a keeper, which is then no longer skipped.
     pub fn on_reply(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
             holder.last_received_us = now_us;
@@ -213,15 +213,15 @@
         }
     }
 
-    /// Starts a short backoff: the queried node replied that it does not hold the keeper, or that
-    /// it does not know whether it still does.
+    /// Skips a keeper for a short time: the queried node replied that it does not hold the keeper,
+    /// or that it does not know whether it still does.
     pub fn on_not_keeper(&mut self, keeper: &KeeperId, now_us: u64) {
         if let Some(holder) = self.by_keeper.get_mut(keeper) {
             holder.skipped_until_us = now_us + NOT_KEEPER_SKIP_US;
         }
     }
 
-    /// Records that a keeper did not reply in time. Returns whether it is in backoff from now on.
+    /// Records that a keeper did not reply in time. Returns whether it is skipped from now on.
     pub fn on_reply_timeout(&mut self, keeper: &KeeperId, now_us: u64) -> bool {
         let Some(holder) = self.by_keeper.get_mut(keeper) else { return false };
         holder.consecutive_missed += 1;
--- a/crates/gateway/src/quota/metrics.rs
+++ b/crates/gateway/src/quota/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics by tenant. A limited number of tenants have their own label; the others share one.
+//! Counts quota requests and their outcomes by tenant. A limited number of tenants have their own
+//! label; the others share one.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -32,7 +33,7 @@
     level: Family<TenantLabels, Gauge>,
     /// Queries that a keeper did not reply to in time.
     pub reply_timeouts: Counter,
-    /// Queries that this node forwarded as a keeper that had too few units.
+    /// Queries that this node, as a keeper, forwarded because it had too few units.
     pub forwarded: Counter,
 }
 
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -40,7 +40,7 @@
 /// The lease under which this node is registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegistrationLease {
-    /// The lease in the store.
+    /// Number of the lease, and the era of the store in which it was granted.
     pub id: StoreLease,
     /// When the last successful call that granted or renewed the lease was sent, microseconds.
     pub renewed_us: u64,
@@ -106,7 +106,7 @@
         self.keepers.borrow().iter().map(to_held).collect()
     }
 
-    /// Whether this node holds a keeper.
+    /// Whether this node holds at least one keeper.
     pub fn is_keeper(&self) -> bool {
         !self.keepers.borrow().is_empty()
     }
@@ -148,5 +148,5 @@
     node.settings().listen.peers
 }
 
-/// For each node, when its last digest was received, microseconds.
+/// Time at which the last digest of each node was received, microseconds.
 type LastReceivedUs = HashMap<NodeId, u64>;
--- a/crates/gateway/src/quota/report.rs
+++ b/crates/gateway/src/quota/report.rs
@@ -1,4 +1,4 @@
-//! The report on tenants' limits at this node, for operators.
+//! Builds the report on tenants' limits at this node, for operators.
 
 use super::has_limits;
 use crate::node::Node;
--- a/crates/gateway/src/quota/requester.rs
+++ b/crates/gateway/src/quota/requester.rs
@@ -18,11 +18,11 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Runs that wait for a reply. The sender passes on the next action of the requester.
+/// Runs that wait for a keeper's reply, by ticket. The sender delivers the requester's next action.
 pub type PendingQueries = HashMap<Ticket, oneshot::Sender<RequesterAction>>;
 
-/// Maximum share by which the wait returned to a client is extended at random, so that clients that
-/// were refused together do not retry together.
+/// Maximum fraction by which the wait returned to a client is extended at random, so that clients
+/// that were refused together do not retry together.
 const RETRY_JITTER: f64 = 0.1;
 /// Minimum time between two alarms that no keeper can be reached, microseconds.
 const ALARM_INTERVAL_US: u64 = 1_000_000;
@@ -64,7 +64,8 @@
 pub enum QuotaRejection {
     /// The tenant has reached its limit.
     OverQuota {
-        /// Time until there is room for the run, with jitter, milliseconds.
+        /// Time until the tenant is expected to have enough units for the run, with jitter,
+        /// milliseconds.
         wait_ms: u64,
     },
     /// No keeper of the tenant could be reached.
@@ -91,7 +92,7 @@
         self.grant.as_ref().is_some_and(|grant| grant.is_usable(now_us))
     }
 
-    /// Call this when the run is sent.
+    /// Marks the run as sent. From then on, the charge may have to be kept.
     pub fn mark_sent(self) -> SentReservation {
         SentReservation(self)
     }
@@ -303,11 +304,11 @@
             Some(address) => {
                 node.scheduling.socket.send(&PeerMessage::QuotaRefund(refund), &[address]);
             }
-            // The charge stays: the tenant loses these units, and nothing above its limit is
-            // granted.
+            // The charge is kept. The tenant loses these units, but is granted nothing above its
+            // limit.
             None => {
                 let (keeper, tenant) = (refund.keeper.to_string(), refund.tenant.as_str());
-                log::info!(target: "quota", keeper, tenant; "quota charge not refunded: holder of the keeper is unknown");
+                log::info!(target: "quota", keeper, tenant; "quota charge not refunded: the holder of the keeper is unknown");
             }
         }
     }
--- a/crates/gateway/src/refused_entries.rs
+++ b/crates/gateway/src/refused_entries.rs
@@ -1,5 +1,4 @@
-//! Entries that another program wrote to the store and that cannot be used. Each is logged once per
-//! revision.
+//! Logs entries that another program wrote to the store and that cannot be used, once per revision.
 
 use pitchstall_serving::store_revision::RevisionNumber;
 use std::cell::RefCell;
@@ -27,15 +26,15 @@
     MissingStartTime,
 }
 
-/// The refused entries with their revisions.
+/// The refused entries that have been logged, by key, with their revisions.
 #[derive(Debug, Default)]
 pub struct RefusedEntries {
     logged: RefCell<HashMap<String, RevisionNumber>>,
 }
 
 impl RefusedEntries {
-    /// Handles a later era, in which the store assigns revisions again: each entry is logged once
-    /// more.
+    /// Handles a later era, in which the store may assign the same revisions to other contents:
+    /// each entry that is still refused is logged once more.
     pub fn on_later_era(&self) {
         self.logged.borrow_mut().clear();
     }
--- a/crates/gateway/src/replica_limits.rs
+++ b/crates/gateway/src/replica_limits.rs
@@ -47,7 +47,7 @@
     percent_of_contact(node, MAX_QUERY_WAIT_PERCENT)
 }
 
-/// A percentage of `bounds.contact_ms`.
+/// Computes a percentage of `bounds.contact_ms`.
 pub fn percent_of_contact(node: &Node, percent: u64) -> Duration {
     Duration::from_millis(node.settings().bounds.contact_ms * percent / 100)
 }
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -74,7 +74,7 @@
         let reply = reply_to(node, &query);
         if let Err(error) = write_reply(io, reply, caches.cache(query.subject)).await {
             let error = error.to_string();
-            log::info!(target: "mirror", error; "reply not written");
+            log::info!(target: "mirror", error; "reply to a follower not written");
             return;
         }
     }
@@ -145,7 +145,7 @@
 /// Why another node's replica could not be obtained.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicationError {
-    /// No connection could be opened.
+    /// No connection to the node could be opened.
     #[error("cannot connect to the node: {0}")]
     Unreachable(#[from] ConnectError),
     /// A line could not be sent or received.
@@ -157,9 +157,9 @@
     /// The reply began to arrive and then made no progress, or took too long.
     #[error("the node's reply stalled after {received} of {bytes} bytes")]
     Stalled {
-        /// Bytes received.
+        /// Number of bytes of the compressed update received before the stall.
         received: usize,
-        /// Bytes expected.
+        /// Size of the compressed update in bytes.
         bytes: usize,
     },
 }
--- a/crates/gateway/src/store_responses.rs
+++ b/crates/gateway/src/store_responses.rs
@@ -1,12 +1,13 @@
-//! Responses of the store to calls other than those of its replicas ([`crate::watcher`]).
+//! Responses of the store to all calls but those that keep its replicas up to date
+//! ([`crate::watcher`]).
 
 use pitchstall_platform_adapter::store::{StoreResponseError, StoreStatus};
 use pitchstall_serving::store_revision::StoreEra;
 
-/// A response of the store.
+/// A complete response of the store.
 #[derive(Debug)]
 pub struct StoreResponse {
-    /// Outcome of the call.
+    /// Outcome of the call, from the HTTP status.
     pub status: StoreStatus,
     /// Era of the store in which the response was given.
     pub era: StoreEra,
@@ -21,8 +22,9 @@
     }
 }
 
-/// The parsed content of a response about `what`. A response that cannot be parsed is logged and
-/// treated like a missing one: whatever it granted lapses.
+/// Returns the parsed content of a response. If it could not be parsed, logs the error with `what`,
+/// the kind of content, and returns `None`. The response is then treated like a missing one:
+/// whatever it granted lapses.
 pub fn ok_or_log<T>(what: &str, parsed: Result<T, StoreResponseError>) -> Option<T> {
     parsed
         .inspect_err(|error| {
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -20,16 +20,16 @@
 /// at 0.6 Mbit/s. Links are 10 Mbit/s or more.
 pub const MAX_TRANSFER_TIME: Duration = Duration::from_secs(20);
 
-/// Why a response is incomplete.
+/// Why a response was not received completely.
 #[derive(Debug, thiserror::Error)]
 pub enum TransferError {
-    /// The connection failed.
+    /// The connection failed, or the body is malformed or too long.
     #[error(transparent)]
     Read(#[from] ReadError),
     /// The response made no progress, or took too long.
     #[error("the response stalled after {received} bytes")]
     Stalled {
-        /// Bytes received.
+        /// Number of bytes of the body received before the stall.
         received: usize,
     },
 }
--- a/crates/gateway/src/unknown_headers.rs
+++ b/crates/gateway/src/unknown_headers.rs
@@ -1,4 +1,4 @@
-//! Names of response headers from runners that this version does not know.
+//! Remembers the names of runners' response headers that this version does not know.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 }
 
 impl UnknownHeaders {
-    /// Records a name. Returns whether it is to be logged.
+    /// Records a name. Returns whether it is to be logged: it is new, and the limit is not reached.
     pub fn record(&mut self, name: &str) -> bool {
         self.names.len() < MAX_NAMES && self.names.insert(name.to_owned())
     }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -29,13 +29,13 @@
 
 /// Time between two checks for reports that are due.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two queries to all nodes. The counts of a node that fails are lost since the last
-/// query that it replied to; one second out of a window of several seconds is within the accepted
-/// loss.
+/// Time between two queries to all nodes. If a node fails, its counts since the last query that it
+/// replied to are lost; one second out of a window of several seconds is within the accepted loss.
 const QUERY_INTERVAL: Duration = Duration::from_millis(800);
 /// Timeout of a call to the store or the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Minimum and maximum pause after a call that the platform did not accept.
+/// Minimum and maximum pause after a report that the platform did not accept. The pause doubles
+/// with each attempt.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(300);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(2_000);
 /// A report is dropped at this multiple of `due_ms` after the end of its window. Until then a late
@@ -59,8 +59,8 @@
 /// Counts a request that was sent to a runner, once it is known to have started.
 ///
 /// A language model starts a request with its first token, which arrives with the head of the
-/// response. Other runners start a request on arrival, so it also counts if the response is no
-/// longer awaited when this is dropped.
+/// response. Other runners start a request on arrival, so it also counts if the recorder is dropped
+/// before a response has arrived.
 pub struct StartRecorder {
     node: Rc<Node>,
     tenant: Option<TenantName>,
@@ -184,7 +184,7 @@
     pending: BTreeMap<u64, PendingReport>,
     /// Windows whose finalized reports are in the store.
     finalized_windows: Vec<u64>,
-    /// When the node started, in milliseconds since 1970.
+    /// When the node started, in milliseconds since the Unix epoch.
     started_ms: u64,
 }
 
@@ -337,7 +337,7 @@
             Some((StoreStatus::Conflict, body)) => {
                 self.finalized_by_other_node(window, fence, &body)
             }
-            // It is unknown whether the write succeeded; the next attempt shows it.
+            // It is unknown whether the write succeeded; the next attempt shows whether it did.
             _ => None,
         };
         let Some(body) = finalized else { return };
@@ -355,7 +355,7 @@
         self.node.usage_collector.borrow_mut().on_finalized(window);
         match cloud::parse_usage_report(body) {
             Some(counts) => self.node.usage.borrow_mut().on_finalized(window, counts),
-            None => log::warn!(target: "usage", window; "a finalized report cannot be parsed"),
+            None => log::warn!(target: "usage", window; "finalized usage report cannot be parsed"),
         }
     }
 
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -2,13 +2,13 @@
 //! registry entries, and the crashes of runners.
 //!
 //! A few nodes of each zone, the store readers, read the store and watch it from the revision of
-//! that read. The others follow one of them ([`crate::replication`]), and switch to another one as
-//! soon as it does not respond or its replica has not been confirmed by the store recently. Only
-//! while no node's replica is confirmed do followers query the store themselves, and seldom. A
+//! that read. The other nodes follow one of them ([`crate::replication`]), and switch to another
+//! one as soon as it does not respond or its replica has not been confirmed by the store recently.
+//! Followers query the store themselves only while no node's replica is confirmed, and seldom. A
 //! watch that ends for any reason is resumed from its last revision; if that part of the history is
-//! gone, or the store was restored from a backup, everything is read again. A fault can make a
-//! watch go silent without an error. A watch is relied on while the replica is known to be fresh
-//! ([`pitchstall_serving::freshness`]); otherwise the store is queried.
+//! gone, or the store was restored from a backup, everything is read again. A watch can stop
+//! delivering changes without an error, so it is relied on only while the replica is known to be
+//! fresh ([`pitchstall_serving::freshness`]); otherwise the store is queried.
 
 mod peer_source;
 
@@ -43,10 +43,10 @@
 /// Wait requested by a call that only confirms the replica.
 const CONFIRMATION_WATCH_WAIT: Duration = Duration::from_millis(1);
 /// Minimum time between two responses with changes: a fixed part, and a part for each store reader,
-/// since each change costs each of them a call.
+/// since each change costs every store reader a call.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 const MIN_CHANGE_INTERVAL_PER_READER: Duration = Duration::from_millis(8);
-/// A change is delayed by at most `bounds.contact_ms` divided by this.
+/// A change is delayed by at most `bounds.contact_ms` divided by this number.
 const MAX_CHANGE_INTERVAL_DIVISOR: u32 = 6;
 /// Time after the start within which a node waits for the list of nodes before it reads the store
 /// itself. Receiving the list takes three calls to the store, about 20 ms, and several times that
@@ -351,7 +351,8 @@
         let (item, at) = store::parse_item(&body)?;
         let entries = to_entries(&self.node, self.subject, vec![item]);
         if entries.is_empty() {
-            // Another node may have the version before it.
+            // After repeated failures, another node is queried, which may have the previous
+            // version.
             return Err(FollowError::InvalidConfiguration);
         }
         Ok(StoreUpdate { era, known_to: at, is_snapshot: true, entries })
--- a/crates/gateway/src/watcher/peer_source.rs
+++ b/crates/gateway/src/watcher/peer_source.rs
@@ -22,8 +22,8 @@
 /// Minimum time between two calls to the store by a node that knows of a later change which no peer
 /// could provide. The change has to be in force within a few seconds.
 const MIN_BEHIND_CALL_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum size at which data received from an abandoned source was part of a snapshot, and not
-/// just a reply without an update.
+/// Minimum number of bytes received from an abandoned source that count as a part of an update. A
+/// reply without an update is smaller.
 const MIN_PARTIAL_UPDATE_BYTES: usize = 1024;
 /// Time between two queries to peers while a large response of the store is arriving. Before the
 /// first query, a link of 10 Mbit/s has transferred 0.6 MB, and a fast link the whole of the
