--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -199,7 +199,7 @@
     }
 
     /// Removes a key that was written in a later era than its lease was granted in: the store was
-    /// restored from an older copy in between, and the key is attached to whichever lease has that
+    /// restored from a backup in between, and the key is attached to whichever lease has that
     /// number now.
     async fn undo_acquisition(&mut self, acquired_at: StoreRevision) {
         let remove = store::release_authority(&self.subject, acquired_at.number());
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -52,7 +52,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// State of a node. Its tasks run on one thread, so they share it without locks.
+/// State of a node. The tasks of a node run on one thread and share this state without locks.
 pub struct Node {
     /// Zone of the node in the settings at its start; a change takes effect at the next start.
     pub zone: ZoneId,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -48,7 +48,7 @@
 const REGISTRATION_TTL_MS: u64 = 30_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum delay before a node registers again after the store was restored from an older copy. The
+/// Maximum delay before a node registers again after the store was restored from a backup. The
 /// delay is random, so that the writes of a fleet are spread over this time.
 const MAX_REREGISTRATION_DELAY: Duration = Duration::from_millis(700);
 /// Number of renewals between two reads of the list of nodes.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -16,8 +16,8 @@
 use tokio::time::{sleep, timeout};
 
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a call that the store did not accept: a small part of the time after which nodes
-/// must count as in contact again.
+/// Pause after a call that the store did not accept. It is much shorter than `bounds.contact_ms`,
+/// the fault-free time after which a node counts as in contact.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Delay before the entries of cleared requests are removed, so that one call removes many of them.
 /// The delay does not affect these requests.
--- a/crates/gateway/src/quota/holders.rs
+++ b/crates/gateway/src/quota/holders.rs
@@ -77,8 +77,8 @@
             known.address = address;
             known.last_received_us = now_us;
             known.unacked_forward_since_us = None;
-            // The node may have been frozen or partitioned. One more missed reply makes it skipped
-            // again.
+            // The node may have been frozen or partitioned. After one more missed reply, it
+            // is skipped again.
             known.skipped_until_us = 0;
         }
     }
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Removes all holders: the store was restored from an older copy, and any holder may have lost
-    /// its key.
+    /// Removes all holders: the store was restored from a backup, and any holder may have lost its
+    /// key.
     pub fn on_later_era(&mut self) {
         self.by_keeper.clear();
     }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Drops all held keepers and known holders: the store was restored from an older copy, so the
+    /// Drops all held keepers and known holders: the store was restored from a backup, so the
     /// lease and the keys under it may be missing or belong to another holder.
     pub fn on_later_era(&self) {
         self.on_lease_expired();
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -350,7 +350,7 @@
     }
 
     /// Records a report that is in the store. Its counts are also kept in memory, since the store
-    /// may be restored from an older copy without it.
+    /// may be restored from a backup without it.
     fn on_finalized(&self, window: u64, body: &[u8]) {
         self.node.usage_collector.borrow_mut().on_finalized(window);
         match cloud::parse_usage_report(body) {
