--- a/crates/gateway/src/node/runners.rs
+++ b/crates/gateway/src/node/runners.rs
@@ -99,8 +99,8 @@
         let Some(until_us) = until_us else { return };
         let node = self.clone();
         ntex::rt::spawn(async move {
-            let left_us = until_us.saturating_sub(node.now_us());
-            tokio::time::sleep(Duration::from_micros(left_us)).await;
+            let remaining_us = until_us.saturating_sub(node.now_us());
+            tokio::time::sleep(Duration::from_micros(remaining_us)).await;
             let gone = node.fleet.borrow_mut().remove_lapsed(node.now_us());
             for id in &gone {
                 node.on_runner_departed(id, None, false);
--- a/crates/gateway/src/watcher/mod.rs
+++ b/crates/gateway/src/watcher/mod.rs
@@ -418,9 +418,9 @@
         let due = self
             .last_change_at
             .map(|at| at + interval.min(contact_time / MAX_CHANGE_INTERVAL_DIVISOR));
-        let left = due.map(|due| due.saturating_duration_since(Instant::now()));
-        if let Some(left) = left.filter(|left| !left.is_zero()) {
-            sleep(left).await;
+        let remaining = due.map(|due| due.saturating_duration_since(Instant::now()));
+        if let Some(remaining) = remaining.filter(|remaining| !remaining.is_zero()) {
+            sleep(remaining).await;
         }
     }
 
