--- a/crates/gateway/src/entries.rs
+++ b/crates/gateway/src/entries.rs
@@ -53,12 +53,12 @@
             node.adopt_configuration(configuration);
         }
         Err(error) => {
-            let fault = EntryError::InvalidDocument(error.to_string());
+            let error = EntryError::InvalidDocument(error.to_string());
             node.on_refused_entry(
                 Subject::Configuration.name(),
                 &entry.key,
                 entry.revision,
-                &fault,
+                &error,
             );
         }
     }
@@ -74,16 +74,16 @@
     node.remove_runner(&name, revision, lapses_until_us);
 }
 
-/// Applies the entries of all runners. Entries that cannot be used name no runner, and do not
-/// affect the others.
+/// Applies the entries of all runners. A runner whose entry cannot be used is removed; the other
+/// runners are not affected.
 fn apply_runner_snapshot(node: &Rc<Node>, update: &StoreUpdate) {
     let records: Vec<RunnerRecord> = update
         .entries
         .iter()
         .filter_map(|entry| parse_runner_record(node, entry, update.revision_of(entry)))
         .collect();
-    // All entries have been parsed by now, so this is set if any of them has a start time, also one
-    // that follows entries without.
+    // All entries have been parsed by now, so this is set if any entry has a start time, whatever
+    // their order.
     let entries_have_start_times = node.entries_have_start_times.get();
     let (used, refused): (Vec<_>, Vec<_>) = records
         .into_iter()
@@ -101,8 +101,8 @@
         );
     }
     node.replace_runners(used, update.known_to(), node.lapses_until_us());
-    let unusable = update.entries.iter().filter(|entry| !entry.is_tombstone());
-    for entry in unusable {
+    let present = update.entries.iter().filter(|entry| !entry.is_tombstone());
+    for entry in present {
         let name = documents::parse_runner_key(&entry.key);
         if let Some(name) = name.filter(|name| !used_names.contains(name)) {
             node.remove_runner(&name, update.revision_of(entry), None);
@@ -122,12 +122,12 @@
 /// The crash that an entry describes; `None` if the entry was removed or cannot be parsed.
 fn parse_crash(node: &Node, entry: &StoreEntry) -> Option<(Crash, CrashRecord)> {
     let document = entry.document.as_deref()?;
-    let fault = match (store::parse_crash_key(&entry.key), serde_json::from_str(document)) {
+    let error = match (store::parse_crash_key(&entry.key), serde_json::from_str(document)) {
         (Some(crash), Ok(record)) => return Some((crash, record)),
         (None, _) => EntryError::InvalidKey,
         (_, Err(error)) => EntryError::InvalidDocument(error.to_string()),
     };
-    node.on_refused_entry(Subject::Crashes.name(), &entry.key, entry.revision, &fault);
+    node.on_refused_entry(Subject::Crashes.name(), &entry.key, entry.revision, &error);
     None
 }
 
@@ -141,16 +141,16 @@
     let record = match documents::parse_runner(&entry.key, document.as_bytes(), revision) {
         Ok(record) => record,
         Err(error) => {
-            let fault = EntryError::InvalidDocument(error.to_string());
-            node.on_refused_entry(Subject::Runners.name(), &entry.key, entry.revision, &fault);
+            let error = EntryError::InvalidDocument(error.to_string());
+            node.on_refused_entry(Subject::Runners.name(), &entry.key, entry.revision, &error);
             return None;
         }
     };
     if record.id.started_at_ms().is_some() {
         node.entries_have_start_times.set(true);
     } else if node.entries_have_start_times.get() {
-        let fault = EntryError::MissingStartTime;
-        node.on_refused_entry(Subject::Runners.name(), &entry.key, entry.revision, &fault);
+        let error = EntryError::MissingStartTime;
+        node.on_refused_entry(Subject::Runners.name(), &entry.key, entry.revision, &error);
         return None;
     }
     Some(record)
@@ -164,8 +164,8 @@
         let Item { key, value, revision } = item;
         let document = match value.map(|value| to_document(subject, value)).transpose() {
             Ok(document) => document,
-            Err(fault) => {
-                node.on_refused_entry(subject.name(), &key, revision, &fault);
+            Err(error) => {
+                node.on_refused_entry(subject.name(), &key, revision, &error);
                 if subject == Subject::Configuration {
                     return None;
                 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -33,7 +33,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Pause after a failed receive.
+/// Pause after a datagram could not be received.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(120);
 /// Time between two digests of a node. Their contents are not urgent, except for role changes,
 /// which are sent to all nodes at once.
@@ -48,7 +48,7 @@
 const REGISTRATION_TTL_MS: u64 = 30_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum delay before a node registers again after the store was restored from an older copy. The
+/// Maximum delay before a node registers again after the store was restored from a backup. The
 /// delay is random, so that the writes of a fleet are spread over this time.
 const MAX_REREGISTRATION_DELAY: Duration = Duration::from_millis(700);
 /// Number of renewals between two reads of the list of nodes.
@@ -59,10 +59,10 @@
 
 /// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CallFailure {
+enum CallError {
     /// The object of the call does not exist.
     Absent,
-    /// The call was rejected or got no response.
+    /// The call was rejected or received no response.
     Other,
 }
 
@@ -111,7 +111,7 @@
                 Err(error) => {
                     self.node.metrics.unreadable_datagrams.inc();
                     let (error, from) = (error.to_string(), from.to_string());
-                    log::warn!(target: "peers", from, error; "unreadable datagram");
+                    log::warn!(target: "peers", from, error; "datagram ignored: it cannot be parsed");
                 }
             }
         }
@@ -262,7 +262,7 @@
 
     /// Addresses of the nodes that receive the next digest.
     fn next_addresses(&self) -> Vec<SocketAddr> {
-        // Where tenants have limits, the loss of a keeper is detected by its missing digests. All
+        // If any tenant has a limit, the loss of a keeper is detected by its missing digests. All
         // nodes then receive every digest, so that each detects the loss equally soon.
         let (in_region, remote) = match quota::has_limits(&self.node) {
             true => (self.all_addresses(), Vec::new()),
@@ -320,16 +320,16 @@
                 let _ = timeout(RENEWAL_INTERVAL, self.node.later_era_began.notified()).await;
             }
             if lease.era != self.node.store_era() {
-                // All nodes register again after a random delay. Nodes that do so soon stay known in the
-                // meantime.
+                // All nodes register again after a random delay, which is much shorter than the
+                // time after which the others forget a node.
                 return sleep(rand::rng().random_range(Duration::ZERO..MAX_REREGISTRATION_DELAY))
                     .await;
             }
             let sent_at_us = self.node.now_us();
             match self.call(client, &store::renew_lease(lease.number)).await {
                 Ok(_) => self.node.quotas.on_renewed(sent_at_us),
-                Err(CallFailure::Absent) => return self.node.quotas.on_lease_expired(),
-                Err(CallFailure::Other) => {}
+                Err(CallError::Absent) => return self.node.quotas.on_lease_expired(),
+                Err(CallError::Other) => {}
             }
             if renewal % RENEWALS_PER_LISTING == 0 {
                 self.list_nodes(client, store::read_nodes_stale).await;
@@ -345,7 +345,7 @@
     ) {
         let page = read_pages(async |after| {
             let (body, _) = self.call(client, &read(after.as_deref())).await?;
-            ok_or_log("nodes", store::parse_page(&body)).ok_or(CallFailure::Other)
+            ok_or_log("nodes", store::parse_page(&body)).ok_or(CallError::Other)
         });
         let Ok(page) = page.await else { return };
         let listed = page.items.iter().filter_map(|item| self.read_node(item));
@@ -368,8 +368,8 @@
     fn read_node(&self, item: &Item) -> Option<(NodeId, Member)> {
         let node = store::parse_node(item);
         if node.is_none() {
-            let fault = EntryError::InvalidDocument("the entry names no node".to_owned());
-            self.node.on_refused_entry("nodes", &item.key, item.revision, &fault);
+            let error = EntryError::InvalidDocument("the entry names no node".to_owned());
+            self.node.on_refused_entry("nodes", &item.key, item.revision, &error);
         }
         node
     }
@@ -378,25 +378,25 @@
         &self,
         client: &mut PlatformClient,
         call: &PlatformCall,
-    ) -> Result<(Vec<u8>, StoreEra), CallFailure> {
+    ) -> Result<(Vec<u8>, StoreEra), CallError> {
         self.node.metrics.store_calls.inc();
         let address = self.node.settings().store.address;
-        let (outcome, failure) = match client.call(address, call, STORE_TIMEOUT).await {
+        let (outcome, error) = match client.call(address, call, STORE_TIMEOUT).await {
             Ok(response) => {
                 let Some(era) = self.node.on_era_reported(address, response.era) else {
-                    return Err(CallFailure::Other);
+                    return Err(CallError::Other);
                 };
                 match store::parse_status(response.status) {
                     StoreStatus::Done => return Ok((response.body, era)),
-                    StoreStatus::Absent => (response.status.to_string(), CallFailure::Absent),
-                    _ => (response.status.to_string(), CallFailure::Other),
+                    StoreStatus::Absent => (response.status.to_string(), CallError::Absent),
+                    _ => (response.status.to_string(), CallError::Other),
                 }
             }
-            Err(error) => (error.to_string(), CallFailure::Other),
+            Err(error) => (error.to_string(), CallError::Other),
         };
         self.node.metrics.store_failures.inc();
         self.node.store_suspected.notify_waiters();
         log::info!(target: "peers", target = call.target.as_str(), outcome; "store call failed");
-        Err(failure)
+        Err(error)
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -16,8 +16,8 @@
 use tokio::time::{sleep, timeout};
 
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a call that the store did not accept: a small part of the time after which nodes
-/// must count as in contact again.
+/// Pause after a call that the store did not accept. It is much shorter than `bounds.contact_ms`,
+/// the fault-free time after which a node counts as in contact.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Delay before the entries of cleared requests are removed, so that one call removes many of them.
 /// The delay does not affect these requests.
@@ -82,7 +82,7 @@
     };
     let remaining = until_write.min(until_removal);
     if !remaining.is_zero() {
-        // When this returns, another write or removal may be due, or nothing: the caller checks.
+        // The caller checks what is due after either outcome, which may be nothing.
         let _ = timeout(remaining, node.quarantine_changed.notified()).await;
     }
 }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -40,7 +40,7 @@
 /// The lease under which this node is registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegistrationLease {
-    /// The lease in the store.
+    /// Number of the lease, and the era of the store in which it was granted.
     pub id: StoreLease,
     /// When the last successful call that granted or renewed the lease was sent, microseconds.
     pub renewed_us: u64,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Drops all held keepers and known holders: the store was restored from an older copy, so the
+    /// Drops all held keepers and known holders: the store was restored from a backup, so the
     /// lease and the keys under it may be missing or belong to another holder.
     pub fn on_later_era(&self) {
         self.on_lease_expired();
@@ -106,7 +106,7 @@
         self.keepers.borrow().iter().map(to_held).collect()
     }
 
-    /// Whether this node holds a keeper.
+    /// Whether this node holds at least one keeper.
     pub fn is_keeper(&self) -> bool {
         !self.keepers.borrow().is_empty()
     }
@@ -148,5 +148,5 @@
     node.settings().listen.peers
 }
 
-/// For each node, when its last digest was received, microseconds.
+/// Time at which the last digest of each node was received, microseconds.
 type LastReceivedUs = HashMap<NodeId, u64>;
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -29,13 +29,13 @@
 
 /// Time between two checks for reports that are due.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two queries to all nodes. The counts of a node that fails are lost since the last
-/// query that it replied to; one second out of a window of several seconds is within the accepted
-/// loss.
+/// Time between two queries to all nodes. If a node fails, its counts since the last query that it
+/// replied to are lost; one second out of a window of several seconds is within the accepted loss.
 const QUERY_INTERVAL: Duration = Duration::from_millis(800);
 /// Timeout of a call to the store or the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Minimum and maximum pause after a call that the platform did not accept.
+/// Minimum and maximum pause after a report that the platform did not accept. The pause doubles
+/// with each attempt.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(300);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(2_000);
 /// A report is dropped at this multiple of `due_ms` after the end of its window. Until then a late
@@ -59,8 +59,8 @@
 /// Counts a request that was sent to a runner, once it is known to have started.
 ///
 /// A language model starts a request with its first token, which arrives with the head of the
-/// response. Other runners start a request on arrival, so it also counts if the response is no
-/// longer awaited when this is dropped.
+/// response. Other runners start a request on arrival, so it also counts if the recorder is dropped
+/// before a response has arrived.
 pub struct StartRecorder {
     node: Rc<Node>,
     tenant: Option<TenantName>,
@@ -160,13 +160,13 @@
 /// A report that is finalized and not yet accepted by the platform.
 struct PendingReport {
     body: Vec<u8>,
-    next_try: Instant,
+    next_attempt: Instant,
     pause: Duration,
 }
 
 impl PendingReport {
     fn new(body: Vec<u8>) -> Self {
-        Self { body, next_try: Instant::now(), pause: MIN_RETRY_PAUSE }
+        Self { body, next_attempt: Instant::now(), pause: MIN_RETRY_PAUSE }
     }
 }
 
@@ -184,7 +184,7 @@
     pending: BTreeMap<u64, PendingReport>,
     /// Windows whose finalized reports are in the store.
     finalized_windows: Vec<u64>,
-    /// When the node started, in milliseconds since 1970.
+    /// When the node started, in milliseconds since the Unix epoch.
     started_ms: u64,
 }
 
@@ -288,9 +288,9 @@
         for item in page.items {
             let (key, revision) = (item.key.clone(), item.revision);
             let Some((window, body)) = store::parse_stored_usage_report(item) else {
-                let fault =
+                let error =
                     EntryError::InvalidDocument("the entry names no usage window".to_owned());
-                self.node.on_refused_entry("usage", &key, revision, &fault);
+                self.node.on_refused_entry("usage", &key, revision, &error);
                 continue;
             };
             self.finalized_windows.push(window);
@@ -337,7 +337,7 @@
             Some((StoreStatus::Conflict, body)) => {
                 self.finalized_by_other_node(window, fence, &body)
             }
-            // It is unknown whether the write succeeded; the next attempt shows it.
+            // It is unknown whether the write succeeded; the next attempt shows whether it did.
             _ => None,
         };
         let Some(body) = finalized else { return };
@@ -350,12 +350,12 @@
     }
 
     /// Records a report that is in the store. Its counts are also kept in memory, since the store
-    /// may be restored from an older copy without it.
+    /// may be restored from a backup without it.
     fn on_finalized(&self, window: u64, body: &[u8]) {
         self.node.usage_collector.borrow_mut().on_finalized(window);
         match cloud::parse_usage_report(body) {
             Some(counts) => self.node.usage.borrow_mut().on_finalized(window, counts),
-            None => log::warn!(target: "usage", window; "a finalized report cannot be parsed"),
+            None => log::warn!(target: "usage", window; "finalized usage report cannot be parsed"),
         }
     }
 
@@ -369,7 +369,7 @@
     ) -> Option<Vec<u8>> {
         let items = ok_or_log("usage report", store::parse_conflict(body))?;
         let reports = items.into_iter().filter_map(store::parse_stored_usage_report);
-        let found = reports.into_iter().find(|(of, _)| *of == window);
+        let found = reports.into_iter().find(|(stored_window, _)| *stored_window == window);
         if found.is_none() {
             log::warn!(target: "usage", window, fence = fence.number(); "usage report not finalized: another node has the authority");
             self.node.authority.on_refused(fence);
@@ -391,7 +391,7 @@
             is_retained
         });
         let now = Instant::now();
-        let due = self.pending.iter().filter(|(_, report)| report.next_try <= now);
+        let due = self.pending.iter().filter(|(_, report)| report.next_attempt <= now);
         let due: Vec<u64> = due.map(|(window, _)| *window).collect();
         for window in due {
             self.send(window).await;
@@ -408,7 +408,7 @@
         let response = self.cloud.call(cloud.address, &call, CALL_TIMEOUT).await;
         let outcome = response.as_ref().map(|response| cloud::parse_status(response.status));
         let outcome_text = match &outcome {
-            Ok(answer) => format!("{answer:?}"),
+            Ok(response) => format!("{response:?}"),
             Err(error) => error.to_string(),
         };
         log::info!(target: "usage", window, fence = fence.number(), answer = outcome_text; "reported");
@@ -421,7 +421,7 @@
 
     fn postpone(&mut self, window: u64) {
         if let Some(report) = self.pending.get_mut(&window) {
-            report.next_try = Instant::now() + report.pause;
+            report.next_attempt = Instant::now() + report.pause;
             report.pause = (report.pause * 2).min(MAX_RETRY_PAUSE);
         }
     }
