--- a/crates/serving/src/runner_notice.rs
+++ b/crates/serving/src/runner_notice.rs
@@ -96,10 +96,7 @@
             self.is_trial_in_flight = false;
         }
         let starts_resting = rest_us > 0 && !was_resting;
-        AvailabilityChange {
-            starts_leaving: starts_leaving,
-            rest_us: starts_resting.then_some(rest_us),
-        }
+        AvailabilityChange { starts_leaving, rest_us: starts_resting.then_some(rest_us) }
     }
 
     /// Records that a request was sent to the runner.
